--- /dev/null
+++ b/src/test/java/yewjunction/charter/ControlStateFixture.java
@@ -0,0 +1,114 @@
+package yewjunction.charter;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import yewjunction.ledger.Machine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+/** A short history of the control state machine, and what must be true after it. */
+public final class ControlStateFixture {
+    private static final String JSON = "{\"Ver\":%d,\"Routes\":[],\"Svcs\":[],\"Tenants\":[{\"Name\":\"t\",\"Apikeys\":[\"k\"],\"RatePerS\":30,\"Burst\":30}]}";
+
+    private ControlStateFixture() {
+    }
+
+    static Core core() {
+        return new Core(new Core.Watcher() {
+            @Override
+            public void configChanged() {
+                // Only the state counts here.
+            }
+
+            @Override
+            public void factsChanged() {
+                // Only the state counts here.
+            }
+
+            @Override
+            public void settledTo(final long commit) {
+                // Only the state counts here.
+            }
+
+            @Override
+            public void leaderIs(final String identity, final boolean self) {
+                // Only the state counts here.
+            }
+        });
+    }
+
+    /** A fresh state machine. */
+    public static Machine machine() {
+        return core();
+    }
+
+    /** The commands of the history, one of each kind and a second configuration, encoded. */
+    public static List<byte[]> commands() {
+        final List<byte[]> commands = new ArrayList<>();
+        commands.add(config(1, 0));
+        final Deed replica = new Deed(Deed.REPLICA);
+        replica.address = "10.0.0.2:7000";
+        replica.node = "edge-2";
+        replica.life = 99;
+        commands.add(Core.bytes(replica));
+        replica.address = "10.0.0.3:7000";
+        replica.node = "edge-3";
+        replica.life = 100;
+        commands.add(Core.bytes(replica));
+        final Deed vaults = new Deed(Deed.VAULTS);
+        vaults.identities = List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z");
+        vaults.zones = List.of("za", "zb", "zc");
+        commands.add(Core.bytes(vaults));
+        final Deed gone = new Deed(Deed.REPLICA_GONE);
+        gone.name = 1;
+        commands.add(Core.bytes(gone));
+        final Deed retire = new Deed(Deed.RETIRE);
+        retire.node = "store-4";
+        retire.address = "10.0.0.4:7000";
+        commands.add(Core.bytes(retire));
+        final Deed retired = new Deed(Deed.RETIRED);
+        retired.node = "store-4";
+        commands.add(Core.bytes(retired));
+        commands.add(config(2, 1));
+        return commands;
+    }
+
+    private static byte[] config(final long version, final long base) {
+        final Deed config = new Deed(Deed.CONFIG);
+        config.json = String.format(JSON, version);
+        config.version = version;
+        config.base = base;
+        config.digest = "digest-" + version;
+        return Core.bytes(config);
+    }
+
+    /** Applies the whole history, the first command at the index given. */
+    public static void apply(final Machine machine, final long firstIndex) {
+        long index = firstIndex;
+        for (final byte[] command : commands()) {
+            machine.apply(index++, command);
+        }
+    }
+
+    /** Every fact that the history leaves, when its first command stood at index 1. */
+    public static void assertComplete(final Machine machine) {
+        final Core core = (Core) machine;
+        assertEquals(2, core.version());
+        assertEquals(String.format(JSON, 2), core.json());
+        assertEquals(2, core.current().version());
+        assertTrue(core.taken(1, "digest-1"));
+        assertTrue(core.taken(2, "digest-2"));
+        final Facts facts = core.facts();
+        assertEquals(7, facts.number());
+        assertEquals(2, facts.newestReplica());
+        assertEquals(Set.of(2L), facts.liveReplicas());
+        assertEquals(2, facts.replica("10.0.0.3:7000", 100));
+        assertEquals("10.0.0.3:7000", facts.addressOf(2));
+        assertEquals(List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z"), facts.vaults());
+        assertEquals(List.of("10.0.0.5:7000"), facts.vaultAddresses("zb", true));
+        assertTrue(facts.retiring("store-4").finished);
+        assertEquals(Set.of("10.0.0.4:7000"), facts.retiringAddresses());
+    }
+}
--- /dev/null
+++ b/src/test/java/yewjunction/vault/StoreWireFormatTest.java
@@ -0,0 +1,63 @@
+package yewjunction.vault;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import yewjunction.base.Codec;
+import yewjunction.base.GoldenBytes;
+
+/** The bytes of the messages about admission, of stored messages and of the store's snapshot are those of release 0.1.0. */
+class StoreWireFormatTest {
+    private static Terms terms() {
+        final Terms terms = new Terms();
+        terms.tenant = "t1";
+        terms.rate = 1_500;
+        terms.depth = 9_000;
+        terms.borrowMax = 7_000;
+        terms.repayPpm = 333_333;
+        terms.firstTokens = 400;
+        return terms;
+    }
+
+    static Message message(final int salt) {
+        final Message message = new Message();
+        message.index = 100L + salt;
+        message.topic = "topic." + salt;
+        message.client = "client-" + salt;
+        message.number = 200L + salt;
+        message.body = new byte[] {(byte) salt, 1, 2};
+        message.tenant("t1");
+        message.stampMs = 300L + salt;
+        message.change = new Terms.Change();
+        message.change.version = 400L + salt;
+        message.change.terms.add(terms());
+        return message;
+    }
+
+    @Test
+    void messagesKeepTheirBytes() {
+        final Map<String, Object> messages = new LinkedHashMap<>();
+        final Letters.Admit admit = new Letters.Admit();
+        admit.request = 1;
+        admit.message = message(2);
+        admit.revoked = true;
+        messages.put("70", admit);
+        final Letters.Verdict verdict = new Letters.Verdict();
+        verdict.request = 3;
+        verdict.what = Letters.ELSEWHERE;
+        messages.put("71", verdict);
+        final Codec codec = new Codec();
+        Letters.know(codec);
+        GoldenBytes.assertUnchanged("store.txt", GoldenBytes.encode(codec, messages));
+    }
+
+    @Test
+    void storedMessagesAndSnapshotsKeepTheirBytes() {
+        final Map<String, byte[]> examples = new LinkedHashMap<>();
+        examples.put("message", Cellar.bytes(message(3)));
+        final Cellar store = StoreStateFixture.store();
+        StoreStateFixture.apply(store, 1);
+        examples.put("snapshot", store.snapshot());
+        GoldenBytes.assertUnchanged("store-state.txt", examples);
+    }
+}
