--- a/src/main/java/yewjunction/base/Pulse.java
+++ b/src/main/java/yewjunction/common/AgentContext.java
@@ -1,9 +1,9 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import java.util.Random;
 
 /** What an owner of state is given of the world: a clock, alarms, a queue of commands and luck. */
-public interface Pulse {
+public interface AgentContext {
     /** Steady milliseconds; never the time of day, so a stepped clock moves no lease. */
     long nowMs();
 
--- a/src/main/java/yewjunction/base/ControlLimits.java
+++ b/src/main/java/yewjunction/common/ControlLimits.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 /** Constants of the control side that came after Limits, each with its unit and the reason for its value. */
 public final class ControlLimits {
--- a/src/main/java/yewjunction/base/Limits.java
+++ b/src/main/java/yewjunction/common/Limits.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 /** Every constant of the daemons, with its unit and the reason for its value; those of the tools: ToolLimits. */
 public final class Limits {
--- a/src/main/java/yewjunction/base/Event.java
+++ b/src/main/java/yewjunction/common/LogEvent.java
@@ -1,9 +1,9 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import org.tinylog.Logger;
 
 /** Numbered log events; the catalogue with what to do about each is docs/events.md. */
-public enum Event {
+public enum LogEvent {
     STARTED(100), STOPPING(101), STOPPED(102), SETTINGS_REREAD(103), SETTINGS_BAD(104), TURN_DEFECT(105),
     CALENDAR_BAD(106),
     LINK_LOST(200), LINK_GARBLED(201), LINK_SLOW(203),
@@ -20,7 +20,7 @@
 
     private final int number;
 
-    Event(final int number) {
+    LogEvent(final int number) {
         this.number = number;
     }
 
--- a/src/main/java/yewjunction/base/Codec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -7,17 +7,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import static yewjunction.base.Defect.Code.LETTER_GARBLED;
-import static yewjunction.base.Defect.Code.LETTER_UNKNOWN;
+import static yewjunction.common.YewjunctionException.ErrorCode.LETTER_GARBLED;
+import static yewjunction.common.YewjunctionException.ErrorCode.LETTER_UNKNOWN;
 
 /** Letters to bytes and back: one byte of kind, then Protostuff. One thread at a time. */
-public final class Codec {
+public final class MessageCodec {
     private final Map<Class<?>, Integer> kinds = new HashMap<>();
     private final Map<Integer, Schema<?>> schemas = new HashMap<>();
     private final LinkedBuffer scratch = LinkedBuffer.allocate(1024);
 
     /** Kinds are numbered by hand: numbers outlive names when releases mix. */
-    public Codec know(final int number, final Class<?> kind) {
+    public MessageCodec know(final int number, final Class<?> kind) {
         if (schemas.containsKey(number)) {
             throw new IllegalStateException("letter number " + number + " is taken");
         }
@@ -30,7 +30,7 @@
     public byte[] encode(final Object letter) {
         final Integer number = kinds.get(letter.getClass());
         if (number == null) {
-            throw new Defect(LETTER_UNKNOWN, letter.getClass().getName());
+            throw new YewjunctionException(LETTER_UNKNOWN, letter.getClass().getName());
         }
         final byte[] body;
         try {
@@ -49,14 +49,14 @@
         // An unknown kind is told apart from a broken one: it may come from a newer release and is skipped.
         final Schema<Object> schema = length < 1 ? null : (Schema<Object>) schemas.get(bytes[offset] & 0xff);
         if (schema == null) {
-            throw new Defect(LETTER_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
+            throw new YewjunctionException(LETTER_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
         }
         try {
             final Object letter = schema.newMessage();
             ProtostuffIOUtil.mergeFrom(bytes, offset + 1, length - 1, letter, schema);
             return letter;
         } catch (final RuntimeException defect) {
-            throw new Defect(LETTER_GARBLED, "kind " + (bytes[offset] & 0xff), defect);
+            throw new YewjunctionException(LETTER_GARBLED, "kind " + (bytes[offset] & 0xff), defect);
         }
     }
 }
--- a/src/main/java/yewjunction/base/Link.java
+++ b/src/main/java/yewjunction/common/PeerConnection.java
@@ -1,7 +1,7 @@
-package yewjunction.base;
+package yewjunction.common;
 
 /** An ordered connection to a peer; letters are lost only together with the link. */
-public interface Link {
+public interface PeerConnection {
     /** Queues a letter; false when the link is closed. */
     boolean send(Object letter);
 
--- a/src/main/java/yewjunction/base/Questions.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-import static yewjunction.base.ControlLimits.QUESTION_BITS;
+import static yewjunction.common.ControlLimits.QUESTION_BITS;
 
 /**
  * Questions that one life of a process has asked and that are open, each by its number, with whom it was asked of. An answer
@@ -16,15 +16,15 @@
  * @param <P> who is asked: a link, which ends with either process, or the address where datagrams leave nothing better
  * @param <T> what the asker wants back with the answer
  */
-public final class Questions<P, T> {
-    private final Map<Long, Question<P, T>> open = new HashMap<>();
+public final class PendingRequests<P, T> {
+    private final Map<Long, Pending<P, T>> open = new HashMap<>();
     private long newest;
 
-    private record Question<P, T>(P peer, T about) {
+    private record Pending<P, T>(P peer, T about) {
     }
 
     /** Life: what the process drew for itself at its start. */
-    public Questions(final long life) {
+    public PendingRequests(final long life) {
         // Mixed as SplitMix64 does, so that lives near one another begin far apart.
         long mixed = life * 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -34,13 +34,13 @@
 
     /** The number that the answer is to repeat. */
     public long ask(final P peer, final T about) {
-        open.put(++newest, new Question<>(peer, about));
+        open.put(++newest, new Pending<>(peer, about));
         return newest;
     }
 
     /** What was asked; null when nothing open by that number was asked of that peer, and then nothing changes. */
     public T answered(final long number, final P from) {
-        final Question<P, T> question = open.get(number);
+        final Pending<P, T> question = open.get(number);
         if (question == null || !question.peer.equals(from)) {
             return null;
         }
--- a/src/main/java/yewjunction/base/ToolLimits.java
+++ b/src/main/java/yewjunction/common/ToolLimits.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 /** Every constant of the tools beside the daemons, with its unit and the reason for its value. */
 public final class ToolLimits {
--- a/src/main/java/yewjunction/base/Defect.java
+++ b/src/main/java/yewjunction/common/YewjunctionException.java
@@ -1,12 +1,12 @@
-package yewjunction.base;
+package yewjunction.common;
 
 /** A failure with a code; each layer makes its own and wraps those from below. */
-public class Defect extends RuntimeException {
+public class YewjunctionException extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    private final transient Code code;
+    private final transient ErrorCode code;
 
     /** Codes of all layers; operators find them in docs/events.md. */
-    public enum Code {
+    public enum ErrorCode {
         SETTINGS_MISSING, SETTINGS_UNREADABLE, SETTINGS_FIELD,
         CONFIG_UNREADABLE, CONFIG_FIELD, CONFIG_PLACE, CONFIG_TIMEOUT, CONFIG_SERVICE, CONFIG_KEY, CONFIG_VERSION,
         LINK_GARBLED,
@@ -15,17 +15,17 @@
         LETTER_UNKNOWN, LETTER_GARBLED
     }
 
-    public Defect(final Code code, final String text) {
+    public YewjunctionException(final ErrorCode code, final String text) {
         super(text);
         this.code = code;
     }
 
-    public Defect(final Code code, final String text, final Throwable cause) {
+    public YewjunctionException(final ErrorCode code, final String text, final Throwable cause) {
         super(text, cause);
         this.code = code;
     }
 
-    public Code code() {
+    public ErrorCode code() {
         return code;
     }
 }
--- a/src/main/java/yewjunction/charter/Balance.java
+++ b/src/main/java/yewjunction/control/AccountBalance.java
@@ -1,10 +1,10 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** What one vault holds of a tenant that borrows ahead, for operators; amounts in thousandths of a message. */
-public final class Balance {
+public final class AccountBalance {
     /** Thousandths, and millionths of a share. */
     private static final double ONE = 1_000, WHOLE = 1_000_000;
     public String tenant = "";
--- a/src/main/java/yewjunction/charter/Turns.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -1,45 +1,45 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import yewjunction.base.Event;
-import yewjunction.base.Pulse;
-import yewjunction.ledger.Clerk;
-import yewjunction.ledger.Ledger;
+import yewjunction.common.LogEvent;
+import yewjunction.common.AgentContext;
+import yewjunction.raft.TaskExecutor;
+import yewjunction.raft.RaftNode;
 
 /** The operator's changes, one at a time, so that each is checked against the one before. */
-final class Turns {
-    private final Pulse pulse;
-    private final Ledger ledger;
-    private final Supplier<Desk.Answer> elsewhere;
-    private final ArrayDeque<Turn> queue = new ArrayDeque<>();
+final class ChangeQueue {
+    private final AgentContext pulse;
+    private final RaftNode ledger;
+    private final Supplier<OperatorApi.Response> elsewhere;
+    private final ArrayDeque<PendingCall> queue = new ArrayDeque<>();
     private boolean busy;
-    private Clerk reader = (blocking, afterwards) -> {
+    private TaskExecutor reader = (blocking, afterwards) -> {
         blocking.run();
         afterwards.run();
     };
 
-    private record Turn(Runnable reading, Supplier<Verdict> look, Consumer<Desk.Answer> answer, long untilMs, boolean confirmed) {
+    private record PendingCall(Runnable reading, Supplier<CallDecision> look, Consumer<OperatorApi.Response> answer, long untilMs, boolean confirmed) {
     }
 
     /** Elsewhere: what to say where this member does not lead. */
-    Turns(final Pulse pulse, final Ledger ledger, final Supplier<Desk.Answer> elsewhere) {
+    ChangeQueue(final AgentContext pulse, final RaftNode ledger, final Supplier<OperatorApi.Response> elsewhere) {
         this.pulse = pulse;
         this.ledger = ledger;
         this.elsewhere = elsewhere;
     }
 
-    void readBy(final Clerk chosenReader) {
+    void readBy(final TaskExecutor chosenReader) {
         reader = chosenReader;
     }
 
     /** Reading: done beside the owner's thread, in this turn, before the first look; null where nothing is to be read. */
-    void take(final long patienceMs, final Runnable reading, final Supplier<Verdict> look, final Consumer<Desk.Answer> answer) {
-        enter(new Turn(reading, look, answer, pulse.nowMs() + patienceMs, false));
+    void take(final long patienceMs, final Runnable reading, final Supplier<CallDecision> look, final Consumer<OperatorApi.Response> answer) {
+        enter(new PendingCall(reading, look, answer, pulse.nowMs() + patienceMs, false));
     }
 
-    private void enter(final Turn turn) {
+    private void enter(final PendingCall turn) {
         queue.add(turn);
         if (!busy) {
             next();
@@ -57,10 +57,10 @@
     }
 
     /** True when the next one may go on; false while this one is read, or the ledger has its deed. */
-    private boolean over(final Turn turn) {
+    private boolean over(final PendingCall turn) {
         if (pulse.nowMs() > turn.untilMs) {
             // Its caller has been told that there is no answer, and asks again: begun now it would only be in the way.
-            turn.answer.accept(Desk.Answer.unclear("this took too long, ask again"));
+            turn.answer.accept(OperatorApi.Response.unclear("this took too long, ask again"));
             return true;
         }
         if (!ledger.leads()) {
@@ -74,7 +74,7 @@
     }
 
     /** Works beside the owner's thread, then looks: nobody else's turn comes meanwhile. */
-    private boolean beside(final Turn turn, final Runnable work, final boolean worked) {
+    private boolean beside(final PendingCall turn, final Runnable work, final boolean worked) {
         try {
             reader.work(work, () -> {
                 if (looked(turn, worked)) {
@@ -84,18 +84,18 @@
             return false;
         } catch (final OutOfMemoryError defect) {
             // No thread to be had: said so, and the others have their turns.
-            turn.answer.accept(Desk.Answer.unclear("no memory to read this"));
+            turn.answer.accept(OperatorApi.Response.unclear("no memory to read this"));
             return true;
         }
     }
 
-    private boolean looked(final Turn turn, final boolean worked) {
+    private boolean looked(final PendingCall turn, final boolean worked) {
         // Its reading took a while: what is taken now its repeat will know, but only a leader takes it.
         if (!ledger.leads()) {
             turn.answer.accept(elsewhere.get());
             return true;
         }
-        final Verdict verdict;
+        final CallDecision verdict;
         try {
             verdict = turn.look.get();
             if (worked && verdict.beside() != null) {
@@ -103,8 +103,8 @@
             }
         } catch (final RuntimeException defect) {
             // One call that cannot be worked out must not hold up all behind it for good.
-            Event.TURN_DEFECT.warn("an operator's call", defect);
-            turn.answer.accept(Desk.Answer.unclear("this could not be worked out"));
+            LogEvent.TURN_DEFECT.warn("an operator's call", defect);
+            turn.answer.accept(OperatorApi.Response.unclear("this could not be worked out"));
             return true;
         }
         if (verdict.beside() != null && !worked) {
@@ -122,13 +122,13 @@
         return true;
     }
 
-    private boolean proposed(final Turn turn, final Verdict verdict) {
-        final boolean proposed = ledger.propose(Core.bytes(verdict.deed()), done -> {
+    private boolean proposed(final PendingCall turn, final CallDecision verdict) {
+        final boolean proposed = ledger.propose(ControlStateMachine.bytes(verdict.deed()), done -> {
             if (done) {
                 verdict.done().run();
             }
             // Not done is not refused: the next leader may hold it, and its repeat finds out.
-            turn.answer.accept(done ? verdict.answer() : Desk.Answer.unclear("the leader changed, ask again"));
+            turn.answer.accept(done ? verdict.answer() : OperatorApi.Response.unclear("the leader changed, ask again"));
             next();
         });
         if (!proposed) {
@@ -138,9 +138,9 @@
     }
 
     /** Comes as a command of its own: the ledger drops questions before it has let go of its lead. */
-    private void confirmed(final Turn turn, final boolean held) {
+    private void confirmed(final PendingCall turn, final boolean held) {
         if (held) {
-            enter(new Turn(turn.reading, turn.look, turn.answer, turn.untilMs, true));
+            enter(new PendingCall(turn.reading, turn.look, turn.answer, turn.untilMs, true));
         } else {
             turn.answer.accept(elsewhere.get());
         }
--- a/src/main/java/yewjunction/charter/Facts.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.ledger.Ledger;
+import yewjunction.raft.RaftNode;
 
 /** What the core has decided besides the configuration. */
-public final class Facts {
+public final class ClusterState {
     long number;
     long newestReplica;
     List<Replica> replicas = new ArrayList<>();
@@ -17,7 +17,7 @@
     List<String> vaults = new ArrayList<>();
     /** Their zones, in the same order. */
     List<String> vaultZones = new ArrayList<>();
-    List<Retiring> retiring = new ArrayList<>();
+    List<Retirement> retiring = new ArrayList<>();
     private transient Map<String, Replica> byAddress;
 
     static final class Replica {
@@ -27,7 +27,7 @@
     }
 
     /** A store machine that is being emptied. */
-    static final class Retiring {
+    static final class Retirement {
         String node = "";
         String address = "";
         boolean finished;
@@ -37,7 +37,7 @@
     static final class Change {
         long before;
         long index;
-        Deed deed = new Deed();
+        ControlCommand deed = new ControlCommand();
     }
 
     public long number() {
@@ -54,9 +54,9 @@
         return changed;
     }
 
-    private boolean apply(final Deed deed) {
+    private boolean apply(final ControlCommand deed) {
         switch (deed.kind) {
-            case Deed.REPLICA -> {
+            case ControlCommand.REPLICA -> {
                 if (replica(deed.address, deed.life) != 0) {
                     return false;
                 }
@@ -68,27 +68,27 @@
                 replica.life = deed.life;
                 replicas.add(replica);
             }
-            case Deed.REPLICA_GONE -> {
+            case ControlCommand.REPLICA_GONE -> {
                 return replicas.removeIf(replica -> replica.name == deed.name);
             }
-            case Deed.VAULTS -> {
+            case ControlCommand.VAULTS -> {
                 if (!vaults.isEmpty()) {
                     return false;
                 }
                 vaults.addAll(deed.identities);
                 vaultZones.addAll(deed.zones);
             }
-            case Deed.RETIRE -> {
+            case ControlCommand.RETIRE -> {
                 if (retiring(deed.node) != null) {
                     return false;
                 }
-                final Retiring one = new Retiring();
+                final Retirement one = new Retirement();
                 one.node = deed.node;
                 one.address = deed.address;
                 retiring.add(one);
             }
-            case Deed.RETIRED -> {
-                final Retiring one = retiring(deed.node);
+            case ControlCommand.RETIRED -> {
+                final Retirement one = retiring(deed.node);
                 if (one == null || one.finished) {
                     return false;
                 }
@@ -139,7 +139,7 @@
         for (int place = 0; place < vaults.size(); place++) {
             final boolean there = place < vaultZones.size() && vaultZones.get(place).equals(zone);
             if (there == inside) {
-                addresses.add(Ledger.address(vaults.get(place)));
+                addresses.add(RaftNode.address(vaults.get(place)));
             }
         }
         return addresses;
@@ -154,7 +154,7 @@
 
     /** The node at that address when it is being emptied and not yet finished, else null. */
     public String retiringNode(final String address) {
-        for (final Retiring one : retiring) {
+        for (final Retirement one : retiring) {
             if (one.address.equals(address) && !one.finished) {
                 return one.node;
             }
@@ -162,8 +162,8 @@
         return null;
     }
 
-    Retiring retiring(final String node) {
-        for (final Retiring one : retiring) {
+    Retirement retiring(final String node) {
+        for (final Retirement one : retiring) {
             if (one.node.equals(node)) {
                 return one;
             }
--- a/src/main/java/yewjunction/charter/Outlook.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import com.typesafe.config.ConfigRenderOptions;
 import com.typesafe.config.ConfigValueFactory;
@@ -6,20 +6,20 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewjunction.ledger.Ledger;
-import yewjunction.roster.Roster;
-import yewjunction.roster.Peer;
+import yewjunction.raft.RaftNode;
+import yewjunction.membership.MembershipList;
+import yewjunction.membership.Member;
 
 /** How the system looks from one crux, for operators and the doctor. Answered by any crux, from its own tables. */
-final class Outlook {
-    private final Core core;
-    private final Ledger ledger;
-    private final Roster roster;
-    private final Registrar registrar;
-    private final Wards wards;
+final class ClusterStatus {
+    private final ControlStateMachine core;
+    private final RaftNode ledger;
+    private final MembershipList roster;
+    private final NodeRegistry registrar;
+    private final LeasedProcesses wards;
 
-    Outlook(final Core core, final Ledger ledger, final Roster roster, final Registrar registrar,
-            final Wards wards) {
+    ClusterStatus(final ControlStateMachine core, final RaftNode ledger, final MembershipList roster, final NodeRegistry registrar,
+            final LeasedProcesses wards) {
         this.core = core;
         this.ledger = ledger;
         this.roster = roster;
@@ -37,13 +37,13 @@
         page.put("Nodename", roster.self().node);
         page.put("Addr", roster.self().address);
         page.put("Leads", ledger.leads());
-        page.put("Leader", ledger.leader() == null ? "" : Ledger.address(ledger.leader()));
-        page.put("Voters", ledger.voters().stream().map(Ledger::address).toList());
+        page.put("Leader", ledger.leader() == null ? "" : RaftNode.address(ledger.leader()));
+        page.put("Voters", ledger.voters().stream().map(RaftNode::address).toList());
         page.put("Votes", ledger.voters().contains(ledger.identity()));
         page.put("Applied", ledger.applied());
         page.put("Ver", core.version());
         final List<Map<String, Object>> peers = new ArrayList<>();
-        for (final Peer peer : roster.all()) {
+        for (final Member peer : roster.all()) {
             peers.add(Map.of("Nodename", peer.node, "Duty", peer.duty, "Az", peer.zone,
                 "Addr", peer.address, "Up", peer.up(), "Suspect", peer.suspect(), "Ready", peer.ready));
         }
--- a/src/main/java/yewjunction/charter/Charter.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
@@ -15,34 +15,34 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import yewjunction.base.Defect;
-
-import static yewjunction.base.Defect.Code.CONFIG_FIELD;
-import static yewjunction.base.Defect.Code.CONFIG_KEY;
-import static yewjunction.base.Defect.Code.CONFIG_PLACE;
-import static yewjunction.base.Defect.Code.CONFIG_SERVICE;
-import static yewjunction.base.Defect.Code.CONFIG_TIMEOUT;
-import static yewjunction.base.Defect.Code.CONFIG_UNREADABLE;
-import static yewjunction.base.Limits.BORROW_MOST;
-import static yewjunction.base.Limits.REPAY_SHARE;
-import static yewjunction.charter.Fields.items;
-import static yewjunction.charter.Fields.names;
-import static yewjunction.charter.Fields.number;
-import static yewjunction.charter.Fields.text;
+import yewjunction.common.YewjunctionException;
+
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_KEY;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_PLACE;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_SERVICE;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_TIMEOUT;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_UNREADABLE;
+import static yewjunction.common.Limits.BORROW_MOST;
+import static yewjunction.common.Limits.REPAY_SHARE;
+import static yewjunction.control.FieldReader.items;
+import static yewjunction.control.FieldReader.names;
+import static yewjunction.control.FieldReader.number;
+import static yewjunction.control.FieldReader.text;
 
 /** One version of the operator's configuration, checked; all fields are kept as they were sent. */
-public final class Charter {
+public final class Configuration {
     private final Config whole;
     private final long version;
-    private final List<Space> spaces = new ArrayList<>();
+    private final List<Route> spaces = new ArrayList<>();
     private final Map<String, Tenant> tenantsByKey = new HashMap<>();
     private final Map<String, Tenant> tenantsByName = new HashMap<>();
     private int subs = Integer.MAX_VALUE;
 
     /** A space of topics. */
-    public record Space(String name, String host, String prefix, long timeoutMs, long keepMs, boolean open, Set<String> after) {
+    public record Route(String name, String host, String prefix, long timeoutMs, long keepMs, boolean open, Set<String> after) {
         /** Whether a message here comes to no subscriber of both before an earlier one of the other space. */
-        public boolean follows(final Space other) {
+        public boolean follows(final Route other) {
             return after.contains(other.name);
         }
     }
@@ -51,17 +51,17 @@
     public record Tenant(String name, Set<String> keys, double perSecond, double burst, long borrowMax, long repayPpm) {
     }
 
-    private Charter(final Config whole) {
+    private Configuration(final Config whole) {
         this.whole = whole;
         version = number(whole, "Ver", "Ver");
         // A version is a whole number above 0: 0 stands for no configuration at all.
         if (version <= 0) {
-            throw new Defect(CONFIG_FIELD, "Ver: must be above 0");
+            throw new YewjunctionException(CONFIG_FIELD, "Ver: must be above 0");
         }
     }
 
     /** Reads JSON and checks all of it; a defect names the path. */
-    public static Charter read(final String json) {
+    public static Configuration read(final String json) {
         return of(parse(json));
     }
 
@@ -69,13 +69,13 @@
         try {
             return ConfigFactory.parseString(json, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.JSON));
         } catch (final ConfigException defect) {
-            throw new Defect(CONFIG_UNREADABLE, defect.getMessage(), defect);
+            throw new YewjunctionException(CONFIG_UNREADABLE, defect.getMessage(), defect);
         }
     }
 
-    public static Charter of(final Config whole) {
+    public static Configuration of(final Config whole) {
         try {
-            final Charter charter = new Charter(whole);
+            final Configuration charter = new Configuration(whole);
             charter.readSpaces();
             charter.readTenants();
             if (whole.hasPath("Lims.Subs")) {
@@ -83,7 +83,7 @@
             }
             return charter;
         } catch (final ConfigException defect) {
-            throw new Defect(CONFIG_FIELD, defect.getMessage(), defect);
+            throw new YewjunctionException(CONFIG_FIELD, defect.getMessage(), defect);
         }
     }
 
@@ -101,25 +101,25 @@
             final String prefix = text(route, "Pfx", path, true);
             final String service = text(route, "Svc", path, false);
             if (!names.add(name)) {
-                throw new Defect(CONFIG_PLACE, path + ": the name stands twice");
+                throw new YewjunctionException(CONFIG_PLACE, path + ": the name stands twice");
             }
             if (!places.add(host + " " + prefix)) {
-                throw new Defect(CONFIG_PLACE, path + ": another route has the same Host and Pfx");
+                throw new YewjunctionException(CONFIG_PLACE, path + ": another route has the same Host and Pfx");
             }
             if (!service.isEmpty() && !services.contains(service)) {
-                throw new Defect(CONFIG_SERVICE, path + ".Svc: there is no service " + service);
+                throw new YewjunctionException(CONFIG_SERVICE, path + ".Svc: there is no service " + service);
             }
             if (!route.hasPath("TimeoutMs") || route.getDouble("TimeoutMs") <= 0) {
-                throw new Defect(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
+                throw new YewjunctionException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
             }
             final double keepS = route.hasPath("LingerS") ? route.getDouble("LingerS") : 0;
-            spaces.add(new Space(name, host, prefix, (long) route.getDouble("TimeoutMs"), (long) (keepS * 1_000),
+            spaces.add(new Route(name, host, prefix, (long) route.getDouble("TimeoutMs"), (long) (keepS * 1_000),
                 route.hasPath("Public") && route.getBoolean("Public"), Set.copyOf(names(route, "After", path))));
         }
-        for (final Space space : spaces) {
+        for (final Route space : spaces) {
             for (final String earlier : space.after) {
                 if (earlier.equals(space.name) || !names.contains(earlier)) {
-                    throw new Defect(CONFIG_FIELD, "Routes." + space.name + ".After: " + (earlier.equals(space.name)
+                    throw new YewjunctionException(CONFIG_FIELD, "Routes." + space.name + ".After: " + (earlier.equals(space.name)
                         ? "names the route itself" : "there is no route " + earlier));
                 }
             }
@@ -134,11 +134,11 @@
             final Set<String> keys = new HashSet<>(item.hasPath("Apikeys") ? item.getStringList("Apikeys") : List.of());
             final Tenant tenant = tenant(name, keys, item);
             if (tenantsByName.put(name, tenant) != null) {
-                throw new Defect(CONFIG_KEY, "Tenants." + name + ": the name stands twice");
+                throw new YewjunctionException(CONFIG_KEY, "Tenants." + name + ": the name stands twice");
             }
             for (final String key : keys) {
                 if (tenantsByKey.put(key, tenant) != null) {
-                    throw new Defect(CONFIG_KEY, "Tenants." + name + ".Apikeys: another tenant has the same key");
+                    throw new YewjunctionException(CONFIG_KEY, "Tenants." + name + ".Apikeys: another tenant has the same key");
                 }
             }
         }
@@ -150,14 +150,14 @@
         final double borrowMax = number(item, "BorrowMax", path, 0);
         final double repayShare = number(item, "RepayShare", path, REPAY_SHARE);
         if (borrowMax < 0 || borrowMax > BORROW_MOST || borrowMax != Math.rint(borrowMax)) {
-            throw new Defect(CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + BORROW_MOST);
+            throw new YewjunctionException(CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + BORROW_MOST);
         }
         // A share that no millionth is left of would never repay anything.
         if (!(repayShare >= 1e-6 && repayShare <= 1)) {
-            throw new Defect(CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
+            throw new YewjunctionException(CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
         }
         if (borrowMax > 0 && !(rate > 0 && rate <= BORROW_MOST)) {
-            throw new Defect(CONFIG_FIELD, path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + BORROW_MOST);
+            throw new YewjunctionException(CONFIG_FIELD, path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + BORROW_MOST);
         }
         return new Tenant(name, keys, rate, item.hasPath("Burst") ? item.getDouble("Burst") : 0, (long) borrowMax,
             Math.round(repayShare * 1e6));
@@ -167,8 +167,8 @@
         return version;
     }
 
-    public Space space(final String topic) {
-        for (final Space space : spaces) {
+    public Route space(final String topic) {
+        for (final Route space : spaces) {
             if (space.host.isEmpty() && topic.startsWith(space.prefix)) {
                 return space;
             }
@@ -188,7 +188,7 @@
         return Collections.unmodifiableCollection(tenantsByName.values());
     }
 
-    public Collection<Space> spaces() {
+    public Collection<Route> spaces() {
         return Collections.unmodifiableCollection(spaces);
     }
 
@@ -207,7 +207,7 @@
     /** The same for two configurations that mean the same to whoever serves by them, in whatever order they say it. */
     long digest() {
         long sum = version * 31 + subs;
-        for (final Space space : spaces) {
+        for (final Route space : spaces) {
             // Spelt out: the order in which a set lists its names differs from process to process.
             sum += (space.name + " " + space.host + " " + space.prefix + " " + space.timeoutMs + " " + space.keepMs + " " + space.open
                 + new TreeSet<>(space.after)).hashCode() * 0x9e3779b97f4a7c15L;
@@ -225,6 +225,6 @@
 
     /** What an update makes of this configuration: named items replaced, added or removed. */
     Config updated(final Config update) {
-        return Patches.applied(whole, update);
+        return ConfigurationPatches.applied(whole, update);
     }
 }
--- a/src/main/java/yewjunction/charter/Order.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
@@ -6,17 +6,17 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
-import static yewjunction.base.Defect.Code.CONFIG_FIELD;
-import static yewjunction.base.Defect.Code.CONFIG_UNREADABLE;
-import static yewjunction.base.Defect.Code.CONFIG_VERSION;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_UNREADABLE;
+import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_VERSION;
 
 /**
  * A change of the configuration as it was sent, and what can be said of it whatever version is current. It is read by
  * one thread at a time and handed on through queues; between two looks at it only its text is kept.
  */
-final class Order {
+final class ConfigurationChange {
     private final String shape;
     private final byte[] body;
     final long base;
@@ -25,14 +25,14 @@
     private String digest;
     private Config sent;
     /** What it makes of any base; null for an update, whose outcome its base decides. */
-    private Charter replacement;
+    private Configuration replacement;
     /** Why it can be valid on no base at all, null where it can. */
-    private Defect defect;
+    private YewjunctionException defect;
     private boolean prepared;
-    private Deed deed;
-    private Charter next;
+    private ControlCommand deed;
+    private Configuration next;
 
-    Order(final String shape, final String base, final byte[] body) {
+    ConfigurationChange(final String shape, final String base, final byte[] body) {
         this.shape = shape;
         this.base = Long.parseLong(base.trim());
         this.body = body;
@@ -51,17 +51,17 @@
     /** Takes long for a large one, and no table: done on a thread beside the owner's. */
     void read() {
         try {
-            sent = Charter.parse(new String(body, StandardCharsets.UTF_8));
+            sent = Configuration.parse(new String(body, StandardCharsets.UTF_8));
             version = sent.hasPath("Ver") ? sent.getLong("Ver") : 0;
-            digest = digest(shape + " " + base + " " + Charter.render(sent));
+            digest = digest(shape + " " + base + " " + Configuration.render(sent));
             check();
-        } catch (final Defect found) {
+        } catch (final YewjunctionException found) {
             defect = found;
         } catch (final ConfigException found) {
-            defect = new Defect(CONFIG_FIELD, found.getMessage(), found);
+            defect = new YewjunctionException(CONFIG_FIELD, found.getMessage(), found);
         } catch (final StackOverflowError found) {
             // The reader calls itself for each level: a text that only opens brackets ends its stack, and nothing else.
-            defect = new Defect(CONFIG_UNREADABLE, "nested too deeply", found);
+            defect = new YewjunctionException(CONFIG_UNREADABLE, "nested too deeply", found);
         }
     }
 
@@ -85,9 +85,9 @@
 
     private void check() {
         if (shape.equals("config replace")) {
-            replacement = Charter.of(sent);
+            replacement = Configuration.of(sent);
         } else if (!sent.hasPath("Ver")) {
-            throw new Defect(CONFIG_FIELD, "Ver: is missing");
+            throw new YewjunctionException(CONFIG_FIELD, "Ver: is missing");
         }
     }
 
@@ -96,7 +96,7 @@
         return version > base;
     }
 
-    Defect defect() {
+    YewjunctionException defect() {
         return defect;
     }
 
@@ -104,35 +104,35 @@
      * What is to be agreed on, worked out on a base that is current, beside the owner's thread: a base's text never
      * changes, so neither does this, nor a defect found here.
      */
-    void prepare(final Charter current) {
+    void prepare(final Configuration current) {
         prepared = true;
         if (sent == null) {
             read();
         }
         try {
             next = on(current);
-            final Deed made = new Deed(Deed.CONFIG);
+            final ControlCommand made = new ControlCommand(ControlCommand.CONFIG);
             made.base = base;
             made.digest = digest;
             made.json = next.json();
             made.version = next.version();
-            Patches.add(made, current, next);
+            ConfigurationPatches.add(made, current, next);
             deed = made;
-        } catch (final Defect found) {
+        } catch (final YewjunctionException found) {
             defect = found;
         } catch (final ConfigException found) {
-            defect = new Defect(CONFIG_FIELD, found.getMessage(), found);
+            defect = new YewjunctionException(CONFIG_FIELD, found.getMessage(), found);
         }
     }
 
-    private Charter on(final Charter current) {
+    private Configuration on(final Configuration current) {
         if (!rises()) {
-            throw new Defect(CONFIG_VERSION, "Ver: must be above " + base);
+            throw new YewjunctionException(CONFIG_VERSION, "Ver: must be above " + base);
         }
         if (replacement == null && current == null) {
-            throw new Defect(CONFIG_VERSION, "there is no configuration to update");
+            throw new YewjunctionException(CONFIG_VERSION, "there is no configuration to update");
         }
-        return replacement != null ? replacement : Charter.of(current.updated(sent));
+        return replacement != null ? replacement : Configuration.of(current.updated(sent));
     }
 
     boolean prepared() {
@@ -140,12 +140,12 @@
     }
 
     /** Null until it is prepared, or where it has a defect. */
-    Deed deed() {
+    ControlCommand deed() {
         return deed;
     }
 
     /** What its base becomes by it. */
-    Charter next() {
+    Configuration next() {
         return next;
     }
 
--- a/src/main/java/yewjunction/charter/Patches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
@@ -13,28 +13,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
-import static yewjunction.charter.Fields.items;
-import static yewjunction.charter.Fields.text;
+import static yewjunction.control.FieldReader.items;
+import static yewjunction.control.FieldReader.text;
 
 /** What an update makes of a configuration, and which update makes one of another. */
-final class Patches {
-    private Patches() {
+final class ConfigurationPatches {
+    private ConfigurationPatches() {
     }
 
     /** Adds the patch to the deed where there is one that leads to exactly the same. */
-    static void add(final Deed deed, final Charter before, final Charter after) {
+    static void add(final ControlCommand deed, final Configuration before, final Configuration after) {
         if (before == null) {
             return;
         }
         try {
             final String patch = between(before.whole(), after.whole());
-            if (patch != null && Charter.of(before.updated(Charter.parse(patch))).digest() == after.digest()) {
+            if (patch != null && Configuration.of(before.updated(Configuration.parse(patch))).digest() == after.digest()) {
                 deed.patch = patch;
                 deed.patchDigest = after.digest();
             }
-        } catch (final ConfigException | Defect defect) {
+        } catch (final ConfigException | YewjunctionException defect) {
             // Without a patch all are told the whole: never a reason to deny what was checked already.
             deed.patch = null;
         }
@@ -74,7 +74,7 @@
                 patch = patch.withValue("Del." + list, ConfigValueFactory.fromIterable(known.keySet()));
             }
         }
-        return Charter.render(patch);
+        return Configuration.render(patch);
     }
 
     private static Map<String, ConfigValue> byName(final Config from, final String list) {
--- a/src/main/java/yewjunction/charter/Deed.java
+++ b/src/main/java/yewjunction/control/ControlCommand.java
@@ -1,10 +1,10 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** One entry of the core's ledger. */
-final class Deed {
+final class ControlCommand {
     static final int CONFIG = 1;
     static final int REPLICA = 2;
     static final int REPLICA_GONE = 3;
@@ -31,10 +31,10 @@
     String patch;
     long patchDigest;
 
-    Deed() {
+    ControlCommand() {
     }
 
-    Deed(final int kind) {
+    ControlCommand(final int kind) {
         this.kind = kind;
     }
 }
--- a/src/main/java/yewjunction/charter/Crux.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -1,44 +1,44 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.ledger.Clerk;
-import yewjunction.ledger.Disk;
-import yewjunction.ledger.Ledger;
-import yewjunction.ledger.Seating;
-import yewjunction.roster.Roster;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.raft.TaskExecutor;
+import yewjunction.raft.Disk;
+import yewjunction.raft.RaftNode;
+import yewjunction.raft.VoterPlacement;
+import yewjunction.membership.MembershipList;
 import yewjunction.settings.Settings;
 
 /** One member of the core: its ledger, leases, registrations and the operator's desk. */
-public final class Crux implements Core.Watcher {
+public final class ControlService implements ControlStateMachine.Listener {
     /** Group number of the core's ledger. */
     public static final int GROUP = 0;
-    private final Pulse pulse;
-    private final Ledger ledger;
-    private final Roster roster;
-    private final Lessor lessor;
-    private final Desk desk;
+    private final AgentContext pulse;
+    private final RaftNode ledger;
+    private final MembershipList roster;
+    private final LeaseServer lessor;
+    private final OperatorApi desk;
     private final String ownAddress;
     /** Without a disk of its own it only serves: what it promised would end with its process. */
     private final boolean votes;
 
-    public Crux(final Pulse pulse, final Post post, final Disk disk, final Clerk clerk, final Roster roster,
+    public ControlService(final AgentContext pulse, final PeerTransport post, final Disk disk, final TaskExecutor clerk, final MembershipList roster,
             final String ownAddress, final Settings settings) {
         this.pulse = pulse;
         this.roster = roster;
         this.ownAddress = ownAddress;
         votes = !settings.dataFolder().isEmpty();
-        final Core core = new Core(this);
-        ledger = new Ledger(GROUP, pulse, post, disk, clerk, "charter", core);
+        final ControlStateMachine core = new ControlStateMachine(this);
+        ledger = new RaftNode(GROUP, pulse, post, disk, clerk, "charter", core);
         ledger.listen();
-        ledger.electorate().seat(new Seating(settings.votersNeeded(), Set::of, roster::zoneAt));
-        final Registrar registrar = new Registrar(pulse, post, core, ledger, roster, settings.votersNeeded());
-        final Wards wards = new Wards(pulse);
-        lessor = new Lessor(pulse, post, core, ledger, registrar, wards, roster.self().life);
-        desk = new Desk(pulse, core, ledger, registrar, new Outlook(core, ledger, roster, registrar, wards));
+        ledger.electorate().seat(new VoterPlacement(settings.votersNeeded(), Set::of, roster::zoneAt));
+        final NodeRegistry registrar = new NodeRegistry(pulse, post, core, ledger, roster, settings.votersNeeded());
+        final LeasedProcesses wards = new LeasedProcesses(pulse);
+        lessor = new LeaseServer(pulse, post, core, ledger, registrar, wards, roster.self().life);
+        desk = new OperatorApi(pulse, core, ledger, registrar, new ClusterStatus(core, ledger, roster, registrar, wards));
     }
 
     /** With an empty disk: a founder takes its place among the seeds, any other joins under a new name. */
@@ -59,11 +59,11 @@
             .filter(address -> !address.equals(ownAddress)).toList();
     }
 
-    public Desk desk() {
+    public OperatorApi desk() {
         return desk;
     }
 
-    public Ledger ledger() {
+    public RaftNode ledger() {
         return ledger;
     }
 
--- a/src/main/java/yewjunction/charter/Core.java
+++ b/src/main/java/yewjunction/control/ControlStateMachine.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -6,36 +6,36 @@
 import io.protostuff.runtime.RuntimeSchema;
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Event;
-import yewjunction.ledger.Machine;
+import yewjunction.common.LogEvent;
+import yewjunction.raft.StateMachine;
 
-import static yewjunction.base.Limits.TAKEN_VERSIONS;
+import static yewjunction.common.Limits.TAKEN_VERSIONS;
 
 /** The state that the core's ledger drives; the same on every crux. */
-final class Core implements Machine {
-    private static final Schema<Deed> DEEDS = RuntimeSchema.getSchema(Deed.class);
-    private static final Schema<Image> IMAGES = RuntimeSchema.getSchema(Image.class);
-    private Image image = new Image();
-    private Charter current;
-    private final News news = new News();
-    private final Watcher watcher;
+final class ControlStateMachine implements StateMachine {
+    private static final Schema<ControlCommand> DEEDS = RuntimeSchema.getSchema(ControlCommand.class);
+    private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
+    private Snapshot image = new Snapshot();
+    private Configuration current;
+    private final RecentChanges news = new RecentChanges();
+    private final Listener watcher;
 
     /** All of the state, as a snapshot holds it. */
-    static final class Image {
+    static final class Snapshot {
         String json;
         long version;
-        List<Taken> taken = new ArrayList<>();
-        Facts facts = new Facts();
+        List<AcceptedChange> taken = new ArrayList<>();
+        ClusterState facts = new ClusterState();
     }
 
     /** A request that was taken, so that its exact repeat is known. */
-    static final class Taken {
+    static final class AcceptedChange {
         long version;
         String digest = "";
     }
 
     /** Told what changed here. */
-    interface Watcher {
+    interface Listener {
         void configChanged();
 
         void factsChanged();
@@ -45,11 +45,11 @@
         void leaderIs(String identity, boolean self);
     }
 
-    Core(final Watcher watcher) {
+    ControlStateMachine(final Listener watcher) {
         this.watcher = watcher;
     }
 
-    static byte[] bytes(final Deed deed) {
+    static byte[] bytes(final ControlCommand deed) {
         return ProtostuffIOUtil.toByteArray(deed, DEEDS, LinkedBuffer.allocate(512));
     }
 
@@ -63,31 +63,31 @@
     }
 
     /** Read only when a change builds on it: after a loss of power every moment of a crux's start is service lost. */
-    Charter current() {
+    Configuration current() {
         if (current == null && image.json != null) {
-            current = Charter.read(image.json);
+            current = Configuration.read(image.json);
         }
         return current;
     }
 
     /** The configuration where it was read already, else null. */
-    Charter parsed() {
+    Configuration parsed() {
         return current;
     }
 
     /** Whoever made the newest version has it read already. */
-    void adopt(final Charter made) {
+    void adopt(final Configuration made) {
         if (made.version() == image.version) {
             current = made;
         }
     }
 
     /** What changed lately, for those that know what was before. */
-    News news() {
+    RecentChanges news() {
         return news;
     }
 
-    Facts facts() {
+    ClusterState facts() {
         return image.facts;
     }
 
@@ -102,12 +102,12 @@
 
     @Override
     public void apply(final long index, final byte[] data) {
-        final Deed deed = DEEDS.newMessage();
+        final ControlCommand deed = DEEDS.newMessage();
         ProtostuffIOUtil.mergeFrom(data, deed, DEEDS);
-        if (deed.kind == Deed.CONFIG) {
+        if (deed.kind == ControlCommand.CONFIG) {
             config(deed);
         } else {
-            final Facts.Change change = new Facts.Change();
+            final ClusterState.Change change = new ClusterState.Change();
             change.before = image.facts.number;
             change.index = index;
             change.deed = deed;
@@ -119,7 +119,7 @@
         }
     }
 
-    private void config(final Deed deed) {
+    private void config(final ControlCommand deed) {
         // Invariant: versions only rise, each on top of the one it names. The text was checked before it came here.
         if (deed.base != image.version || deed.version <= image.version) {
             throw new IllegalStateException("version " + deed.version + " on " + deed.base + " after " + image.version);
@@ -128,24 +128,24 @@
         news.changed(deed);
         image.json = deed.json;
         image.version = deed.version;
-        final Taken taken = new Taken();
+        final AcceptedChange taken = new AcceptedChange();
         taken.version = deed.version;
         taken.digest = deed.digest;
         image.taken.add(taken);
         if (image.taken.size() > TAKEN_VERSIONS) {
             image.taken.remove(0);
         }
-        Event.CONFIG_TAKEN.info("version " + deed.version);
+        LogEvent.CONFIG_TAKEN.info("version " + deed.version);
         watcher.configChanged();
     }
 
-    private void told(final Deed deed) {
+    private void told(final ControlCommand deed) {
         switch (deed.kind) {
-            case Deed.REPLICA -> Event.REPLICA_GIVEN.info(image.facts.newestReplica + " to " + deed.node);
-            case Deed.REPLICA_GONE -> Event.REPLICA_RETIRED.info(String.valueOf(deed.name));
-            case Deed.VAULTS -> Event.VAULTS_CHOSEN.info(String.valueOf(deed.identities));
-            case Deed.RETIRE -> Event.MACHINE_RETIRING.info(deed.node);
-            default -> Event.MACHINE_RETIRED.info(deed.node);
+            case ControlCommand.REPLICA -> LogEvent.REPLICA_GIVEN.info(image.facts.newestReplica + " to " + deed.node);
+            case ControlCommand.REPLICA_GONE -> LogEvent.REPLICA_RETIRED.info(String.valueOf(deed.name));
+            case ControlCommand.VAULTS -> LogEvent.VAULTS_CHOSEN.info(String.valueOf(deed.identities));
+            case ControlCommand.RETIRE -> LogEvent.MACHINE_RETIRING.info(deed.node);
+            default -> LogEvent.MACHINE_RETIRED.info(deed.node);
         }
     }
 
@@ -156,11 +156,11 @@
 
     @Override
     public void restore(final long index, final byte[] state) {
-        final Image restored = IMAGES.newMessage();
+        final Snapshot restored = IMAGES.newMessage();
         ProtostuffIOUtil.mergeFrom(state, restored, IMAGES);
         image = restored;
         if (image.facts == null) {
-            image.facts = new Facts();
+            image.facts = new ClusterState();
         }
         current = null;
         news.forget();
--- a/src/main/java/yewjunction/charter/Tenure.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -1,68 +1,68 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import yewjunction.base.Event;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.base.Questions;
-import yewjunction.charter.Letters.Lease;
-import yewjunction.charter.Letters.Renew;
-import yewjunction.charter.Letters.Who;
-
-import static yewjunction.base.Limits.LEASE_ANSWER_MS;
-import static yewjunction.base.Limits.LEASE_FIRST_MS;
-import static yewjunction.base.Limits.LEASE_MS;
-import static yewjunction.base.Limits.LEASE_PACE_MS;
-import static yewjunction.base.Limits.LEASE_RETURN;
+import yewjunction.common.LogEvent;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.common.PendingRequests;
+import yewjunction.control.LeaseMessages.LeaseResponse;
+import yewjunction.control.LeaseMessages.LeaseRequest;
+import yewjunction.control.LeaseMessages.ProcessReport;
+
+import static yewjunction.common.Limits.LEASE_ANSWER_MS;
+import static yewjunction.common.Limits.LEASE_FIRST_MS;
+import static yewjunction.common.Limits.LEASE_MS;
+import static yewjunction.common.Limits.LEASE_PACE_MS;
+import static yewjunction.common.Limits.LEASE_RETURN;
 
 /** A tide's or vault's hold on the configuration: renewed from a home crux, lapsed when no majority stands behind it. */
-public final class Tenure {
-    private final Pulse pulse;
-    private final Post post;
-    private final Who who = new Who();
+public final class LeaseClient {
+    private final AgentContext pulse;
+    private final PeerTransport post;
+    private final ProcessReport who = new ProcessReport();
     private final Supplier<List<String>> homes;
-    private final Watcher watcher;
+    private final Listener watcher;
     private Runnable report = () -> { };
-    private Charter charter;
-    private Facts facts = new Facts();
+    private Configuration charter;
+    private ClusterState facts = new ClusterState();
     private long leaseEndMs = Long.MIN_VALUE;
     private boolean held;
     private int attempt;
     private int good;
-    private Questions<Link, Asked> questions;
+    private PendingRequests<PeerConnection, PendingRenewal> questions;
     /** Nobody has answered since the newest question. */
     private boolean silent;
 
     /** When a lease was asked for, and at which turn through the homes. */
-    private record Asked(long atMs, int attempt) {
+    private record PendingRenewal(long atMs, int attempt) {
     }
 
     /** Told of what changed. */
-    public interface Watcher {
-        void configChanged(Charter charter);
+    public interface Listener {
+        void configChanged(Configuration charter);
 
-        void factsChanged(Facts facts);
+        void factsChanged(ClusterState facts);
     }
 
     /** Homes: addresses of cruxes, the nearest first. */
-    public Tenure(final Pulse pulse, final Post post, final Supplier<List<String>> homes, final Watcher watcher) {
+    public LeaseClient(final AgentContext pulse, final PeerTransport post, final Supplier<List<String>> homes, final Listener watcher) {
         this.pulse = pulse;
         this.post = post;
         this.homes = homes;
         this.watcher = watcher;
-        post.on(Lease.class, this::leased);
+        post.on(LeaseResponse.class, this::leased);
     }
 
-    public Tenure named(final String address, final String node, final String zone, final String duty, final long life) {
+    public LeaseClient named(final String address, final String node, final String zone, final String duty, final long life) {
         who.address = address;
         who.node = node;
         who.zone = zone;
         who.duty = duty;
         who.life = life;
-        questions = new Questions<>(life);
+        questions = new PendingRequests<>(life);
         return this;
     }
 
@@ -98,12 +98,12 @@
     }
 
     /** What tenants that borrow ahead hold and owe at this vault. */
-    public void balances(final List<Balance> balances) {
+    public void balances(final List<AccountBalance> balances) {
         who.balances = balances;
     }
 
     /** Breaks of the declared order that this edge met. */
-    public void disorders(final List<Disorder> disorders) {
+    public void disorders(final List<OrderViolations> disorders) {
         who.disorders = disorders;
     }
 
@@ -131,26 +131,26 @@
             who.held = held();
             final Runtime runtime = Runtime.getRuntime();
             who.memoryPct = (int) (100 * (runtime.totalMemory() - runtime.freeMemory()) / runtime.maxMemory());
-            final Renew renew = new Renew();
+            final LeaseRequest renew = new LeaseRequest();
             renew.version = version();
             renew.factsNumber = facts.number;
             renew.who = who;
-            final Link link = post.dial(known.get(attempt % known.size()));
+            final PeerConnection link = post.dial(known.get(attempt % known.size()));
             final long nowMs = pulse.nowMs();
             // Whose lease would have ended by now.
             questions.drop(asked -> nowMs - asked.atMs >= LEASE_MS);
-            renew.request = questions.ask(link, new Asked(nowMs, attempt));
+            renew.request = questions.ask(link, new PendingRenewal(nowMs, attempt));
             silent = true;
             link.send(renew);
         }
         pulse.after(charter == null ? LEASE_FIRST_MS : pauseMs, this::renew);
         if (held && !held()) {
             held = false;
-            Event.LEASE_LAPSED.warn("version " + version());
+            LogEvent.LEASE_LAPSED.warn("version " + version());
         }
     }
 
-    private void leased(final Link link, final Lease lease) {
+    private void leased(final PeerConnection link, final LeaseResponse lease) {
         final long factsBefore = facts.number;
         if (lease.facts != null && lease.facts.number > facts.number) {
             facts = lease.facts;
@@ -161,17 +161,17 @@
             watcher.factsChanged(facts);
         }
         // A version never goes backwards in one life of a process.
-        final Charter before = charter;
+        final Configuration before = charter;
         if (lease.json != null && lease.version > version()) {
-            charter = Charter.read(lease.json);
+            charter = Configuration.read(lease.json);
         }
         lease.patches.stream().filter(patch -> patch.base == version()).forEach(this::patched);
         if (charter != before) {
-            Event.CONFIG_APPLIED.info("version " + charter.version());
+            LogEvent.CONFIG_APPLIED.info("version " + charter.version());
             watcher.configChanged(charter);
         }
         // The lease counts only with the version it stands for.
-        final Asked asked = lease.held && lease.version <= version() ? questions.answered(lease.request, link) : null;
+        final PendingRenewal asked = lease.held && lease.version <= version() ? questions.answered(lease.request, link) : null;
         if (asked != null) {
             silent = false;
             // Whoever answers is asked again, though another was asked meanwhile: that one is yet to be heard.
@@ -179,18 +179,18 @@
             leaseEndMs = Math.max(leaseEndMs, asked.atMs + LEASE_MS);
             if (!held && held()) {
                 held = true;
-                Event.LEASE_HELD.info("version " + version());
+                LogEvent.LEASE_HELD.info("version " + version());
             }
         }
     }
 
-    private void patched(final News.Patch patch) {
-        final Charter changed = Charter.of(charter.updated(Charter.parse(patch.json)));
+    private void patched(final RecentChanges.VersionPatch patch) {
+        final Configuration changed = Configuration.of(charter.updated(Configuration.parse(patch.json)));
         // Nothing is used that is not exactly what the core holds; without it the version stays, and the whole is sent.
         if (changed.digest() == patch.digest) {
             charter = changed;
         } else {
-            Event.PATCH_BAD.warn("version " + patch.version + " on " + patch.base);
+            LogEvent.PATCH_BAD.warn("version " + patch.version + " on " + patch.base);
         }
     }
 
@@ -199,11 +199,11 @@
     }
 
     /** The configuration in force here, null before the first. */
-    public Charter charter() {
+    public Configuration charter() {
         return charter;
     }
 
-    public Facts facts() {
+    public ClusterState facts() {
         return facts;
     }
 
--- a/src/main/java/yewjunction/charter/Letters.java
+++ b/src/main/java/yewjunction/control/LeaseMessages.java
@@ -1,30 +1,30 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Codec;
+import yewjunction.common.MessageCodec;
 
 /** What tides, vaults and cruxes say to one another about configuration and leases. */
-public final class Letters {
-    private Letters() {
+public final class LeaseMessages {
+    private LeaseMessages() {
     }
 
-    public static void know(final Codec codec) {
-        codec.know(50, Renew.class).know(51, Lease.class).know(52, Confirm.class).know(53, Confirmed.class)
-            .know(54, Enlist.class);
+    public static void know(final MessageCodec codec) {
+        codec.know(50, LeaseRequest.class).know(51, LeaseResponse.class).know(52, ConfirmLeadershipRequest.class).know(53, ConfirmLeadershipResponse.class)
+            .know(54, RegisterRequest.class);
     }
 
     /** Asks a home for a lease, says what is known already, and names this process. */
-    static final class Renew {
+    static final class LeaseRequest {
         /** Stands for the asker's life and the moment it asked, which it keeps for itself. */
         long request;
         long version;
         long factsNumber;
-        Who who = new Who();
+        ProcessReport who = new ProcessReport();
     }
 
     /** Who asks: a tide that needs a replica name, or a vault. */
-    static final class Who {
+    static final class ProcessReport {
         String address = "";
         String node = "";
         String zone = "";
@@ -46,13 +46,13 @@
         /** Nodes that hold no duty any more, told by the vault group's leader. */
         List<String> emptied = new ArrayList<>();
         /** What tenants that borrow ahead hold and owe at a vault. */
-        List<Balance> balances = new ArrayList<>();
+        List<AccountBalance> balances = new ArrayList<>();
         /** Breaks of the declared order that an edge met since its start. */
-        List<Disorder> disorders = new ArrayList<>();
+        List<OrderViolations> disorders = new ArrayList<>();
     }
 
     /** A lease when held is set, else only news. */
-    static final class Lease {
+    static final class LeaseResponse {
         boolean held;
         /** The renewal that it answers. */
         long request;
@@ -60,25 +60,25 @@
         /** The configuration, when newer than what the asker has. */
         String json;
         /** The facts, when newer. */
-        Facts facts;
+        ClusterState facts;
         /** In their place, to an asker that knows what was before: the changes since, in order. */
-        List<News.Patch> patches = new ArrayList<>();
-        List<Facts.Change> changes = new ArrayList<>();
+        List<RecentChanges.VersionPatch> patches = new ArrayList<>();
+        List<ClusterState.Change> changes = new ArrayList<>();
     }
 
     /** A home asks the leader to confirm its leadership with a majority. */
-    static final class Confirm {
+    static final class ConfirmLeadershipRequest {
         long number;
     }
 
-    static final class Confirmed {
+    static final class ConfirmLeadershipResponse {
         long number;
         boolean held;
         long commit;
     }
 
     /** A home tells the leader of a process that needs a name, or of a vault. */
-    static final class Enlist {
-        Who who = new Who();
+    static final class RegisterRequest {
+        ProcessReport who = new ProcessReport();
     }
 }
--- a/src/main/java/yewjunction/charter/Lessor.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,76 +6,76 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.base.Questions;
-import yewjunction.charter.Letters.Confirm;
-import yewjunction.charter.Letters.Confirmed;
-import yewjunction.charter.Letters.Lease;
-import yewjunction.charter.Letters.Renew;
-import yewjunction.ledger.Ledger;
-
-import static yewjunction.base.Limits.FACTS_BATCH_MS;
-import static yewjunction.base.Limits.LEASE_ANSWER_MS;
-import static yewjunction.base.Limits.LEASE_BATCH_MS;
-import static yewjunction.base.Limits.LEASE_MS;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.common.PendingRequests;
+import yewjunction.control.LeaseMessages.ConfirmLeadershipRequest;
+import yewjunction.control.LeaseMessages.ConfirmLeadershipResponse;
+import yewjunction.control.LeaseMessages.LeaseResponse;
+import yewjunction.control.LeaseMessages.LeaseRequest;
+import yewjunction.raft.RaftNode;
+
+import static yewjunction.common.Limits.FACTS_BATCH_MS;
+import static yewjunction.common.Limits.LEASE_ANSWER_MS;
+import static yewjunction.common.Limits.LEASE_BATCH_MS;
+import static yewjunction.common.Limits.LEASE_MS;
 
 /** Home for the tides and vaults of a zone: leases on the leader's confirmed word, and news at once. */
-final class Lessor {
-    private final Pulse pulse;
-    private final Post post;
-    private final Core core;
-    private final Ledger ledger;
-    private final Registrar registrar;
-    private final Wards wards;
-    private final Map<Link, Told> subscribers = new LinkedHashMap<>();
-    private List<Asked> waiting = new ArrayList<>();
+final class LeaseServer {
+    private final AgentContext pulse;
+    private final PeerTransport post;
+    private final ControlStateMachine core;
+    private final RaftNode ledger;
+    private final NodeRegistry registrar;
+    private final LeasedProcesses wards;
+    private final Map<PeerConnection, SubscriberState> subscribers = new LinkedHashMap<>();
+    private List<PendingRenewal> waiting = new ArrayList<>();
     /** To the leader: one at a time. */
-    private final Questions<Link, List<Asked>> questions;
-    private final List<Proven> proven = new ArrayList<>();
-    private final Set<Link> unnamed = new HashSet<>();
+    private final PendingRequests<PeerConnection, List<PendingRenewal>> questions;
+    private final List<ConfirmedBatch> proven = new ArrayList<>();
+    private final Set<PeerConnection> unnamed = new HashSet<>();
     private long askedMs;
     private boolean telling;
     private boolean tellingFacts;
     private boolean batching;
 
-    private record Asked(Link link, Renew renew, long atMs) {
+    private record PendingRenewal(PeerConnection link, LeaseRequest renew, long atMs) {
     }
 
     /** What a process has been told on its link. Links lose nothing, so nothing is told twice on one. */
-    private static final class Told {
-        Renew renew;
+    private static final class SubscriberState {
+        LeaseRequest renew;
         long version;
         long factsNumber;
         long toldMs;
     }
 
     /** Confirmed up to a commit that this home may not have applied yet. */
-    private record Proven(long commit, List<Asked> asked) {
+    private record ConfirmedBatch(long commit, List<PendingRenewal> asked) {
     }
 
-    Lessor(final Pulse pulse, final Post post, final Core core, final Ledger ledger, final Registrar registrar,
-            final Wards wards, final long life) {
+    LeaseServer(final AgentContext pulse, final PeerTransport post, final ControlStateMachine core, final RaftNode ledger, final NodeRegistry registrar,
+            final LeasedProcesses wards, final long life) {
         this.pulse = pulse;
         this.post = post;
         this.core = core;
         this.ledger = ledger;
         this.registrar = registrar;
         this.wards = wards;
-        questions = new Questions<>(life);
-        post.on(Renew.class, this::renew);
-        post.on(Confirm.class, this::confirm);
-        post.on(Confirmed.class, this::confirmed);
+        questions = new PendingRequests<>(life);
+        post.on(LeaseRequest.class, this::renew);
+        post.on(ConfirmLeadershipRequest.class, this::confirm);
+        post.on(ConfirmLeadershipResponse.class, this::confirmed);
         post.onClose(link -> {
             subscribers.remove(link);
             unnamed.remove(link);
         });
     }
 
-    private void renew(final Link link, final Renew renew) {
+    private void renew(final PeerConnection link, final LeaseRequest renew) {
         final long nowMs = pulse.nowMs();
-        final Told told = subscribers.computeIfAbsent(link, key -> new Told());
+        final SubscriberState told = subscribers.computeIfAbsent(link, key -> new SubscriberState());
         told.renew = renew;
         // Less than it was told some time ago: it could not take that, and gets the whole.
         final boolean old = nowMs - told.toldMs > 2 * LEASE_MS;
@@ -88,7 +88,7 @@
         }
         // The newest question of an asker stands for its earlier ones.
         waiting.removeIf(asked -> asked.link == link);
-        waiting.add(new Asked(link, renew, nowMs));
+        waiting.add(new PendingRenewal(link, renew, nowMs));
         ask();
     }
 
@@ -111,7 +111,7 @@
             return;
         }
         if (ledger.leads()) {
-            final List<Asked> asked = waiting;
+            final List<PendingRenewal> asked = waiting;
             waiting = new ArrayList<>();
             askedMs = nowMs;
             ledger.confirm(held -> {
@@ -120,8 +120,8 @@
                 }
             });
         } else if (ledger.leader() != null && !ledger.leader().equals(ledger.identity())) {
-            final Link link = post.dial(Ledger.address(ledger.leader()));
-            final Confirm confirm = new Confirm();
+            final PeerConnection link = post.dial(RaftNode.address(ledger.leader()));
+            final ConfirmLeadershipRequest confirm = new ConfirmLeadershipRequest();
             questions.dropAll();
             confirm.number = questions.ask(link, waiting);
             waiting = new ArrayList<>();
@@ -141,9 +141,9 @@
         ask();
     }
 
-    private void confirm(final Link link, final Confirm confirm) {
+    private void confirm(final PeerConnection link, final ConfirmLeadershipRequest confirm) {
         ledger.confirm(held -> {
-            final Confirmed confirmed = new Confirmed();
+            final ConfirmLeadershipResponse confirmed = new ConfirmLeadershipResponse();
             confirmed.number = confirm.number;
             confirmed.held = held;
             confirmed.commit = ledger.commit();
@@ -151,13 +151,13 @@
         });
     }
 
-    private void confirmed(final Link link, final Confirmed confirmed) {
-        final List<Asked> asked = questions.answered(confirmed.number, link);
+    private void confirmed(final PeerConnection link, final ConfirmLeadershipResponse confirmed) {
+        final List<PendingRenewal> asked = questions.answered(confirmed.number, link);
         if (asked == null) {
             return;
         }
         if (confirmed.held) {
-            proven.add(new Proven(confirmed.commit, asked));
+            proven.add(new ConfirmedBatch(confirmed.commit, asked));
             settled();
         }
         ask();
@@ -165,7 +165,7 @@
 
     /** Grants what was proven once this home has applied as much. */
     void settled() {
-        for (final Proven one : List.copyOf(proven)) {
+        for (final ConfirmedBatch one : List.copyOf(proven)) {
             if (ledger.applied() >= one.commit) {
                 proven.remove(one);
                 one.asked.forEach(this::grant);
@@ -173,29 +173,29 @@
         }
     }
 
-    private void grant(final Asked asked) {
-        final Told told = subscribers.get(asked.link);
+    private void grant(final PendingRenewal asked) {
+        final SubscriberState told = subscribers.get(asked.link);
         if (told == null) {
             return;
         }
-        final Lease lease = news(told);
+        final LeaseResponse lease = news(told);
         lease.held = true;
         lease.request = asked.renew.request;
         asked.link.send(lease);
     }
 
-    private Lease news(final Told told) {
-        final Lease lease = new Lease();
+    private LeaseResponse news(final SubscriberState told) {
+        final LeaseResponse lease = new LeaseResponse();
         lease.version = core.version();
         if (told.version < core.version()) {
-            final List<News.Patch> patches = core.news().patchesFrom(told.version, core.json().length());
+            final List<RecentChanges.VersionPatch> patches = core.news().patchesFrom(told.version, core.json().length());
             lease.json = patches == null ? core.json() : null;
             lease.patches = patches == null ? lease.patches : patches;
             told.version = core.version();
             told.toldMs = pulse.nowMs();
         }
         if (told.factsNumber < core.facts().number) {
-            final List<Facts.Change> changes = core.news().changesFrom(told.factsNumber);
+            final List<ClusterState.Change> changes = core.news().changesFrom(told.factsNumber);
             lease.facts = changes == null ? core.facts() : null;
             lease.changes = changes == null ? lease.changes : changes;
             told.factsNumber = core.facts().number;
@@ -217,8 +217,8 @@
         subscribers.forEach(this::tell);
     }
 
-    private void tell(final Link link, final Told told) {
-        final Lease news = news(told);
+    private void tell(final PeerConnection link, final SubscriberState told) {
+        final LeaseResponse news = news(told);
         if (news.json != null || news.facts != null || !news.patches.isEmpty() || !news.changes.isEmpty()) {
             link.send(news);
         }
@@ -226,8 +226,8 @@
 
     /** Other facts change in bursts, one for each process that starts: only who waits for its name hears at once. */
     void tellFacts() {
-        for (final Link link : List.copyOf(unnamed)) {
-            final Told told = subscribers.get(link);
+        for (final PeerConnection link : List.copyOf(unnamed)) {
+            final SubscriberState told = subscribers.get(link);
             if (told == null || named(told.renew)) {
                 unnamed.remove(link);
                 if (told != null) {
@@ -244,7 +244,7 @@
         }
     }
 
-    private boolean named(final Renew renew) {
+    private boolean named(final LeaseRequest renew) {
         return core.facts().replica(renew.who.address, renew.who.life) != 0;
     }
 }
--- a/src/main/java/yewjunction/charter/Wards.java
+++ b/src/main/java/yewjunction/control/LeasedProcesses.java
@@ -1,29 +1,29 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Letters.Who;
+import yewjunction.common.AgentContext;
+import yewjunction.control.LeaseMessages.ProcessReport;
 
-import static yewjunction.base.ToolLimits.WARD_MS;
+import static yewjunction.common.ToolLimits.WARD_MS;
 
 /** What the tides and vaults that ask this crux for leases say of themselves: for operators and the doctor only. */
-final class Wards {
-    private final Pulse pulse;
-    private final Map<String, Seen> seen = new TreeMap<>();
+final class LeasedProcesses {
+    private final AgentContext pulse;
+    private final Map<String, TimedReport> seen = new TreeMap<>();
 
-    private record Seen(Who who, long atMs) {
+    private record TimedReport(ProcessReport who, long atMs) {
     }
 
-    Wards(final Pulse pulse) {
+    LeasedProcesses(final AgentContext pulse) {
         this.pulse = pulse;
     }
 
-    void heard(final Who who) {
-        seen.put(who.address, new Seen(who, pulse.nowMs()));
+    void heard(final ProcessReport who) {
+        seen.put(who.address, new TimedReport(who, pulse.nowMs()));
     }
 
     /** Breaks of the declared order, by channel and edge. */
@@ -38,7 +38,7 @@
         // Whoever asks another crux now is that one's ward.
         seen.values().removeIf(one -> nowMs - one.atMs > WARD_MS);
         final List<Map<String, Object>> rows = new ArrayList<>();
-        for (final Seen one : seen.values()) {
+        for (final TimedReport one : seen.values()) {
             final Map<String, Object> row = new LinkedHashMap<>();
             row.put("Nodename", one.who.node);
             row.put("Duty", one.who.duty);
--- a/src/main/java/yewjunction/charter/Registrar.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,57 +7,57 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Letters.Enlist;
-import yewjunction.charter.Letters.Who;
-import yewjunction.ledger.Ledger;
-import yewjunction.roster.Roster;
-import yewjunction.roster.Peer;
-
-import static yewjunction.base.ControlLimits.VAULTS_HEARD_MS;
-import static yewjunction.base.Limits.ENROL_MS;
-import static yewjunction.base.Limits.REPLICA_GONE_MS;
-import static yewjunction.base.Limits.VAULTS_WAIT_MS;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.control.LeaseMessages.RegisterRequest;
+import yewjunction.control.LeaseMessages.ProcessReport;
+import yewjunction.raft.RaftNode;
+import yewjunction.membership.MembershipList;
+import yewjunction.membership.Member;
+
+import static yewjunction.common.ControlLimits.VAULTS_HEARD_MS;
+import static yewjunction.common.Limits.ENROL_MS;
+import static yewjunction.common.Limits.REPLICA_GONE_MS;
+import static yewjunction.common.Limits.VAULTS_WAIT_MS;
 
 /** The leader's decisions about processes: replica names, the first vault voters, retirements. */
-final class Registrar {
-    private final Pulse pulse;
-    private final Post post;
-    private final Core core;
-    private final Ledger ledger;
-    private final Roster roster;
+final class NodeRegistry {
+    private final AgentContext pulse;
+    private final PeerTransport post;
+    private final ControlStateMachine core;
+    private final RaftNode ledger;
+    private final MembershipList roster;
     private final int voterCount;
-    private final Map<String, Seen> vaults = new TreeMap<>();
+    private final Map<String, StoreReport> vaults = new TreeMap<>();
     private final Map<String, Long> goneMs = new HashMap<>();
     private long startedMs = -1;
     private long leaderMs;
-    private final Map<String, Who> early = new TreeMap<>();
+    private final Map<String, ProcessReport> early = new TreeMap<>();
     private final Set<String> proposed = new HashSet<>();
 
-    private record Seen(Who who, long atMs) {
+    private record StoreReport(ProcessReport who, long atMs) {
     }
 
-    Registrar(final Pulse pulse, final Post post, final Core core, final Ledger ledger, final Roster roster, final int voterCount) {
+    NodeRegistry(final AgentContext pulse, final PeerTransport post, final ControlStateMachine core, final RaftNode ledger, final MembershipList roster, final int voterCount) {
         this.pulse = pulse;
         this.post = post;
         this.core = core;
         this.ledger = ledger;
         this.roster = roster;
         this.voterCount = voterCount;
-        post.on(Enlist.class, (link, enlist) -> heard(enlist.who));
+        post.on(RegisterRequest.class, (link, enlist) -> heard(enlist.who));
         pulse.every(ENROL_MS, this::look);
     }
 
-    void heard(final Who who) {
+    void heard(final ProcessReport who) {
         final boolean vault = who.duty.equals("vault");
         if (!ledger.leads()) {
             // Only the leader decides; vaults are told of each time, tides until they have their name.
             final boolean news = vault || core.facts().replica(who.address, who.life) == 0;
             if (news && ledger.leader() != null && !ledger.leader().equals(ledger.identity())) {
-                final Enlist enlist = new Enlist();
+                final RegisterRequest enlist = new RegisterRequest();
                 enlist.who = who;
-                post.dial(Ledger.address(ledger.leader())).send(enlist);
+                post.dial(RaftNode.address(ledger.leader())).send(enlist);
             } else if (news) {
                 // Nobody leads yet, or this member is about to: kept until then, so that nobody has to ask again.
                 early.put(who.address, who);
@@ -65,11 +65,11 @@
             return;
         }
         if (vault) {
-            vaults.put(who.address, new Seen(who, pulse.nowMs()));
+            vaults.put(who.address, new StoreReport(who, pulse.nowMs()));
             chooseVaults();
             who.emptied.forEach(this::retired);
         } else if (core.facts().replica(who.address, who.life) == 0) {
-            final Deed deed = new Deed(Deed.REPLICA);
+            final ControlCommand deed = new ControlCommand(ControlCommand.REPLICA);
             deed.address = who.address;
             deed.node = who.node;
             deed.life = who.life;
@@ -79,13 +79,13 @@
 
     void leaderChanged() {
         leaderMs = pulse.nowMs();
-        final List<Who> kept = new ArrayList<>(early.values());
+        final List<ProcessReport> kept = new ArrayList<>(early.values());
         early.clear();
         kept.forEach(this::heard);
     }
 
-    private void propose(final String what, final Deed deed) {
-        if (proposed.add(what) && !ledger.propose(Core.bytes(deed), done -> proposed.remove(what))) {
+    private void propose(final String what, final ControlCommand deed) {
+        if (proposed.add(what) && !ledger.propose(ControlStateMachine.bytes(deed), done -> proposed.remove(what))) {
             proposed.remove(what);
         }
     }
@@ -97,15 +97,15 @@
         }
         final List<String> identities = new ArrayList<>();
         final Set<String> zones = new HashSet<>();
-        for (final Seen seen : vaults.values()) {
+        for (final StoreReport seen : vaults.values()) {
             if (identities.size() < voterCount && zones.add(seen.who.zone)) {
                 identities.add(seen.who.identity);
             }
         }
         if (identities.size() >= voterCount || enoughInFewZones(identities)) {
-            final Deed deed = new Deed(Deed.VAULTS);
+            final ControlCommand deed = new ControlCommand(ControlCommand.VAULTS);
             deed.identities = identities;
-            identities.forEach(identity -> deed.zones.add(vaults.get(Ledger.address(identity)).who.zone));
+            identities.forEach(identity -> deed.zones.add(vaults.get(RaftNode.address(identity)).who.zone));
             propose("vaults", deed);
         }
     }
@@ -116,7 +116,7 @@
         if (waitedMs < (vaults.size() < voterCount ? VAULTS_WAIT_MS : 6 * ENROL_MS)) {
             return false;
         }
-        for (final Seen seen : vaults.values()) {
+        for (final StoreReport seen : vaults.values()) {
             if (identities.size() < voterCount && !identities.contains(seen.who.identity)) {
                 identities.add(seen.who.identity);
             }
@@ -139,12 +139,12 @@
             return;
         }
         final long nowMs = pulse.nowMs();
-        for (final Facts.Replica replica : List.copyOf(core.facts().replicas)) {
-            final Peer peer = roster.at(replica.address);
+        for (final ClusterState.Replica replica : List.copyOf(core.facts().replicas)) {
+            final Member peer = roster.at(replica.address);
             if (peer != null && peer.up()) {
                 goneMs.remove(replica.address);
             } else if (nowMs - goneMs.computeIfAbsent(replica.address, key -> nowMs) > REPLICA_GONE_MS) {
-                final Deed deed = new Deed(Deed.REPLICA_GONE);
+                final ControlCommand deed = new ControlCommand(ControlCommand.REPLICA_GONE);
                 deed.name = replica.name;
                 propose("gone " + replica.name, deed);
             }
@@ -153,8 +153,8 @@
 
     // --- emptying store machines ---
 
-    private Seen vault(final String node) {
-        for (final Seen seen : vaults.values()) {
+    private StoreReport vault(final String node) {
+        for (final StoreReport seen : vaults.values()) {
             if (seen.who.node.equals(node) && pulse.nowMs() - seen.atMs < 10 * ENROL_MS) {
                 return seen;
             }
@@ -165,7 +165,7 @@
     List<Map<String, Object>> vaultRows() {
         final List<Map<String, Object>> rows = new ArrayList<>();
         vaults.values().forEach(seen -> rows.add(Map.of("Nodename", seen.who.node, "Applied", seen.who.applied,
-            "SeenMs", pulse.nowMs() - seen.atMs, "Accounts", seen.who.balances.stream().map(Balance::row).toList())));
+            "SeenMs", pulse.nowMs() - seen.atMs, "Accounts", seen.who.balances.stream().map(AccountBalance::row).toList())));
         return rows;
     }
 
@@ -204,17 +204,17 @@
         return staying >= voterCount;
     }
 
-    Deed retirement(final String node) {
-        final Deed deed = new Deed(Deed.RETIRE);
+    ControlCommand retirement(final String node) {
+        final ControlCommand deed = new ControlCommand(ControlCommand.RETIRE);
         deed.node = node;
         deed.address = vault(node).who.address;
         return deed;
     }
 
     private void retired(final String node) {
-        final Facts.Retiring retiring = core.facts().retiring(node);
+        final ClusterState.Retirement retiring = core.facts().retiring(node);
         if (retiring != null && !retiring.finished) {
-            final Deed deed = new Deed(Deed.RETIRED);
+            final ControlCommand deed = new ControlCommand(ControlCommand.RETIRED);
             deed.node = node;
             propose("retired " + node, deed);
         }
--- a/src/main/java/yewjunction/charter/Disorder.java
+++ b/src/main/java/yewjunction/control/OrderViolations.java
@@ -1,10 +1,10 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** How often an edge met a break of a channel's declared order, for operators. */
-public final class Disorder {
+public final class OrderViolations {
     public String topic = "";
     /** Messages that would have come out of their declared place and were not written. */
     public long breaks;
--- a/src/main/java/yewjunction/charter/News.java
+++ b/src/main/java/yewjunction/control/RecentChanges.java
@@ -1,34 +1,34 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 
-import static yewjunction.base.Limits.NEWS_KEPT;
+import static yewjunction.common.Limits.NEWS_KEPT;
 
 /**
  * What changed lately at a crux. Whoever knows an earlier state is told of the changes alone: the whole grows with the
  * number of nodes and tenants, and every node would hear all of it at every change.
  */
-final class News {
-    private final ArrayDeque<Patch> patches = new ArrayDeque<>();
-    private final ArrayDeque<Facts.Change> changes = new ArrayDeque<>();
+final class RecentChanges {
+    private final ArrayDeque<VersionPatch> patches = new ArrayDeque<>();
+    private final ArrayDeque<ClusterState.Change> changes = new ArrayDeque<>();
 
     /** What makes one version of the configuration of the one before, and what the result must be. */
-    static final class Patch {
+    static final class VersionPatch {
         long base;
         long version;
         String json = "";
         long digest;
     }
 
-    void changed(final Deed deed) {
+    void changed(final ControlCommand deed) {
         if (deed.patch == null) {
             // Only the whole leads across this version.
             patches.clear();
             return;
         }
-        final Patch patch = new Patch();
+        final VersionPatch patch = new VersionPatch();
         patch.base = deed.base;
         patch.version = deed.version;
         patch.json = deed.patch;
@@ -36,7 +36,7 @@
         keep(patches, patch);
     }
 
-    void changed(final Facts.Change change) {
+    void changed(final ClusterState.Change change) {
         keep(changes, change);
     }
 
@@ -53,10 +53,10 @@
     }
 
     /** Patches from that version on, in order; null when only the whole leads from there, or is not much longer. */
-    List<Patch> patchesFrom(final long version, final int wholeLength) {
-        final List<Patch> found = new ArrayList<>();
+    List<VersionPatch> patchesFrom(final long version, final int wholeLength) {
+        final List<VersionPatch> found = new ArrayList<>();
         int length = 0;
-        for (final Patch patch : patches) {
+        for (final VersionPatch patch : patches) {
             if (!found.isEmpty() || patch.base == version) {
                 found.add(patch);
                 length += patch.json.length();
@@ -66,9 +66,9 @@
     }
 
     /** The same for facts. */
-    List<Facts.Change> changesFrom(final long number) {
-        final List<Facts.Change> found = new ArrayList<>();
-        for (final Facts.Change change : changes) {
+    List<ClusterState.Change> changesFrom(final long number) {
+        final List<ClusterState.Change> found = new ArrayList<>();
+        for (final ClusterState.Change change : changes) {
             if (!found.isEmpty() || change.before == number) {
                 found.add(change);
             }
--- a/src/main/java/yewjunction/doctor/Debts.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -8,8 +8,8 @@
 import yewjunction.doctor.Finding.Code;
 
 /** What the vaults say of the accounts of tenants that borrow ahead, held against one another. */
-final class Debts {
-    private Debts() {
+final class BorrowingCheck {
+    private BorrowingCheck() {
     }
 
     /** Rows of vaults as the leading crux shows them. */
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -10,27 +10,27 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
-import yewjunction.doctor.Caller.Reply;
+import yewjunction.doctor.HttpProbe.Response;
 import yewjunction.doctor.Finding.Code;
-import yewjunction.ledger.Health;
+import yewjunction.raft.StorageInspection;
 import yewjunction.settings.Settings;
-import yewjunction.window.Windows;
+import yewjunction.maintenance.MaintenanceWindows;
 
-import static yewjunction.base.ToolLimits.DOCTOR_APART_MS;
-import static yewjunction.base.ToolLimits.DOCTOR_BEHIND;
-import static yewjunction.base.ToolLimits.DOCTOR_CALL_MS;
-import static yewjunction.base.ToolLimits.DOCTOR_FULL_SHARE;
-import static yewjunction.base.ToolLimits.DOCTOR_MEMORY_PCT;
-import static yewjunction.base.ToolLimits.DOCTOR_OWED_MS;
-import static yewjunction.base.ToolLimits.DOCTOR_SILENT_MS;
-import static yewjunction.base.ToolLimits.DOCTOR_WAITING;
+import static yewjunction.common.ToolLimits.DOCTOR_APART_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_BEHIND;
+import static yewjunction.common.ToolLimits.DOCTOR_CALL_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_FULL_SHARE;
+import static yewjunction.common.ToolLimits.DOCTOR_MEMORY_PCT;
+import static yewjunction.common.ToolLimits.DOCTOR_OWED_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_SILENT_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_WAITING;
 
 /** Looks once from where it runs: at the operator's addresses, this machine's readiness and its data folder. */
 public final class Doctor {
     private final Settings settings;
     private final Path dataFolder;
-    private Windows windows;
-    private final Caller caller = new Caller(DOCTOR_CALL_MS);
+    private MaintenanceWindows windows;
+    private final HttpProbe caller = new HttpProbe(DOCTOR_CALL_MS);
     private final List<Finding> findings = new ArrayList<>();
     private final TreeMap<String, Config> outlooks = new TreeMap<>();
 
@@ -41,7 +41,7 @@
     }
 
     /** Planned work that explains a finding is named beside it. */
-    public Doctor planned(final Windows chosenWindows) {
+    public Doctor planned(final MaintenanceWindows chosenWindows) {
         windows = chosenWindows;
         return this;
     }
@@ -60,7 +60,7 @@
             vaults();
         }
         if (!settings.ready().isEmpty()) {
-            final Reply reply = caller.get(settings.ready(), "/-/readyz");
+            final Response reply = caller.get(settings.ready(), "/-/readyz");
             if (reply.status() == -1) {
                 found(Code.READY_SILENT, settings.ready() + ": " + reply.body(), "see whether the edge's process runs");
             }
@@ -75,7 +75,7 @@
     }
 
     private void seed(final String seed) {
-        final Reply reply = caller.get(seed, "/-/outlook/show");
+        final Response reply = caller.get(seed, "/-/outlook/show");
         if (reply.status() == -1) {
             found(Code.SEED_SILENT, seed + ": " + reply.body(), "see whether the crux there runs and can be reached from here");
             return;
@@ -194,7 +194,7 @@
         if (rows == null) {
             return;
         }
-        findings.addAll(Debts.look(rows));
+        findings.addAll(BorrowingCheck.look(rows));
         final int needed = settings.votersNeeded();
         long newest = 0;
         int heard = 0;
@@ -217,7 +217,7 @@
     }
 
     private void folder() {
-        for (final Health health : Health.look(dataFolder)) {
+        for (final StorageInspection health : StorageInspection.look(dataFolder)) {
             if (health.damaged()) {
                 found(Code.LEDGER_DAMAGED, health.file() + ": bad record at byte " + health.goodBytes(),
                     "if the other voters are well, empty the folder: the machine joins anew");
--- a/src/main/java/yewjunction/doctor/Caller.java
+++ b/src/main/java/yewjunction/doctor/HttpProbe.java
@@ -10,18 +10,18 @@
 import java.time.format.DateTimeParseException;
 
 /** One bounded look at an address. */
-final class Caller {
+final class HttpProbe {
     private final int timeoutMs;
 
-    Caller(final int timeoutMs) {
+    HttpProbe(final int timeoutMs) {
         this.timeoutMs = timeoutMs;
     }
 
     /** What came back; status -1 for nothing. Clock: ms by which the far clock is ahead, null when not told. */
-    record Reply(int status, String body, Long clockMs) {
+    record Response(int status, String body, Long clockMs) {
     }
 
-    Reply get(final String address, final String path) {
+    Response get(final String address, final String path) {
         try {
             final HttpURLConnection link = (HttpURLConnection) URI.create("http://" + address + path).toURL()
                 .openConnection(Proxy.NO_PROXY);
@@ -30,9 +30,9 @@
             link.setInstanceFollowRedirects(false);
             final int status = link.getResponseCode();
             final byte[] body = status >= 400 ? new byte[0] : link.getInputStream().readAllBytes();
-            return new Reply(status, new String(body, StandardCharsets.UTF_8), clock(link.getHeaderField("Date")));
+            return new Response(status, new String(body, StandardCharsets.UTF_8), clock(link.getHeaderField("Date")));
         } catch (final IOException | IllegalArgumentException defect) {
-            return new Reply(-1, String.valueOf(defect.getMessage()), null);
+            return new Response(-1, String.valueOf(defect.getMessage()), null);
         }
     }
 
--- a/src/main/java/yewjunction/herald/Letters.java
+++ b/src/main/java/yewjunction/fanout/FanoutMessages.java
@@ -1,23 +1,23 @@
-package yewjunction.herald;
+package yewjunction.fanout;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Codec;
-import yewjunction.vault.Message;
+import yewjunction.common.MessageCodec;
+import yewjunction.store.StoredMessage;
 
 /** What a home and its edges say to one another. */
-public final class Letters {
-    private Letters() {
+public final class FanoutMessages {
+    private FanoutMessages() {
     }
 
-    public static void know(final Codec codec) {
-        codec.know(90, Attach.class).know(91, Welcome.class).know(92, Flow.class).know(93, Notice.class)
-            .know(94, Taken.class).know(95, Word.class).know(96, Cloth.class).know(97, Gauge.class)
-            .know(98, Match.class).know(99, Tally.class).know(100, Tallied.class).know(101, Further.class);
+    public static void know(final MessageCodec codec) {
+        codec.know(90, AttachRequest.class).know(91, AttachResponse.class).know(92, StreamBatch.class).know(93, SubscribeRequest.class)
+            .know(94, ReplayResponse.class).know(95, Heartbeat.class).know(96, ReplicaStates.class).know(97, DigestRequest.class)
+            .know(98, DigestResponse.class).know(99, CountRequest.class).know(100, CountResponse.class).know(101, ReplayRequest.class);
     }
 
     /** An edge asks a vault to be its home, from the last index it has processed; -1 for a fresh one. */
-    static final class Attach {
+    static final class AttachRequest {
         long replica;
         String node = "";
         long last;
@@ -25,7 +25,7 @@
         long mark;
     }
 
-    static final class Welcome {
+    static final class AttachResponse {
         boolean accepted;
         /** Where the stream starts; above the asked index when older messages are gone. */
         long start;
@@ -33,15 +33,15 @@
     }
 
     /** Messages in order between two indices; an edge takes it only when from is where it stands. */
-    static final class Flow {
+    static final class StreamBatch {
         long from;
         long upTo;
         String leader = "";
-        List<Message> messages = new ArrayList<>();
+        List<StoredMessage> messages = new ArrayList<>();
     }
 
     /** Early word of a new instance of the set, and the subscription it stands for. */
-    static final class Notice {
+    static final class SubscribeRequest {
         long request;
         String topic = "";
         String client = "";
@@ -50,17 +50,17 @@
         long position;
     }
 
-    static final class Taken {
+    static final class ReplayResponse {
         long request;
         boolean expired;
         long position;
-        List<Message> messages = new ArrayList<>();
+        List<StoredMessage> messages = new ArrayList<>();
         /** There is more up to the position: to be asked for. */
         boolean more;
     }
 
     /** Asks for the next piece of a topic's older messages, behind one index and up to another. */
-    static final class Further {
+    static final class ReplayRequest {
         long request;
         String topic = "";
         long after;
@@ -68,19 +68,19 @@
     }
 
     /** An edge is still there. */
-    static final class Word {
+    static final class Heartbeat {
         long last;
     }
 
     /** Whole states of some parts of the set. */
-    static final class Cloth {
+    static final class ReplicaStates {
         byte[] state = new byte[0];
         /** The digest of the sending edge's own part; 0 from others. */
         long mark;
     }
 
     /** Digests of what the sender holds: asks for the parts that differ. */
-    static final class Gauge {
+    static final class DigestRequest {
         byte[] marks = new byte[0];
         /** Cells that the answer may carry, about. */
         int mostCells;
@@ -91,18 +91,18 @@
     }
 
     /** The answer to a gauge: parts that differ, and which of the asker's are wanted. */
-    static final class Match {
+    static final class DigestResponse {
         byte[] state = new byte[0];
         List<Long> wanted = new ArrayList<>();
     }
 
     /** A client of the edge asks how many subscribe a topic. */
-    static final class Tally {
+    static final class CountRequest {
         long request;
         String topic = "";
     }
 
-    static final class Tallied {
+    static final class CountResponse {
         long request;
         int count;
     }
--- a/src/main/java/yewjunction/herald/Envoy.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -1,34 +1,34 @@
-package yewjunction.herald;
+package yewjunction.fanout;
 
 import java.util.List;
 import java.util.function.Supplier;
-import yewjunction.base.Event;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.herald.Letters.Attach;
-import yewjunction.herald.Letters.Flow;
-import yewjunction.herald.Letters.Taken;
-import yewjunction.herald.Letters.Welcome;
-import yewjunction.herald.Letters.Word;
-import yewjunction.vault.Message;
-import yewjunction.weave.Weave;
-
-import static yewjunction.base.Limits.HOME_BEAT_MS;
-import static yewjunction.base.Limits.HOME_RETURN_MS;
-import static yewjunction.base.Limits.HOME_SILENCE_MS;
+import yewjunction.common.LogEvent;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.fanout.FanoutMessages.AttachRequest;
+import yewjunction.fanout.FanoutMessages.StreamBatch;
+import yewjunction.fanout.FanoutMessages.ReplayResponse;
+import yewjunction.fanout.FanoutMessages.AttachResponse;
+import yewjunction.fanout.FanoutMessages.Heartbeat;
+import yewjunction.store.StoredMessage;
+import yewjunction.subscription.AddWinsSet;
+
+import static yewjunction.common.Limits.HOME_BEAT_MS;
+import static yewjunction.common.Limits.HOME_RETURN_MS;
+import static yewjunction.common.Limits.HOME_SILENCE_MS;
 
 /** An edge's side of its home: attaches, follows the stream without gap, moves on when the home is lost. */
-public final class Envoy {
-    private final Pulse pulse;
-    private final Post post;
-    private final Weave weave;
-    private final Shuttle shuttle;
-    private final Weft weft;
+public final class StreamClient {
+    private final AgentContext pulse;
+    private final PeerTransport post;
+    private final AddWinsSet weave;
+    private final SubscriptionSync shuttle;
+    private final SubscriptionSyncClient weft;
     private final Supplier<List<String>> vaults;
-    private final Watcher watcher;
+    private final Listener watcher;
     private final String node;
-    private Link home;
+    private PeerConnection home;
     private boolean welcomed;
     private long last = -1;
     private long heardMs;
@@ -39,10 +39,10 @@
     private String leader = "";
 
     /** Told of what comes from the home. */
-    public interface Watcher {
-        void message(Message message);
+    public interface Listener {
+        void message(StoredMessage message);
 
-        void taken(long request, boolean expired, long position, List<Message> behind, boolean more);
+        void taken(long request, boolean expired, long position, List<StoredMessage> behind, boolean more);
 
         void leaderIs(String address);
 
@@ -57,20 +57,20 @@
     }
 
     /** Vaults: addresses, the own zone's first. Changed: something of the set may have been merged. */
-    public Envoy(final Pulse pulse, final Post post, final Weave weave, final String node,
-            final Supplier<List<String>> vaults, final Watcher watcher, final Runnable changed) {
+    public StreamClient(final AgentContext pulse, final PeerTransport post, final AddWinsSet weave, final String node,
+            final Supplier<List<String>> vaults, final Listener watcher, final Runnable changed) {
         this.pulse = pulse;
         this.post = post;
         this.weave = weave;
         this.node = node;
         this.vaults = vaults;
         this.watcher = watcher;
-        shuttle = new Shuttle(pulse, post, weave, () -> List.of(weave.self()), changed);
-        weft = new Weft(pulse, post, weave, shuttle, () -> welcomed ? home : null, changed);
+        shuttle = new SubscriptionSync(pulse, post, weave, () -> List.of(weave.self()), changed);
+        weft = new SubscriptionSyncClient(pulse, post, weave, shuttle, () -> welcomed ? home : null, changed);
         homelessMs = pulse.nowMs();
-        post.on(Welcome.class, this::welcome);
-        post.on(Flow.class, this::flow);
-        post.on(Taken.class, this::takenUp);
+        post.on(AttachResponse.class, this::welcome);
+        post.on(StreamBatch.class, this::flow);
+        post.on(ReplayResponse.class, this::takenUp);
         post.onClose(this::closed);
         pulse.every(HOME_BEAT_MS, this::beat);
         pulse.every(HOME_BEAT_MS / 3, () -> {
@@ -100,7 +100,7 @@
         final long nowMs = pulse.nowMs();
         denials = 0;
         if (welcomed) {
-            final Word word = new Word();
+            final Heartbeat word = new Heartbeat();
             word.last = last;
             home.send(word);
             goBack(nowMs);
@@ -129,7 +129,7 @@
         heardMs = pulse.nowMs();
         // Its own part of the set comes first, so that the stream starts with all this edge's subscriptions.
         shuttle.push(home, List.of(weave.self()), weave.mark(weave.self()));
-        final Attach attach = new Attach();
+        final AttachRequest attach = new AttachRequest();
         attach.replica = weave.self();
         attach.node = node;
         attach.last = last;
@@ -137,7 +137,7 @@
     }
 
     /** This edge's side of the exchange of the set. */
-    public Weft weft() {
+    public SubscriptionSyncClient weft() {
         return weft;
     }
 
@@ -149,19 +149,19 @@
 
     private void leave() {
         if (home != null) {
-            final Link left = home;
+            final PeerConnection left = home;
             home = null;
             if (welcomed) {
                 welcomed = false;
                 homelessMs = pulse.nowMs();
-                Event.HOME_LOST.info(left.remote());
+                LogEvent.HOME_LOST.info(left.remote());
             }
             // Closed, so that nothing of the old stream can arrive any more.
             left.close();
         }
     }
 
-    private void closed(final Link link) {
+    private void closed(final PeerConnection link) {
         if (link == home) {
             // A link that broke may be the link's own trouble: the same home is asked first, and only one that
             // does not take this edge again is given up for another zone's.
@@ -173,7 +173,7 @@
         }
     }
 
-    private void welcome(final Link link, final Welcome welcome) {
+    private void welcome(final PeerConnection link, final AttachResponse welcome) {
         if (link != home) {
             return;
         }
@@ -189,12 +189,12 @@
         }
         welcomed = true;
         returnMs = heardMs;
-        Event.HOME_ATTACHED.info(link.remote() + " from " + welcome.start);
+        LogEvent.HOME_ATTACHED.info(link.remote() + " from " + welcome.start);
         final boolean gap = last >= 0 && welcome.start > last;
         last = welcome.start;
         hint(welcome.leader);
         if (gap) {
-            Event.STREAM_GAP.warn("up to " + last);
+            LogEvent.STREAM_GAP.warn("up to " + last);
             watcher.gapped();
         }
         watcher.attached();
@@ -207,14 +207,14 @@
         }
     }
 
-    private void flow(final Link link, final Flow flow) {
+    private void flow(final PeerConnection link, final StreamBatch flow) {
         if (link != home || !welcomed) {
             return;
         }
         heardMs = pulse.nowMs();
         // Each piece names its predecessor: a gap shows, and the stream is taken up anew.
         if (flow.from != last) {
-            Event.STREAM_GAP.warn("at " + last + ", piece from " + flow.from);
+            LogEvent.STREAM_GAP.warn("at " + last + ", piece from " + flow.from);
             leave();
             attach();
             return;
@@ -227,7 +227,7 @@
         }
     }
 
-    private void takenUp(final Link link, final Taken taken) {
+    private void takenUp(final PeerConnection link, final ReplayResponse taken) {
         if (link == home && welcomed) {
             heardMs = pulse.nowMs();
             watcher.taken(taken.request, taken.expired, taken.position, taken.messages, taken.more);
--- a/src/main/java/yewjunction/herald/Home.java
+++ b/src/main/java/yewjunction/fanout/StreamServer.java
@@ -1,44 +1,44 @@
-package yewjunction.herald;
+package yewjunction.fanout;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewjunction.base.Event;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.herald.Letters.Attach;
-import yewjunction.herald.Letters.Flow;
-import yewjunction.herald.Letters.Further;
-import yewjunction.herald.Letters.Notice;
-import yewjunction.herald.Letters.Taken;
-import yewjunction.herald.Letters.Welcome;
-import yewjunction.herald.Letters.Word;
-import yewjunction.ledger.Ledger;
-import yewjunction.vault.Cellar;
-import yewjunction.vault.Message;
-import yewjunction.weave.Weave;
-
-import static yewjunction.base.Limits.FLOW_ITEMS;
-import static yewjunction.base.ControlLimits.HOME_BEHIND_MS;
-import static yewjunction.base.Limits.HOME_BEAT_MS;
-import static yewjunction.base.Limits.HOME_SILENCE_MS;
-import static yewjunction.base.Limits.REPLAY_PIECE_BYTES;
+import yewjunction.common.LogEvent;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.fanout.FanoutMessages.AttachRequest;
+import yewjunction.fanout.FanoutMessages.StreamBatch;
+import yewjunction.fanout.FanoutMessages.ReplayRequest;
+import yewjunction.fanout.FanoutMessages.SubscribeRequest;
+import yewjunction.fanout.FanoutMessages.ReplayResponse;
+import yewjunction.fanout.FanoutMessages.AttachResponse;
+import yewjunction.fanout.FanoutMessages.Heartbeat;
+import yewjunction.raft.RaftNode;
+import yewjunction.store.MessageStore;
+import yewjunction.store.StoredMessage;
+import yewjunction.subscription.AddWinsSet;
+
+import static yewjunction.common.Limits.FLOW_ITEMS;
+import static yewjunction.common.ControlLimits.HOME_BEHIND_MS;
+import static yewjunction.common.Limits.HOME_BEAT_MS;
+import static yewjunction.common.Limits.HOME_SILENCE_MS;
+import static yewjunction.common.Limits.REPLAY_PIECE_BYTES;
 
 /** A vault as the home of edges: sends each what its part of the set asks for. */
-public final class Home {
-    private final Pulse pulse;
-    private final Ledger ledger;
-    private final Cellar cellar;
-    private final Weave weave;
-    private final Map<Link, Port> ports = new LinkedHashMap<>();
+public final class StreamServer {
+    private final AgentContext pulse;
+    private final RaftNode ledger;
+    private final MessageStore cellar;
+    private final AddWinsSet weave;
+    private final Map<PeerConnection, AttachedEdge> ports = new LinkedHashMap<>();
     private long ledMs;
     private boolean closing;
 
     /** One attached edge. */
-    private static final class Port {
+    private static final class AttachedEdge {
         String node;
         long replica;
         /** The edge was told of everything up to here. */
@@ -49,53 +49,53 @@
         final Map<String, Long> early = new HashMap<>();
     }
 
-    public Home(final Pulse pulse, final Post post, final Ledger ledger, final Cellar cellar, final Weave weave) {
+    public StreamServer(final AgentContext pulse, final PeerTransport post, final RaftNode ledger, final MessageStore cellar, final AddWinsSet weave) {
         this.pulse = pulse;
         this.ledger = ledger;
         this.cellar = cellar;
         this.weave = weave;
-        post.on(Attach.class, this::attach);
-        post.on(Notice.class, this::notice);
-        post.on(Further.class, this::further);
-        post.on(Word.class, (link, word) -> { });
+        post.on(AttachRequest.class, this::attach);
+        post.on(SubscribeRequest.class, this::notice);
+        post.on(ReplayRequest.class, this::further);
+        post.on(Heartbeat.class, (link, word) -> { });
         post.onClose(link -> {
-            final Port port = ports.remove(link);
+            final AttachedEdge port = ports.remove(link);
             if (port != null) {
-                Event.EDGE_LOST.info(port.node);
+                LogEvent.EDGE_LOST.info(port.node);
             }
         });
         pulse.every(HOME_BEAT_MS, this::beat);
     }
 
     /** The attached edges' replicas. */
-    Map<Link, Long> edges() {
-        final Map<Link, Long> edges = new LinkedHashMap<>();
+    Map<PeerConnection, Long> edges() {
+        final Map<PeerConnection, Long> edges = new LinkedHashMap<>();
         ports.forEach((link, port) -> edges.put(link, port.replica));
         return edges;
     }
 
     private String leader() {
-        return ledger.leader() == null ? "" : Ledger.address(ledger.leader());
+        return ledger.leader() == null ? "" : RaftNode.address(ledger.leader());
     }
 
     private boolean serves() {
         return ledger.leader() != null && ledger.membership().behindMs() <= HOME_BEHIND_MS;
     }
 
-    private void attach(final Link link, final Attach attach) {
-        final Welcome welcome = new Welcome();
+    private void attach(final PeerConnection link, final AttachRequest attach) {
+        final AttachResponse welcome = new AttachResponse();
         // One that hears no leader, or lags behind what the edge has seen, is a poor home.
         welcome.accepted = !closing && serves() && ledger.applied() >= attach.last;
         welcome.leader = leader();
         if (welcome.accepted) {
-            final Port port = new Port();
+            final AttachedEdge port = new AttachedEdge();
             port.node = attach.node;
             port.replica = attach.replica;
             port.sent = attach.last < cellar.floor() ? ledger.applied() : attach.last;
             port.looked = port.sent;
             welcome.start = port.sent;
             ports.put(link, port);
-            Event.EDGE_ATTACHED.info(port.node + " from " + port.sent);
+            LogEvent.EDGE_ATTACHED.info(port.node + " from " + port.sent);
             link.send(welcome);
             flow(link, port, false);
         } else {
@@ -103,8 +103,8 @@
         }
     }
 
-    private void notice(final Link link, final Notice notice) {
-        final Port port = ports.get(link);
+    private void notice(final PeerConnection link, final SubscribeRequest notice) {
+        final AttachedEdge port = ports.get(link);
         if (port == null) {
             return;
         }
@@ -113,7 +113,7 @@
         // The client has come to this edge: what it held at others is cancelled, which the edge itself may not know of.
         weave.takenOver(notice.topic, notice.client, port.replica);
         port.early.merge(notice.topic, notice.instance, Math::max);
-        final Taken taken = new Taken();
+        final ReplayResponse taken = new ReplayResponse();
         taken.request = notice.request;
         taken.position = Math.max(notice.position, ledger.applied());
         if (notice.position >= 0) {
@@ -123,11 +123,11 @@
     }
 
     /** A piece of bounded size; the asker comes back for the next one when it has room for it. */
-    private void fill(final Taken taken, final String topic, final long after, final long upTo) {
-        final List<Message> behind = cellar.behind(topic, after);
+    private void fill(final ReplayResponse taken, final String topic, final long after, final long upTo) {
+        final List<StoredMessage> behind = cellar.behind(topic, after);
         taken.expired = behind == null;
         int bytes = 0;
-        for (final Message message : behind == null ? List.<Message>of() : behind) {
+        for (final StoredMessage message : behind == null ? List.<StoredMessage>of() : behind) {
             if (message.index <= upTo) {
                 taken.more = bytes > REPLAY_PIECE_BYTES;
                 if (taken.more) {
@@ -139,7 +139,7 @@
         }
     }
 
-    private void further(final Link link, final Further further) {
+    private void further(final PeerConnection link, final ReplayRequest further) {
         if (!ports.containsKey(link)) {
             return;
         }
@@ -148,14 +148,14 @@
             pulse.after(HOME_BEAT_MS / 10, () -> further(link, further));
             return;
         }
-        final Taken taken = new Taken();
+        final ReplayResponse taken = new ReplayResponse();
         taken.request = further.request;
         taken.position = further.upTo;
         fill(taken, further.topic, further.after, further.upTo);
         link.send(taken);
     }
 
-    private boolean wants(final Port port, final String topic) {
+    private boolean wants(final AttachedEdge port, final String topic) {
         if (weave.reaches(topic, port.replica)) {
             return true;
         }
@@ -175,10 +175,10 @@
         ports.forEach((link, port) -> flow(link, port, false));
     }
 
-    private void flow(final Link link, final Port port, final boolean always) {
+    private void flow(final PeerConnection link, final AttachedEdge port, final boolean always) {
         final long upTo = ledger.applied();
-        List<Message> wanted = new ArrayList<>();
-        for (final Message message : cellar.between(port.looked, upTo)) {
+        List<StoredMessage> wanted = new ArrayList<>();
+        for (final StoredMessage message : cellar.between(port.looked, upTo)) {
             if (wants(port, message.topic)) {
                 wanted.add(message);
                 if (wanted.size() >= FLOW_ITEMS) {
@@ -193,8 +193,8 @@
         }
     }
 
-    private void send(final Link link, final Port port, final long upTo, final List<Message> messages) {
-        final Flow flow = new Flow();
+    private void send(final PeerConnection link, final AttachedEdge port, final long upTo, final List<StoredMessage> messages) {
+        final StreamBatch flow = new StreamBatch();
         flow.from = port.sent;
         flow.upTo = upTo;
         flow.leader = leader();
@@ -224,6 +224,6 @@
     /** Sends the edges elsewhere. */
     public void close() {
         closing = true;
-        List.copyOf(ports.keySet()).forEach(Link::close);
+        List.copyOf(ports.keySet()).forEach(PeerConnection::close);
     }
 }
--- a/src/main/java/yewjunction/herald/Warp.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -1,44 +1,44 @@
-package yewjunction.herald;
+package yewjunction.fanout;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongPredicate;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.herald.Letters.Cloth;
-import yewjunction.herald.Letters.Tallied;
-import yewjunction.herald.Letters.Tally;
-import yewjunction.roster.Roster;
-import yewjunction.roster.Peer;
-import yewjunction.weave.Weave;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.fanout.FanoutMessages.ReplicaStates;
+import yewjunction.fanout.FanoutMessages.CountResponse;
+import yewjunction.fanout.FanoutMessages.CountRequest;
+import yewjunction.membership.MembershipList;
+import yewjunction.membership.Member;
+import yewjunction.subscription.AddWinsSet;
 
-import static yewjunction.base.Limits.COUNTING_MS;
-import static yewjunction.base.Limits.GAUGE_CELLS;
-import static yewjunction.base.Limits.GAUGE_EDGE_CELLS;
-import static yewjunction.base.Limits.GOSSIP_ACROSS_EVERY;
-import static yewjunction.base.Limits.GOSSIP_HEAL_EVERY;
-import static yewjunction.base.Limits.GOSSIP_MS;
+import static yewjunction.common.Limits.COUNTING_MS;
+import static yewjunction.common.Limits.GAUGE_CELLS;
+import static yewjunction.common.Limits.GAUGE_EDGE_CELLS;
+import static yewjunction.common.Limits.GOSSIP_ACROSS_EVERY;
+import static yewjunction.common.Limits.GOSSIP_HEAL_EVERY;
+import static yewjunction.common.Limits.GOSSIP_MS;
 
 /**
  * A home's side of the exchange of the set: gathers the parts of its edges, compares with the homes of other edges, and
  * tells an edge what others changed in its own part.
  */
-public final class Warp {
-    private final Pulse pulse;
-    private final Post post;
-    private final Weave weave;
-    private final Roster roster;
-    private final Home home;
-    private final Shuttle shuttle;
+public final class SubscriptionSyncServer {
+    private final AgentContext pulse;
+    private final PeerTransport post;
+    private final AddWinsSet weave;
+    private final MembershipList roster;
+    private final StreamServer home;
+    private final SubscriptionSync shuttle;
     private final LongPredicate live;
     /** What each edge holds of its own part, by the digest it named. */
-    private final Map<Link, Long> marks = new HashMap<>();
+    private final Map<PeerConnection, Long> marks = new HashMap<>();
     private long rounds;
     private long countingMs = Long.MIN_VALUE / 2;
 
-    public Warp(final Pulse pulse, final Post post, final Weave weave, final Roster roster, final Home home,
+    public SubscriptionSyncServer(final AgentContext pulse, final PeerTransport post, final AddWinsSet weave, final MembershipList roster, final StreamServer home,
             final LongPredicate live) {
         this.pulse = pulse;
         this.post = post;
@@ -46,28 +46,28 @@
         this.roster = roster;
         this.home = home;
         this.live = live;
-        shuttle = new Shuttle(pulse, post, weave, () -> home.edges().values(), () -> { });
-        post.on(Cloth.class, (link, cloth) -> {
+        shuttle = new SubscriptionSync(pulse, post, weave, () -> home.edges().values(), () -> { });
+        post.on(ReplicaStates.class, (link, cloth) -> {
             weave.receive(cloth.state);
             if (cloth.mark != 0) {
                 marks.put(link, cloth.mark);
             }
         });
-        post.on(Tally.class, this::tally);
+        post.on(CountRequest.class, this::tally);
         post.onClose(marks::remove);
         // Started together, they would all pause for it in the same second.
         rounds = pulse.luck().nextInt(GOSSIP_HEAL_EVERY);
         pulse.every(GOSSIP_MS, this::round);
     }
 
-    private void tally(final Link link, final Tally tally) {
+    private void tally(final PeerConnection link, final CountRequest tally) {
         final boolean first = pulse.nowMs() - countingMs > COUNTING_MS;
         countingMs = pulse.nowMs();
         if (first) {
             // Nobody asked for long, so little is known here of other zones: the next questions find it.
             askOthers();
         }
-        final Tallied tallied = new Tallied();
+        final CountResponse tallied = new CountResponse();
         tallied.request = tally.request;
         tallied.count = weave.count(tally.topic, live);
         link.send(tallied);
@@ -94,10 +94,10 @@
      * counts each home tells of its own edges, and no more: with clients coming and going every part changes every second.
      */
     private void compare() {
-        final Map<String, Peer> partners = new HashMap<>();
-        final List<Peer> homes = roster.up("vault");
+        final Map<String, Member> partners = new HashMap<>();
+        final List<Member> homes = roster.up("vault");
         java.util.Collections.shuffle(homes, pulse.luck());
-        for (final Peer peer : homes) {
+        for (final Member peer : homes) {
             if (peer.ready) {
                 partners.putIfAbsent(peer.zone, peer);
             }
--- a/src/main/java/yewjunction/herald/package-info.java
+++ b/src/main/java/yewjunction/fanout/package-info.java
@@ -1,2 +1,2 @@
 /** From a home vault to its edges: committed messages in index order, subscriptions taken up, the leader's address. */
-package yewjunction.herald;
+package yewjunction.fanout;
--- a/src/main/java/yewjunction/dock/Dock.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -1,4 +1,4 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,54 +6,54 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongPredicate;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Charter;
-import yewjunction.charter.Tenure;
-import yewjunction.herald.Envoy;
-import yewjunction.loom.Line;
-import yewjunction.vault.Message;
-import yewjunction.weave.Weave;
-
-import static yewjunction.base.Limits.DOCK_SWEEP_MS;
-import static yewjunction.base.Limits.HOMELESS_MS;
-import static yewjunction.base.Limits.LAPSED_LINKS_MS;
-import static yewjunction.base.Limits.RENEW_MS;
-import static yewjunction.base.Limits.SILENT_PINGS;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.control.Configuration;
+import yewjunction.control.LeaseClient;
+import yewjunction.fanout.StreamClient;
+import yewjunction.transport.ClientConnection;
+import yewjunction.store.StoredMessage;
+import yewjunction.subscription.AddWinsSet;
+
+import static yewjunction.common.Limits.DOCK_SWEEP_MS;
+import static yewjunction.common.Limits.HOMELESS_MS;
+import static yewjunction.common.Limits.LAPSED_LINKS_MS;
+import static yewjunction.common.Limits.RENEW_MS;
+import static yewjunction.common.Limits.SILENT_PINGS;
 
 /** All clients of one edge. */
-public final class Dock implements Envoy.Watcher {
+public final class ClientRegistry implements StreamClient.Listener {
     /** turns; more than this held back under a lapsed lease is given up. */
     private static final int STALLED_MOST = 20_000;
-    private final Pulse pulse;
-    private final Tenure tenure;
-    private final Weave weave;
-    private final Requests requests;
-    private final Shipping shipping;
+    private final AgentContext pulse;
+    private final LeaseClient tenure;
+    private final AddWinsSet weave;
+    private final CommandHandler requests;
+    private final PublishForwarder shipping;
     private final long silentMs;
-    private final Map<String, Berth> clients = new HashMap<>();
-    private final Absentees absentees;
-    private final Boarding boarding;
-    private final Disorders disorders = new Disorders();
+    private final Map<String, ClientSession> clients = new HashMap<>();
+    private final DisconnectedClients absentees;
+    private final SubscriptionManager boarding;
+    private final OrderViolationCounters disorders = new OrderViolationCounters();
     private final ArrayDeque<Runnable> stalled = new ArrayDeque<>();
     private LongPredicate live = replica -> true;
-    private Drain drain;
+    private ConnectionDrainer drain;
     private long heldMs;
-    private Envoy envoy;
+    private StreamClient envoy;
 
-    public Dock(final Pulse pulse, final Post post, final Tenure tenure, final Weave weave, final double pingS) {
+    public ClientRegistry(final AgentContext pulse, final PeerTransport post, final LeaseClient tenure, final AddWinsSet weave, final double pingS) {
         this.pulse = pulse;
         this.tenure = tenure;
         this.weave = weave;
-        requests = new Requests(this, tenure, weave);
-        shipping = new Shipping(pulse, post, tenure.life());
-        absentees = new Absentees(weave);
-        boarding = new Boarding(this, pulse, weave);
+        requests = new CommandHandler(this, tenure, weave);
+        shipping = new PublishForwarder(pulse, post, tenure.life());
+        absentees = new DisconnectedClients(weave);
+        boarding = new SubscriptionManager(this, pulse, weave);
         silentMs = (long) (pingS * 1_000 * SILENT_PINGS);
         pulse.every(DOCK_SWEEP_MS, this::look);
     }
 
-    public void envoy(final Envoy chosenEnvoy) {
+    public void envoy(final StreamClient chosenEnvoy) {
         envoy = chosenEnvoy;
         boarding.envoy(chosenEnvoy);
     }
@@ -63,37 +63,37 @@
         live = chosenLive;
     }
 
-    public Line.Owner greet(final Line line) {
-        return new Berth(this, line, pulse.nowMs());
+    public ClientConnection.Handler greet(final ClientConnection line) {
+        return new ClientSession(this, line, pulse.nowMs());
     }
 
     long nowMs() {
         return pulse.nowMs();
     }
 
-    Requests requests() {
+    CommandHandler requests() {
         return requests;
     }
 
-    Boarding boarding() {
+    SubscriptionManager boarding() {
         return boarding;
     }
 
     /** Breaks of the declared order met here. */
-    public Disorders disorders() {
+    public OrderViolationCounters disorders() {
         return disorders;
     }
 
-    public Shipping shipping() {
+    public PublishForwarder shipping() {
         return shipping;
     }
 
-    List<Berth> berths() {
+    List<ClientSession> berths() {
         return new ArrayList<>(clients.values());
     }
 
     /** How many subscribe, from the home, or from here when that does not answer. */
-    void count(final Berth berth, final String topic) {
+    void count(final ClientSession berth, final String topic) {
         final boolean asked = envoy != null && envoy.weft().tally(topic, count -> {
             if (berth.line.open()) {
                 berth.count(topic, count >= 0 ? count : weave.count(topic, live));
@@ -104,8 +104,8 @@
         }
     }
 
-    void greeted(final Berth berth) {
-        final Berth older = clients.put(berth.client, berth);
+    void greeted(final ClientSession berth) {
+        final ClientSession older = clients.put(berth.client, berth);
         // The newest link owns the client: the older one gets nothing more.
         if (older != null) {
             older.line.close();
@@ -113,8 +113,8 @@
         absentees.here(berth.client);
     }
 
-    void gone(final Berth berth) {
-        for (final Sub sub : new ArrayList<>(berth.subs.values())) {
+    void gone(final ClientSession berth) {
+        for (final Subscription sub : new ArrayList<>(berth.subs.values())) {
             boarding.forget(sub);
         }
         shipping.gone(berth);
@@ -123,13 +123,13 @@
         }
     }
 
-    void moveIfDraining(final Berth berth) {
+    void moveIfDraining(final ClientSession berth) {
         if (drain != null) {
             drain.move(berth);
         }
     }
 
-    public void drain(final Drain chosenDrain) {
+    public void drain(final ConnectionDrainer chosenDrain) {
         drain = chosenDrain;
     }
 
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public void taken(final long request, final boolean expired, final long position, final List<Message> behind,
+    public void taken(final long request, final boolean expired, final long position, final List<StoredMessage> behind,
             final boolean more) {
         boarding.taken(request, expired, position, behind, more);
     }
@@ -147,7 +147,7 @@
     // --- messages ---
 
     @Override
-    public void message(final Message message) {
+    public void message(final StoredMessage message) {
         whenHeld(() -> boarding.deliver(message, pulse.nowMs()));
     }
 
@@ -176,7 +176,7 @@
 
     /** How often a filtered subscription's cursor is renewed: well before it could expire. */
     long renewMs(final String topic) {
-        final Charter.Space space = tenure.charter().space(topic);
+        final Configuration.Route space = tenure.charter().space(topic);
         return space == null ? RENEW_MS : Math.min(RENEW_MS, space.keepMs() / 4);
     }
 
@@ -190,11 +190,11 @@
         shipping.leaderHeard();
     }
 
-    public void configChanged(final Charter charter) {
+    public void configChanged(final Configuration charter) {
         boarding.charter(charter);
-        for (final Berth berth : berths()) {
+        for (final ClientSession berth : berths()) {
             for (final String topic : new ArrayList<>(berth.subs.keySet())) {
-                final String denial = Requests.charterDenial(charter, berth.secret, topic);
+                final String denial = CommandHandler.charterDenial(charter, berth.secret, topic);
                 if (denial != null) {
                     boarding.drop(berth, topic);
                     berth.refuse("SUB", topic, "", denial);
@@ -205,8 +205,8 @@
 
     /** Another edge took a client over: its instance here is cancelled, so the old link goes. */
     public void setChanged() {
-        for (final Berth berth : berths()) {
-            for (final Sub sub : berth.subs.values()) {
+        for (final ClientSession berth : berths()) {
+            for (final Subscription sub : berth.subs.values()) {
                 if (weave.instance(sub.topic, berth.client, weave.self()) == 0) {
                     berth.line.close();
                     break;
@@ -234,12 +234,12 @@
         shipping.look(nowMs);
         boarding.look(nowMs);
         envoy.weft().look();
-        for (final Berth berth : berths()) {
+        for (final ClientSession berth : berths()) {
             if (nowMs - berth.heardMs > silentMs) {
                 berth.line.close();
             }
         }
-        Ballast.cutSlowest(clients.values());
+        SlowReaderLimit.cutSlowest(clients.values());
         absentees.look(nowMs);
     }
 }
--- a/src/main/java/yewjunction/dock/Berth.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -1,29 +1,29 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewjunction.base.Event;
-import yewjunction.charter.Charter;
-import yewjunction.loom.Line;
-import yewjunction.loom.Outbox;
-import yewjunction.vault.Message;
+import yewjunction.common.LogEvent;
+import yewjunction.control.Configuration;
+import yewjunction.transport.ClientConnection;
+import yewjunction.transport.WriteBuffer;
+import yewjunction.store.StoredMessage;
 
-import static yewjunction.base.Limits.CLIENT_QUEUE_BYTES;
-import static yewjunction.base.Limits.FRESH_MS;
-import static yewjunction.base.Limits.ORDER_DENIED_MS;
+import static yewjunction.common.Limits.CLIENT_QUEUE_BYTES;
+import static yewjunction.common.Limits.FRESH_MS;
+import static yewjunction.common.Limits.ORDER_DENIED_MS;
 
 /** One client's link: what it has said, what it subscribes, and how answers are written to it. */
-final class Berth implements Line.Owner {
+final class ClientSession implements ClientConnection.Handler {
     private static final byte[] END = {'\r', '\n'};
-    final Line line;
-    final Map<String, Sub> subs = new LinkedHashMap<>();
+    final ClientConnection line;
+    final Map<String, Subscription> subs = new LinkedHashMap<>();
     /** Looks at each message once more before it is written. */
-    final Guard guard = new Guard();
+    final OrderingGuard guard = new OrderingGuard();
     /** When this client's messages to a space were last not accepted. */
     private final Map<String, Long> deniedMs = new HashMap<>(2);
-    private final Dock dock;
-    private final Words words = new Words();
+    private final ClientRegistry dock;
+    private final CommandParser words = new CommandParser();
     String client = "";
     String secret = "";
     long heardMs;
@@ -34,7 +34,7 @@
     int underWay;
     boolean moved;
 
-    Berth(final Dock dock, final Line line, final long nowMs) {
+    ClientSession(final ClientRegistry dock, final ClientConnection line, final long nowMs) {
         this.dock = dock;
         this.line = line;
         heardMs = nowMs;
@@ -50,14 +50,14 @@
         return first;
     }
 
-    void denied(final Charter.Space space, final long nowMs) {
+    void denied(final Configuration.Route space, final long nowMs) {
         if (space != null) {
             deniedMs.put(space.name(), nowMs);
         }
     }
 
     /** A message of this space was sent, most likely, before its sender heard that one it is to follow was not accepted. */
-    boolean bereft(final Charter.Space space, final long nowMs) {
+    boolean bereft(final Configuration.Route space, final long nowMs) {
         return space.after().stream().anyMatch(earlier -> nowMs - deniedMs.getOrDefault(earlier, Long.MIN_VALUE / 2) < ORDER_DENIED_MS);
     }
 
@@ -71,17 +71,17 @@
         int at = 0;
         while (at < length && line.open()) {
             final int state = words.wrap(bytes, at, length);
-            if (state == Words.MORE) {
+            if (state == CommandParser.MORE) {
                 break;
             }
-            if (state == Words.LOST) {
+            if (state == CommandParser.LOST) {
                 lost("BADMSG");
                 return length;
             }
-            if (state == Words.GOOD) {
+            if (state == CommandParser.GOOD) {
                 dock.requests().take(this, words);
             } else {
-                refuse("PUB", words.text(1), words.count() > 3 ? words.text(2) : "", state == Words.BAD ? "BADMSG" : "TOOBIG");
+                refuse("PUB", words.text(1), words.count() > 3 ? words.text(2) : "", state == CommandParser.BAD ? "BADMSG" : "TOOBIG");
                 if (words.bodyUnread()) {
                     line.closeSoon();
                     return length;
@@ -93,7 +93,7 @@
     }
 
     private void lost(final String reason) {
-        Event.CLIENT_GARBLED.info(client);
+        LogEvent.CLIENT_GARBLED.info(client);
         // The word can be told only when it stands there whole.
         if (words.count() > 0 && !words.text(0).isEmpty()) {
             refuse(words.text(0), "", "", reason);
@@ -106,23 +106,23 @@
         dock.gone(this);
     }
 
-    private static void field(final Outbox out, final String text) {
+    private static void field(final WriteBuffer out, final String text) {
         out.putAscii(" ");
         out.putAscii(text.isEmpty() ? "-" : text);
     }
 
-    private void done(final Outbox out) {
+    private void done(final WriteBuffer out) {
         out.put(END, 0, 2);
         // A client that reads slowly is cut; it takes up its cursors when it comes back.
         if (line.waiting() > CLIENT_QUEUE_BYTES) {
-            Event.CLIENT_SLOW.info(client);
+            LogEvent.CLIENT_SLOW.info(client);
             line.close();
         }
     }
 
     /** Fields at the end that are empty are left out. */
     void ok(final String about, final String topic, final String position, final String filter) {
-        final Outbox out = line.out();
+        final WriteBuffer out = line.out();
         out.putAscii("OK ");
         out.putAscii(about);
         if (!topic.isEmpty()) {
@@ -138,7 +138,7 @@
     }
 
     void refuse(final String about, final String topic, final String number, final String reason) {
-        final Outbox out = line.out();
+        final WriteBuffer out = line.out();
         out.putAscii("REFUSE ");
         out.putAscii(about);
         field(out, topic);
@@ -148,7 +148,7 @@
     }
 
     void ack(final String topic, final long number) {
-        final Outbox out = line.out();
+        final WriteBuffer out = line.out();
         out.putAscii("ACK ");
         out.putAscii(topic);
         out.putAscii(" ");
@@ -157,7 +157,7 @@
     }
 
     void count(final String topic, final int number) {
-        final Outbox out = line.out();
+        final WriteBuffer out = line.out();
         out.putAscii("COUNT ");
         out.putAscii(topic);
         out.putAscii(" ");
@@ -166,12 +166,12 @@
     }
 
     void plain(final String text) {
-        final Outbox out = line.out();
+        final WriteBuffer out = line.out();
         out.putAscii(text);
         done(out);
     }
 
-    void message(final Message message) {
+    void message(final StoredMessage message) {
         final String breach = guard.breach(message, dock.nowMs());
         if (breach != null) {
             // Never written out of place: the client's cursor decides what it gets when it comes back.
@@ -179,7 +179,7 @@
             line.close();
             return;
         }
-        final Outbox out = line.out();
+        final WriteBuffer out = line.out();
         out.putAscii("MSG ");
         out.putAscii(message.topic);
         out.putAscii(" ");
--- a/src/main/java/yewjunction/dock/Requests.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -1,35 +1,35 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Defect;
-import yewjunction.charter.Charter;
-import yewjunction.charter.Tenure;
-import yewjunction.weave.Weave;
+import yewjunction.common.YewjunctionException;
+import yewjunction.control.Configuration;
+import yewjunction.control.LeaseClient;
+import yewjunction.subscription.AddWinsSet;
 
-import static yewjunction.base.Defect.Code.FILTER_TOOBIG;
-import static yewjunction.base.Limits.HELLO_ANSWER_MS;
+import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_TOOBIG;
+import static yewjunction.common.Limits.HELLO_ANSWER_MS;
 
 /** What each word of a client asks for, checked against the configuration in force. */
-final class Requests {
+final class CommandHandler {
     /** bytes; a cursor of this system is a number and never longer. */
     private static final int POSITION_CHARS = 18;
-    private final List<Waiting> waiting = new ArrayList<>();
-    private final Dock dock;
-    private final Tenure tenure;
-    private final Weave weave;
+    private final List<PendingHello> waiting = new ArrayList<>();
+    private final ClientRegistry dock;
+    private final LeaseClient tenure;
+    private final AddWinsSet weave;
 
     /** A HELLO that this edge can't answer yet. */
-    private record Waiting(Berth berth, String client, String secret, long sinceMs) {
+    private record PendingHello(ClientSession berth, String client, String secret, long sinceMs) {
     }
 
-    Requests(final Dock dock, final Tenure tenure, final Weave weave) {
+    CommandHandler(final ClientRegistry dock, final LeaseClient tenure, final AddWinsSet weave) {
         this.dock = dock;
         this.tenure = tenure;
         this.weave = weave;
     }
 
-    void take(final Berth berth, final Words words) {
+    void take(final ClientSession berth, final CommandParser words) {
         if (words.is("PUB")) {
             publish(berth, words);
         } else if (words.is("PING")) {
@@ -47,14 +47,14 @@
         }
     }
 
-    private void hello(final Berth berth, final String client, final String secret) {
+    private void hello(final ClientSession berth, final String client, final String secret) {
         if (client.isEmpty() || berth.greeted()) {
             berth.refuse("HELLO", "", "", "BADMSG");
         } else if (able()) {
             greet(berth, client, secret);
         } else {
             // Starting, or the lease is being renewed: served as soon as that is done, which takes moments.
-            waiting.add(new Waiting(berth, client, secret, dock.nowMs()));
+            waiting.add(new PendingHello(berth, client, secret, dock.nowMs()));
         }
     }
 
@@ -66,9 +66,9 @@
         if (waiting.isEmpty()) {
             return;
         }
-        final List<Waiting> asked = new ArrayList<>(waiting);
+        final List<PendingHello> asked = new ArrayList<>(waiting);
         waiting.clear();
-        for (final Waiting one : asked) {
+        for (final PendingHello one : asked) {
             if (!one.berth.line.open() || one.berth.greeted()) {
                 continue;
             }
@@ -82,7 +82,7 @@
         }
     }
 
-    private void greet(final Berth berth, final String client, final String secret) {
+    private void greet(final ClientSession berth, final String client, final String secret) {
         if (!secret.isEmpty() && tenure.charter().tenantOfKey(secret) == null) {
             berth.refuse("HELLO", "", "", "DENIED");
             return;
@@ -96,15 +96,15 @@
     }
 
     /** Why this client may not use the topic right now, or null when it may. */
-    String denial(final Berth berth, final String topic) {
+    String denial(final ClientSession berth, final String topic) {
         if (!tenure.held() || weave.self() == 0) {
             return "RETRY";
         }
         return charterDenial(tenure.charter(), berth.secret, topic);
     }
 
-    static String charterDenial(final Charter charter, final String secret, final String topic) {
-        final Charter.Space space = charter.space(topic);
+    static String charterDenial(final Configuration charter, final String secret, final String topic) {
+        final Configuration.Route space = charter.space(topic);
         // The key comes first: a key that was taken away opens nothing, not even what is public.
         if (!secret.isEmpty() && charter.tenantOfKey(secret) == null) {
             return "DENIED";
@@ -115,7 +115,7 @@
         return secret.isEmpty() && !space.open() ? "DENIED" : null;
     }
 
-    private void subscribe(final Berth berth, final String topic, final String cursor, final String patterns) {
+    private void subscribe(final ClientSession berth, final String topic, final String cursor, final String patterns) {
         if (topic.isEmpty() || !berth.greeted()) {
             berth.refuse("SUB", topic, "", "BADMSG");
             return;
@@ -128,12 +128,12 @@
         final Filter filter;
         try {
             filter = patterns.isEmpty() ? null : Filter.read(patterns);
-        } catch (final Defect defect) {
+        } catch (final YewjunctionException defect) {
             // A filter that is in force stays so.
             berth.refuse("SUB", topic, "", defect.code() == FILTER_TOOBIG ? "TOOBIG" : "BADMSG");
             return;
         }
-        final Sub known = berth.subs.get(topic);
+        final Subscription known = berth.subs.get(topic);
         final long position = position(cursor);
         if (known != null) {
             dock.boarding().again(known, filter);
@@ -142,8 +142,8 @@
         } else if (position < -1) {
             berth.refuse("SUB", topic, "", "EXPIRED");
         } else {
-            final Charter.Tenant tenant = tenure.charter().tenantOfKey(berth.secret);
-            dock.boarding().join(new Sub(berth, topic, tenure.charter().space(topic), tenant == null ? "" : tenant.name(), position, filter, dock.nowMs()));
+            final Configuration.Tenant tenant = tenure.charter().tenantOfKey(berth.secret);
+            dock.boarding().join(new Subscription(berth, topic, tenure.charter().space(topic), tenant == null ? "" : tenant.name(), position, filter, dock.nowMs()));
         }
     }
 
@@ -158,7 +158,7 @@
         return Long.parseLong(cursor);
     }
 
-    private void unsubscribe(final Berth berth, final String topic) {
+    private void unsubscribe(final ClientSession berth, final String topic) {
         if (topic.isEmpty() || !berth.greeted()) {
             berth.refuse("UNSUB", topic, "", "BADMSG");
             return;
@@ -167,7 +167,7 @@
         berth.ok("UNSUB", topic, "", "");
     }
 
-    private void who(final Berth berth, final String topic) {
+    private void who(final ClientSession berth, final String topic) {
         final String denial = topic.isEmpty() || !berth.greeted() ? "BADMSG" : denial(berth, topic);
         if (denial != null) {
             berth.refuse("WHO", topic, "", denial);
@@ -176,7 +176,7 @@
         }
     }
 
-    private void publish(final Berth berth, final Words words) {
+    private void publish(final ClientSession berth, final CommandParser words) {
         final String topic = words.text(1);
         final long number = words.number(2);
         final boolean firstTry = berth.firstTry(number);
@@ -185,7 +185,7 @@
             berth.denied(tenure.charter() == null ? null : tenure.charter().space(topic), dock.nowMs());
             berth.refuse("PUB", topic, words.text(2), denial.equals("RETRY") && !firstTry ? "UNKNOWN" : denial);
         } else {
-            final Charter.Tenant tenant = tenure.charter().tenantOfKey(berth.secret);
+            final Configuration.Tenant tenant = tenure.charter().tenantOfKey(berth.secret);
             dock.shipping().ship(berth, topic, number, firstTry, tenant == null ? "" : tenant.name(),
                 tenure.charter().space(topic), words.bodyBytes());
         }
--- a/src/main/java/yewjunction/dock/Words.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -1,15 +1,15 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.nio.charset.StandardCharsets;
 import org.agrona.concurrent.UnsafeBuffer;
 
-import static yewjunction.base.Limits.BODY_BYTES;
-import static yewjunction.base.Limits.BODY_LEAST_BYTES;
-import static yewjunction.base.Limits.BODY_SKIP_BYTES;
-import static yewjunction.base.Limits.HEAD_BYTES;
+import static yewjunction.common.Limits.BODY_BYTES;
+import static yewjunction.common.Limits.BODY_LEAST_BYTES;
+import static yewjunction.common.Limits.BODY_SKIP_BYTES;
+import static yewjunction.common.Limits.HEAD_BYTES;
 
 /** Flyweight over one client message: a head line of words, and for PUB a body. */
-final class Words {
+final class CommandParser {
     static final int MORE = 0;
     static final int GOOD = 1;
     /** Readable as a message, but not valid: refused, and the stream goes on. */
--- a/src/main/java/yewjunction/dock/Drain.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -1,27 +1,27 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Event;
-import yewjunction.base.Pulse;
-import yewjunction.roster.Roster;
-import yewjunction.roster.Peer;
+import yewjunction.common.LogEvent;
+import yewjunction.common.AgentContext;
+import yewjunction.membership.MembershipList;
+import yewjunction.membership.Member;
 
-import static yewjunction.base.Limits.DRAIN_MS;
-import static yewjunction.base.Limits.MOVE_SPAN_MS;
-import static yewjunction.base.Limits.MOVE_STEP_MS;
+import static yewjunction.common.Limits.DRAIN_MS;
+import static yewjunction.common.Limits.MOVE_SPAN_MS;
+import static yewjunction.common.Limits.MOVE_STEP_MS;
 
 /** Moves an edge's clients to the other edges, paced and spread evenly, before it stops. */
-public final class Drain {
-    private final Pulse pulse;
-    private final Dock dock;
-    private final Roster roster;
+public final class ConnectionDrainer {
+    private final AgentContext pulse;
+    private final ClientRegistry dock;
+    private final MembershipList roster;
     private final Runnable done;
     private final long startMs;
     private int turn;
     private boolean over;
 
-    public Drain(final Pulse pulse, final Dock dock, final Roster roster, final Runnable done) {
+    public ConnectionDrainer(final AgentContext pulse, final ClientRegistry dock, final MembershipList roster, final Runnable done) {
         this.pulse = pulse;
         this.dock = dock;
         this.roster = roster;
@@ -31,7 +31,7 @@
     }
 
     public void start() {
-        Event.DRAIN_STARTED.info(dock.berths().size() + " links");
+        LogEvent.DRAIN_STARTED.info(dock.berths().size() + " links");
         dock.drain(this);
         step();
     }
@@ -43,8 +43,8 @@
         // Armed first: a step that fails must not be the last one.
         pulse.after(MOVE_STEP_MS, this::step);
         final long sinceMs = pulse.nowMs() - startMs;
-        final List<Berth> staying = new ArrayList<>();
-        for (final Berth berth : dock.berths()) {
+        final List<ClientSession> staying = new ArrayList<>();
+        for (final ClientSession berth : dock.berths()) {
             if (!berth.moved) {
                 staying.add(berth);
             }
@@ -56,29 +56,29 @@
         staying.stream().limit(chosen).forEach(this::move);
         // New links keep coming until the platform has seen that this node is not ready: it listens to the end.
         if (sinceMs >= DRAIN_MS || dock.berths().isEmpty() && sinceMs >= DRAIN_MS - MOVE_SPAN_MS / 2) {
-            Event.DRAIN_DONE.info(dock.berths().size() + " links left");
+            LogEvent.DRAIN_DONE.info(dock.berths().size() + " links left");
             over = true;
             done.run();
         }
     }
 
-    void move(final Berth berth) {
-        final Peer target = target();
+    void move(final ClientSession berth) {
+        final Member target = target();
         if (target != null) {
             berth.moved = true;
             berth.plain("MOVE " + target.front);
         }
     }
 
-    private Peer target() {
-        final List<Peer> near = new ArrayList<>();
-        final List<Peer> far = new ArrayList<>();
-        for (final Peer peer : roster.up("tide")) {
+    private Member target() {
+        final List<Member> near = new ArrayList<>();
+        final List<Member> far = new ArrayList<>();
+        for (final Member peer : roster.up("tide")) {
             if (peer.ready && !peer.front.isEmpty()) {
                 (peer.zone.equals(roster.self().zone) ? near : far).add(peer);
             }
         }
-        final List<Peer> chosen = near.isEmpty() ? far : near;
+        final List<Member> chosen = near.isEmpty() ? far : near;
         return chosen.isEmpty() ? null : chosen.get(Math.floorMod(turn++, chosen.size()));
     }
 }
--- a/src/main/java/yewjunction/dock/Absentees.java
+++ b/src/main/java/yewjunction/gateway/DisconnectedClients.java
@@ -1,17 +1,17 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.HashMap;
 import java.util.Map;
-import yewjunction.weave.Weave;
+import yewjunction.subscription.AddWinsSet;
 
-import static yewjunction.base.Limits.AWAY_MS;
+import static yewjunction.common.Limits.AWAY_MS;
 
 /** Clients of this edge that have no link now; one that stays away long enough is taken out of the set. */
-final class Absentees {
-    private final Weave weave;
+final class DisconnectedClients {
+    private final AddWinsSet weave;
     private final Map<String, Long> awayMs = new HashMap<>();
 
-    Absentees(final Weave weave) {
+    DisconnectedClients(final AddWinsSet weave) {
         this.weave = weave;
     }
 
--- a/src/main/java/yewjunction/dock/Filter.java
+++ b/src/main/java/yewjunction/gateway/Filter.java
@@ -1,14 +1,14 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
-import static yewjunction.base.Defect.Code.FILTER_BAD;
-import static yewjunction.base.Defect.Code.FILTER_TOOBIG;
-import static yewjunction.base.Limits.FILTER_BYTES;
-import static yewjunction.base.Limits.FILTER_PATTERNS;
+import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_BAD;
+import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_TOOBIG;
+import static yewjunction.common.Limits.FILTER_BYTES;
+import static yewjunction.common.Limits.FILTER_PATTERNS;
 
 /**
  * Which of a topic's messages one subscriber wants, judged by the key: the body's first word. A flyweight over bodies:
@@ -33,19 +33,19 @@
     static Filter read(final String text) {
         final String[] patterns = text.split(",", -1);
         if (text.length() > FILTER_BYTES || patterns.length > FILTER_PATTERNS) {
-            throw new Defect(FILTER_TOOBIG, "at most " + FILTER_PATTERNS + " patterns and " + FILTER_BYTES + " bytes");
+            throw new YewjunctionException(FILTER_TOOBIG, "at most " + FILTER_PATTERNS + " patterns and " + FILTER_BYTES + " bytes");
         }
         final List<byte[]> exact = new ArrayList<>();
         final List<byte[]> beginnings = new ArrayList<>();
         for (final String pattern : patterns) {
             final int star = pattern.indexOf('*');
             if (pattern.isEmpty() || star >= 0 && star < pattern.length() - 1) {
-                throw new Defect(FILTER_BAD, "a pattern is a key, or its beginning and one * at the end");
+                throw new YewjunctionException(FILTER_BAD, "a pattern is a key, or its beginning and one * at the end");
             }
             if (star < 0) {
-                exact.add(Words.ascii(pattern));
+                exact.add(CommandParser.ascii(pattern));
             } else {
-                beginnings.add(Words.ascii(pattern.substring(0, star)));
+                beginnings.add(CommandParser.ascii(pattern.substring(0, star)));
             }
         }
         return new Filter(text, sorted(exact), withoutCovered(sorted(beginnings)));
--- a/src/main/java/yewjunction/dock/Disorders.java
+++ b/src/main/java/yewjunction/gateway/OrderViolationCounters.java
@@ -1,24 +1,24 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewjunction.base.Event;
-import yewjunction.charter.Disorder;
+import yewjunction.common.LogEvent;
+import yewjunction.control.OrderViolations;
 
-import static yewjunction.base.Limits.DISORDER_CHANNELS;
+import static yewjunction.common.Limits.DISORDER_CHANNELS;
 
 /** Breaks of the declared order that this edge met since its start, by channel. */
-public final class Disorders {
+public final class OrderViolationCounters {
     /** Where all further channels are counted together. */
     private static final String OTHERS = "*";
-    private final Map<String, Disorder> byTopic = new TreeMap<>();
+    private final Map<String, OrderViolations> byTopic = new TreeMap<>();
 
-    private Disorder of(final String topic) {
+    private OrderViolations of(final String topic) {
         final String key = byTopic.containsKey(topic) || byTopic.size() < DISORDER_CHANNELS ? topic : OTHERS;
         return byTopic.computeIfAbsent(key, name -> {
-            final Disorder fresh = new Disorder();
+            final OrderViolations fresh = new OrderViolations();
             fresh.topic = name;
             return fresh;
         });
@@ -26,16 +26,16 @@
 
     void broken(final String topic, final String client, final String breach) {
         of(topic).breaks++;
-        Event.ORDER_BROKEN.warn(topic + " to " + client + ": " + breach);
+        LogEvent.ORDER_BROKEN.warn(topic + " to " + client + ": " + breach);
     }
 
     /** What the client lacks is no longer kept: nothing can close the gap behind its cursor. */
     void gap(final String topic, final String client, final long position) {
         of(topic).gaps++;
-        Event.ORDER_GAP.info(topic + " to " + client + ": nothing kept reaches back to " + position);
+        LogEvent.ORDER_GAP.info(topic + " to " + client + ": nothing kept reaches back to " + position);
     }
 
-    public List<Disorder> all() {
+    public List<OrderViolations> all() {
         return new ArrayList<>(byTopic.values());
     }
 }
--- a/src/main/java/yewjunction/dock/Guard.java
+++ b/src/main/java/yewjunction/gateway/OrderingGuard.java
@@ -1,26 +1,26 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewjunction.charter.Charter.Space;
-import yewjunction.vault.Message;
+import yewjunction.control.Configuration.Route;
+import yewjunction.store.StoredMessage;
 
-import static yewjunction.base.Limits.GUARD_SENDERS;
-import static yewjunction.base.Limits.NUMBER_MS;
+import static yewjunction.common.Limits.GUARD_SENDERS;
+import static yewjunction.common.Limits.NUMBER_MS;
 
 /**
  * The last look before a message is written to a link. It knows what was written there and what the channels declare, and
  * nothing of how messages get there, so it finds what the mechanisms miss.
  */
-final class Guard {
-    private final Map<String, Watch> watches = new HashMap<>();
+final class OrderingGuard {
+    private final Map<String, WrittenMessages> watches = new HashMap<>();
     /** Messages written to this link: tells what was written before a subscription began. */
     private long writes;
 
     /** What was written of one subscription. */
-    private static final class Watch {
-        Space space;
+    private static final class WrittenMessages {
+        Route space;
         long openedAt;
         long lastIndex = -1;
         long lastWrite;
@@ -35,8 +35,8 @@
         };
     }
 
-    void opened(final String topic, final Space space) {
-        final Watch watch = new Watch();
+    void opened(final String topic, final Route space) {
+        final WrittenMessages watch = new WrittenMessages();
         watch.space = space;
         watch.openedAt = writes;
         watches.put(topic, watch);
@@ -47,16 +47,16 @@
     }
 
     /** Another configuration: what the channel declares from now on. */
-    void declared(final String topic, final Space space) {
-        final Watch watch = watches.get(topic);
+    void declared(final String topic, final Route space) {
+        final WrittenMessages watch = watches.get(topic);
         if (watch != null) {
             watch.space = space;
         }
     }
 
     /** What writing it would break, or null: then it counts as written. */
-    String breach(final Message message, final long nowMs) {
-        final Watch watch = watches.get(message.topic);
+    String breach(final StoredMessage message, final long nowMs) {
+        final WrittenMessages watch = watches.get(message.topic);
         if (watch == null) {
             return "not subscribed";
         }
@@ -67,8 +67,8 @@
         if (last != null && nowMs - last[1] < NUMBER_MS && message.number <= last[0]) {
             return message.index + ": number " + message.number + " of " + message.client + " after " + last[0];
         }
-        for (final Map.Entry<String, Watch> other : watches.entrySet()) {
-            final Watch later = other.getValue();
+        for (final Map.Entry<String, WrittenMessages> other : watches.entrySet()) {
+            final WrittenMessages later = other.getValue();
             // Whoever follows this channel may have written only what is earlier, since this one was subscribed.
             if (later.lastIndex > message.index && later.lastWrite > watch.openedAt && later.space != null && watch.space != null
                 && later.space.follows(watch.space)) {
--- a/src/main/java/yewjunction/dock/Pipeline.java
+++ b/src/main/java/yewjunction/gateway/PublishDependencies.java
@@ -1,4 +1,4 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.dock.Intake.Parcel;
+import yewjunction.gateway.PublishQueue.PendingPublish;
 
 /**
  * Messages that stay at the edge until their sender's lower numbers on the channels theirs follows are settled: only so do
  * they get a later place in the log.
  */
-final class Pipeline {
-    private final Map<Parcel, Set<Parcel>> held = new LinkedHashMap<>();
+final class PublishDependencies {
+    private final Map<PendingPublish, Set<PendingPublish>> held = new LinkedHashMap<>();
 
     /** True when it waits for some of those under way. */
-    boolean holds(final Parcel parcel, final Collection<Parcel> underWay) {
-        final Set<Parcel> earlier = new HashSet<>();
-        for (final Parcel other : underWay) {
+    boolean holds(final PendingPublish parcel, final Collection<PendingPublish> underWay) {
+        final Set<PendingPublish> earlier = new HashSet<>();
+        for (final PendingPublish other : underWay) {
             if (other.berth == parcel.berth && other.message.number < parcel.message.number && parcel.space.follows(other.space)) {
                 earlier.add(other);
             }
@@ -30,17 +30,17 @@
         return !earlier.isEmpty();
     }
 
-    boolean holding(final Parcel parcel) {
+    boolean holding(final PendingPublish parcel) {
         return held.containsKey(parcel);
     }
 
-    void drop(final Parcel parcel) {
+    void drop(final PendingPublish parcel) {
         held.remove(parcel);
     }
 
     /** One that waited no longer does: those that have nothing left to wait for. */
-    List<Parcel> accepted(final Parcel parcel) {
-        final List<Parcel> free = new ArrayList<>();
+    List<PendingPublish> accepted(final PendingPublish parcel) {
+        final List<PendingPublish> free = new ArrayList<>();
         held.forEach((later, earlier) -> {
             if (earlier.remove(parcel) && earlier.isEmpty()) {
                 free.add(later);
@@ -51,8 +51,8 @@
     }
 
     /** What they were to follow was not accepted: they must not go either. */
-    List<Parcel> bereft(final Parcel parcel) {
-        final List<Parcel> bereft = new ArrayList<>();
+    List<PendingPublish> bereft(final PendingPublish parcel) {
+        final List<PendingPublish> bereft = new ArrayList<>();
         held.forEach((later, earlier) -> {
             if (earlier.contains(parcel)) {
                 bereft.add(later);
--- a/src/main/java/yewjunction/dock/Shipping.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -1,39 +1,39 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewjunction.base.Event;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.base.Questions;
-import yewjunction.charter.Charter.Space;
-import yewjunction.dock.Intake.Parcel;
-import yewjunction.vault.Letters;
-import yewjunction.vault.Letters.Admit;
-import yewjunction.vault.Letters.Verdict;
-import yewjunction.vault.Message;
-
-import static yewjunction.base.Limits.ANSWER_SHARE;
-import static yewjunction.base.Limits.DARK_MS;
-import static yewjunction.base.Limits.HOLD_SHARE;
-import static yewjunction.base.Limits.INTAKE_WINDOW;
-import static yewjunction.base.Limits.OFFER_FIRST_MS;
-import static yewjunction.base.Limits.OFFER_MOST_MS;
+import yewjunction.common.LogEvent;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.common.PendingRequests;
+import yewjunction.control.Configuration.Route;
+import yewjunction.gateway.PublishQueue.PendingPublish;
+import yewjunction.store.AdmissionMessages;
+import yewjunction.store.AdmissionMessages.AdmitRequest;
+import yewjunction.store.AdmissionMessages.AdmitResponse;
+import yewjunction.store.StoredMessage;
+
+import static yewjunction.common.Limits.ANSWER_SHARE;
+import static yewjunction.common.Limits.DARK_MS;
+import static yewjunction.common.Limits.HOLD_SHARE;
+import static yewjunction.common.Limits.INTAKE_WINDOW;
+import static yewjunction.common.Limits.OFFER_FIRST_MS;
+import static yewjunction.common.Limits.OFFER_MOST_MS;
 
 /**
  * Messages on their way from this edge's clients to the leading vault. There is one history, and only the leader adds to
  * it: while none is in reach messages wait in the intake, and are folded in when one is.
  */
-public final class Shipping {
-    private final Pulse pulse;
-    private final Post post;
-    private final Intake intake = new Intake();
-    private final Pipeline pipeline = new Pipeline();
-    private final Map<Long, Parcel> parcels = new LinkedHashMap<>();
-    private final Questions<Link, Parcel> offers;
-    private Link leaderLink;
+public final class PublishForwarder {
+    private final AgentContext pulse;
+    private final PeerTransport post;
+    private final PublishQueue intake = new PublishQueue();
+    private final PublishDependencies pipeline = new PublishDependencies();
+    private final Map<Long, PendingPublish> parcels = new LinkedHashMap<>();
+    private final PendingRequests<PeerConnection, PendingPublish> offers;
+    private PeerConnection leaderLink;
     private String leader = "";
     private long requests;
     private int offered;
@@ -44,11 +44,11 @@
     private long unansweredMs;
     private boolean dark;
 
-    Shipping(final Pulse pulse, final Post post, final long life) {
+    PublishForwarder(final AgentContext pulse, final PeerTransport post, final long life) {
         this.pulse = pulse;
         this.post = post;
-        offers = new Questions<>(life);
-        post.on(Verdict.class, this::verdict);
+        offers = new PendingRequests<>(life);
+        post.on(AdmitResponse.class, this::verdict);
         post.onClose(link -> {
             if (link == leaderLink) {
                 leaderLink = null;
@@ -58,15 +58,15 @@
         });
     }
 
-    void ship(final Berth berth, final String topic, final long number, final boolean firstTry, final String tenant,
-            final Space space, final byte[] body) {
-        final Message message = new Message();
+    void ship(final ClientSession berth, final String topic, final long number, final boolean firstTry, final String tenant,
+            final Route space, final byte[] body) {
+        final StoredMessage message = new StoredMessage();
         message.topic = topic;
         message.client = berth.client;
         message.number = number;
         message.body = body;
         message.tenant(tenant);
-        final Parcel parcel = new Parcel(++requests, berth, message, tenant, pulse.nowMs(), space);
+        final PendingPublish parcel = new PendingPublish(++requests, berth, message, tenant, pulse.nowMs(), space);
         parcel.sent = !firstTry;
         // No prospect: said at once, and the client may try where there is more.
         final boolean follows = !space.after().isEmpty();
@@ -95,8 +95,8 @@
             if (leaderLink == null || !leaderLink.open()) {
                 leaderLink = post.dial(leader);
             }
-            final Parcel parcel = intake.next();
-            final Admit admit = new Admit();
+            final PendingPublish parcel = intake.next();
+            final AdmitRequest admit = new AdmitRequest();
             admit.request = parcel.offer(offers, leaderLink);
             admit.message = parcel.message;
             admit.revoked = parcel.revoked ? true : null;
@@ -148,17 +148,17 @@
         unansweredMs = 0;
         if (dark) {
             dark = false;
-            Event.SITE_BACK.info("folding in " + intake.size() + " messages");
+            LogEvent.SITE_BACK.info("folding in " + intake.size() + " messages");
         }
     }
 
-    private void verdict(final Link link, final Verdict verdict) {
-        final Parcel parcel = offers.answered(verdict.request, link);
+    private void verdict(final PeerConnection link, final AdmitResponse verdict) {
+        final PendingPublish parcel = offers.answered(verdict.request, link);
         // Bad news on an earlier offer binds nobody once another leader, or the same one anew, has been asked.
-        if (parcel == null || verdict.what != Letters.ACCEPTED && !parcel.newestOffer(verdict.request)) {
+        if (parcel == null || verdict.what != AdmissionMessages.ACCEPTED && !parcel.newestOffer(verdict.request)) {
             return;
         }
-        if (verdict.what == Letters.ELSEWHERE) {
+        if (verdict.what == AdmissionMessages.ELSEWHERE) {
             // Not leading, or not yet: the first word says it all.
             if (link == leaderLink && offered > 0) {
                 takeBack();
@@ -170,7 +170,7 @@
         settled(parcel);
         pauseMs = OFFER_FIRST_MS;
         inTouch();
-        if (verdict.what == Letters.ACCEPTED) {
+        if (verdict.what == AdmissionMessages.ACCEPTED) {
             parcel.berth.ack(parcel.message.topic, parcel.message.number);
             pipeline.accepted(parcel).forEach(intake::put);
         } else {
@@ -179,7 +179,7 @@
         offer();
     }
 
-    private void settled(final Parcel parcel) {
+    private void settled(final PendingPublish parcel) {
         parcel.offers.forEach(offers::drop);
         parcel.berth.underWay--;
         pipeline.drop(parcel);
@@ -191,14 +191,14 @@
     }
 
     /** Not accepted here, as far as is known: RETRY promises that it never left this edge. */
-    private void giveUp(final Parcel parcel) {
+    private void giveUp(final PendingPublish parcel) {
         refuse(parcel, parcel.sent ? "UNKNOWN" : "RETRY");
     }
 
-    private void refuse(final Parcel parcel, final String reason) {
+    private void refuse(final PendingPublish parcel, final String reason) {
         parcel.berth.denied(parcel.space, pulse.nowMs());
         // What was to follow it must not get a place in the log before it.
-        for (final Parcel later : pipeline.bereft(parcel)) {
+        for (final PendingPublish later : pipeline.bereft(parcel)) {
             if (later.sent) {
                 // Another edge may have sent it on: the leader says what became of it, and that nothing more will.
                 later.revoked = true;
@@ -213,7 +213,7 @@
     }
 
     void look(final long nowMs) {
-        for (final Parcel parcel : new ArrayList<>(parcels.values())) {
+        for (final PendingPublish parcel : new ArrayList<>(parcels.values())) {
             final long heldMs = nowMs - parcel.startMs;
             // What never left is promised away early; of the rest nothing is known here.
             if (heldMs > parcel.timeoutMs * (parcel.sent ? ANSWER_SHARE : HOLD_SHARE)) {
@@ -225,7 +225,7 @@
         }
         if (!dark && unansweredMs > 0 && nowMs - unansweredMs > DARK_MS) {
             dark = true;
-            Event.SITE_DARK.warn("no leader answers, " + parcels.size() + " messages wait");
+            LogEvent.SITE_DARK.warn("no leader answers, " + parcels.size() + " messages wait");
         }
         offer();
     }
@@ -241,7 +241,7 @@
     }
 
     /** A link is gone: its messages are not sent again from here, since the client will do so elsewhere. */
-    void gone(final Berth berth) {
+    void gone(final ClientSession berth) {
         parcels.values().stream().filter(parcel -> parcel.berth == berth).toList().forEach(parcel -> {
             parcels.remove(parcel.request);
             settled(parcel);
--- a/src/main/java/yewjunction/dock/Intake.java
+++ b/src/main/java/yewjunction/gateway/PublishQueue.java
@@ -1,32 +1,32 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewjunction.base.Link;
-import yewjunction.base.Questions;
-import yewjunction.charter.Charter.Space;
-import yewjunction.vault.Message;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PendingRequests;
+import yewjunction.control.Configuration.Route;
+import yewjunction.store.StoredMessage;
 
-import static yewjunction.base.Limits.INTAKE_BYTES;
-import static yewjunction.base.Limits.INTAKE_MOST;
+import static yewjunction.common.Limits.INTAKE_BYTES;
+import static yewjunction.common.Limits.INTAKE_MOST;
 
 /** Messages that wait to be offered to a leader: a lane for each tenant, in the order of arrival, and lanes take turns. */
-final class Intake {
-    private final Map<String, ArrayDeque<Parcel>> lanes = new LinkedHashMap<>();
+final class PublishQueue {
+    private final Map<String, ArrayDeque<PendingPublish>> lanes = new LinkedHashMap<>();
     private int size;
     private long bytes;
 
     /** One message of a client, until it has its final answer. */
-    static final class Parcel {
+    static final class PendingPublish {
         final long request;
-        final Berth berth;
-        final Message message;
+        final ClientSession berth;
+        final StoredMessage message;
         final String tenant;
         final long startMs;
-        final Space space;
+        final Route space;
         final long timeoutMs;
         /** On its way to a leader right now. */
         boolean offered;
@@ -38,8 +38,8 @@
         /** It must not be accepted any more, and only a leader may promise that. */
         boolean revoked;
 
-        Parcel(final long request, final Berth berth, final Message message, final String tenant, final long startMs,
-                final Space space) {
+        PendingPublish(final long request, final ClientSession berth, final StoredMessage message, final String tenant, final long startMs,
+                final Route space) {
             this.request = request;
             this.berth = berth;
             this.message = message;
@@ -50,7 +50,7 @@
         }
 
         /** Goes to a leader; the number that its verdict is to repeat. */
-        long offer(final Questions<Link, Parcel> questions, final Link link) {
+        long offer(final PendingRequests<PeerConnection, PendingPublish> questions, final PeerConnection link) {
             offered = true;
             sent = true;
             final long number = questions.ask(link, this);
@@ -64,7 +64,7 @@
     }
 
     /** False when there is no room. */
-    boolean add(final Parcel parcel) {
+    boolean add(final PendingPublish parcel) {
         if (size >= INTAKE_MOST || bytes >= INTAKE_BYTES) {
             return false;
         }
@@ -73,17 +73,17 @@
     }
 
     /** One that had its place already. */
-    void put(final Parcel parcel) {
+    void put(final PendingPublish parcel) {
         lanes.computeIfAbsent(parcel.tenant, key -> new ArrayDeque<>()).add(parcel);
         size++;
         bytes += parcel.message.body.length;
     }
 
     /** The next one of the tenant whose turn it is; the tenant then waits until all others had theirs. */
-    Parcel next() {
-        final Map.Entry<String, ArrayDeque<Parcel>> first = lanes.entrySet().iterator().next();
-        final ArrayDeque<Parcel> lane = lanes.remove(first.getKey());
-        final Parcel parcel = lane.poll();
+    PendingPublish next() {
+        final Map.Entry<String, ArrayDeque<PendingPublish>> first = lanes.entrySet().iterator().next();
+        final ArrayDeque<PendingPublish> lane = lanes.remove(first.getKey());
+        final PendingPublish parcel = lane.poll();
         if (!lane.isEmpty()) {
             lanes.put(first.getKey(), lane);
         }
@@ -91,8 +91,8 @@
         return parcel;
     }
 
-    void remove(final Parcel parcel) {
-        final ArrayDeque<Parcel> lane = lanes.get(parcel.tenant);
+    void remove(final PendingPublish parcel) {
+        final ArrayDeque<PendingPublish> lane = lanes.get(parcel.tenant);
         if (lane != null && lane.remove(parcel)) {
             left(parcel);
             if (lane.isEmpty()) {
@@ -101,7 +101,7 @@
         }
     }
 
-    private void left(final Parcel parcel) {
+    private void left(final PendingPublish parcel) {
         size--;
         bytes -= parcel.message.body.length;
     }
--- a/src/main/java/yewjunction/dock/Replays.java
+++ b/src/main/java/yewjunction/gateway/ReplayScheduler.java
@@ -1,64 +1,64 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewjunction.base.Pulse;
-import yewjunction.vault.Message;
+import yewjunction.common.AgentContext;
+import yewjunction.store.StoredMessage;
 
-import static yewjunction.base.Limits.DOCK_SWEEP_MS;
-import static yewjunction.base.Limits.ORDER_LOOK_MS;
-import static yewjunction.base.Limits.ORDER_WAIT_MS;
-import static yewjunction.base.Limits.REPLAY_LINE_BYTES;
-import static yewjunction.base.Limits.REPLAY_LIVE_MOST;
-import static yewjunction.base.Limits.REPLAY_TURN_BYTES;
-import static yewjunction.base.Limits.REPLAY_TURN_MS;
+import static yewjunction.common.Limits.DOCK_SWEEP_MS;
+import static yewjunction.common.Limits.ORDER_LOOK_MS;
+import static yewjunction.common.Limits.ORDER_WAIT_MS;
+import static yewjunction.common.Limits.REPLAY_LINE_BYTES;
+import static yewjunction.common.Limits.REPLAY_LIVE_MOST;
+import static yewjunction.common.Limits.REPLAY_TURN_BYTES;
+import static yewjunction.common.Limits.REPLAY_TURN_MS;
 
 /**
  * Subscriptions that catch up with older messages. Tenants take turns, each with the same number of bytes, so that one
  * with much to catch up holds up nobody else; what is new goes to everyone else's clients at once, beside all this.
  */
-final class Replays {
-    private final Pulse pulse;
-    private final Consumer<Sub> asker;
-    private final Map<String, Turn> turns = new LinkedHashMap<>();
-    private final Precedence precedence;
+final class ReplayScheduler {
+    private final AgentContext pulse;
+    private final Consumer<Subscription> asker;
+    private final Map<String, TenantReplays> turns = new LinkedHashMap<>();
+    private final OrderingConstraints precedence;
     private boolean stepping;
     private int written;
     private boolean held;
 
     /** One tenant's subscriptions that catch up, and what of its last turn it may still use. */
-    private static final class Turn {
-        final ArrayDeque<Sub> subs = new ArrayDeque<>();
+    private static final class TenantReplays {
+        final ArrayDeque<Subscription> subs = new ArrayDeque<>();
         int bytes;
     }
 
     /** Asker: fetches the next piece of a subscription's older messages. */
-    Replays(final Pulse pulse, final Precedence precedence, final Consumer<Sub> asker) {
+    ReplayScheduler(final AgentContext pulse, final OrderingConstraints precedence, final Consumer<Subscription> asker) {
         this.pulse = pulse;
         this.precedence = precedence;
         this.asker = asker;
     }
 
     /** What one subscription may write at once: a short replay needs no turns. */
-    static boolean isShort(final Iterable<Message> messages) {
+    static boolean isShort(final Iterable<StoredMessage> messages) {
         int bytes = 0;
-        for (final Message message : messages) {
+        for (final StoredMessage message : messages) {
             bytes += size(message);
         }
         return bytes <= REPLAY_TURN_BYTES;
     }
 
-    private static int size(final Message message) {
+    private static int size(final StoredMessage message) {
         return message.body.length + message.topic.length() + message.client.length() + 24;
     }
 
     /** The subscription has something to write, or a next piece to ask for. */
-    void add(final Sub sub) {
+    void add(final Subscription sub) {
         sub.catching = true;
-        final Turn turn = turns.computeIfAbsent(sub.tenant, key -> new Turn());
+        final TenantReplays turn = turns.computeIfAbsent(sub.tenant, key -> new TenantReplays());
         if (!turn.subs.contains(sub)) {
             turn.subs.add(sub);
         }
@@ -69,7 +69,7 @@
     }
 
     /** A new message for a subscription that still catches up waits behind the older ones. */
-    void hold(final Sub sub, final Message message) {
+    void hold(final Subscription sub, final StoredMessage message) {
         sub.live.add(message);
         if (sub.live.size() > REPLAY_LIVE_MOST) {
             // It takes up its cursors again, which asks for pieces in place of holding them here.
@@ -81,11 +81,11 @@
         final long nowMs = pulse.nowMs();
         written = 0;
         held = false;
-        for (final Iterator<Turn> each = turns.values().iterator(); each.hasNext();) {
-            final Turn turn = each.next();
+        for (final Iterator<TenantReplays> each = turns.values().iterator(); each.hasNext();) {
+            final TenantReplays turn = each.next();
             turn.bytes += REPLAY_TURN_BYTES;
             for (int left = turn.subs.size(); left > 0 && turn.bytes > 0; left--) {
-                final Sub sub = turn.subs.poll();
+                final Subscription sub = turn.subs.poll();
                 if (write(sub, turn, nowMs)) {
                     turn.subs.add(sub);
                 }
@@ -103,7 +103,7 @@
     }
 
     /** The channel follows others: whether earlier messages of those are still to be written, or may be named yet. */
-    private boolean waits(final Sub sub, final Message message, final long nowMs) {
+    private boolean waits(final Subscription sub, final StoredMessage message, final long nowMs) {
         final boolean waits = precedence.bursting(sub, nowMs) || message != null && !precedence.free(sub, message.index);
         if (!waits) {
             sub.heldMs = 0;
@@ -119,7 +119,7 @@
     }
 
     /** True while the subscription still has something to write. */
-    private boolean write(final Sub sub, final Turn turn, final long nowMs) {
+    private boolean write(final Subscription sub, final TenantReplays turn, final long nowMs) {
         if (!sub.berth.line.open() || sub.berth.subs.get(sub.topic) != sub) {
             return false;
         }
@@ -135,8 +135,8 @@
                 }
                 return false;
             }
-            final ArrayDeque<Message> queue = sub.replay.isEmpty() ? sub.live : sub.replay;
-            final Message message = queue.peek();
+            final ArrayDeque<StoredMessage> queue = sub.replay.isEmpty() ? sub.live : sub.replay;
+            final StoredMessage message = queue.peek();
             if (precedence.follows(sub) && waits(sub, message, nowMs)) {
                 return true;
             }
--- a/src/main/java/yewjunction/dock/Sub.java
+++ b/src/main/java/yewjunction/gateway/Subscription.java
@@ -1,12 +1,12 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayDeque;
-import yewjunction.charter.Charter.Space;
-import yewjunction.vault.Message;
+import yewjunction.control.Configuration.Route;
+import yewjunction.store.StoredMessage;
 
 /** One topic on one client's link. */
-final class Sub {
-    final Berth berth;
+final class Subscription {
+    final ClientSession berth;
     final String topic;
     /** Whose turn its catching up takes. */
     final String tenant;
@@ -14,7 +14,7 @@
     final long position;
     final long sinceMs;
     /** What its channel declares, by the configuration in force. */
-    Space space;
+    Route space;
     long instance;
     /** Messages up to here were judged: delivered, or not wanted. */
     long after;
@@ -27,8 +27,8 @@
     private long told;
     private long toldMs;
     /** Older messages on their way: those that came, those that come meanwhile and wait, and whether more are to be asked. */
-    final ArrayDeque<Message> replay = new ArrayDeque<>();
-    final ArrayDeque<Message> live = new ArrayDeque<>();
+    final ArrayDeque<StoredMessage> replay = new ArrayDeque<>();
+    final ArrayDeque<StoredMessage> live = new ArrayDeque<>();
     boolean catching;
     /** Where the older messages end that are still to be asked for; 0 when none are. */
     long replayTo;
@@ -36,7 +36,7 @@
     /** Since when its next message waits for an earlier one of another channel; 0 while none does. */
     long heldMs;
 
-    Sub(final Berth berth, final String topic, final Space space, final String tenant, final long position, final Filter filter,
+    Subscription(final ClientSession berth, final String topic, final Route space, final String tenant, final long position, final Filter filter,
             final long sinceMs) {
         this.space = space;
         this.berth = berth;
@@ -91,7 +91,7 @@
     }
 
     /** Each message is judged once, in its order, by the filter in force at that moment. */
-    void deliver(final Message message, final long nowMs) {
+    void deliver(final StoredMessage message, final long nowMs) {
         // Invariant of the stream: each index once and in order, whichever way it came.
         if (open && message.index > after) {
             after = message.index;
--- a/src/main/java/yewjunction/dock/Boarding.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -1,4 +1,4 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,48 +8,48 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Charter;
-import yewjunction.herald.Envoy;
-import yewjunction.vault.Message;
-import yewjunction.weave.Weave;
+import yewjunction.common.AgentContext;
+import yewjunction.control.Configuration;
+import yewjunction.fanout.StreamClient;
+import yewjunction.store.StoredMessage;
+import yewjunction.subscription.AddWinsSet;
 
-import static yewjunction.base.Limits.JOIN_ANSWER_MS;
-import static yewjunction.base.Limits.JOIN_WINDOW;
+import static yewjunction.common.Limits.JOIN_ANSWER_MS;
+import static yewjunction.common.Limits.JOIN_WINDOW;
 
 /** Subscriptions of this edge's clients, from SUB to the home's word, while they catch up, and to their end. */
-final class Boarding {
-    private final Dock dock;
-    private final Pulse pulse;
-    private final Weave weave;
-    private final Precedence precedence = new Precedence();
-    private final Replays replays;
-    private final Map<String, List<Sub>> byTopic = new HashMap<>();
-    private final Map<Long, Sub> joining = new LinkedHashMap<>();
+final class SubscriptionManager {
+    private final ClientRegistry dock;
+    private final AgentContext pulse;
+    private final AddWinsSet weave;
+    private final OrderingConstraints precedence = new OrderingConstraints();
+    private final ReplayScheduler replays;
+    private final Map<String, List<Subscription>> byTopic = new HashMap<>();
+    private final Map<Long, Subscription> joining = new LinkedHashMap<>();
     /** Of those that join: which the home was asked about, and which wait for their turn to be. */
     private final Set<Long> asked = new HashSet<>();
     private final ArrayDeque<Long> unasked = new ArrayDeque<>();
     /** Subscriptions for which the home was asked for a next piece. */
-    private final Map<Long, Sub> fetching = new LinkedHashMap<>();
-    private final Set<Sub> filtered = new HashSet<>();
-    private Envoy envoy;
+    private final Map<Long, Subscription> fetching = new LinkedHashMap<>();
+    private final Set<Subscription> filtered = new HashSet<>();
+    private StreamClient envoy;
     private long requests;
 
-    Boarding(final Dock dock, final Pulse pulse, final Weave weave) {
+    SubscriptionManager(final ClientRegistry dock, final AgentContext pulse, final AddWinsSet weave) {
         this.dock = dock;
         this.pulse = pulse;
         this.weave = weave;
-        replays = new Replays(pulse, precedence, this::fetch);
+        replays = new ReplayScheduler(pulse, precedence, this::fetch);
     }
 
-    void envoy(final Envoy chosenEnvoy) {
+    void envoy(final StreamClient chosenEnvoy) {
         envoy = chosenEnvoy;
     }
 
     /** What the channels declare from now on. */
-    void charter(final Charter charter) {
+    void charter(final Configuration charter) {
         precedence.charter(charter);
-        for (final Berth berth : dock.berths()) {
+        for (final ClientSession berth : dock.berths()) {
             berth.subs.values().forEach(sub -> {
                 sub.space = charter.space(sub.topic);
                 berth.guard.declared(sub.topic, sub.space);
@@ -57,11 +57,11 @@
         }
     }
 
-    List<Sub> subs(final String topic) {
+    List<Subscription> subs(final String topic) {
         return byTopic.getOrDefault(topic, List.of());
     }
 
-    void join(final Sub sub) {
+    void join(final Subscription sub) {
         if (sub.filtered()) {
             filtered.add(sub);
         }
@@ -86,7 +86,7 @@
     private void askMore() {
         while (asked.size() < JOIN_WINDOW && !unasked.isEmpty()) {
             final long request = unasked.poll();
-            final Sub sub = joining.get(request);
+            final Subscription sub = joining.get(request);
             if (sub != null) {
                 asked.add(request);
                 notice(request, sub);
@@ -95,7 +95,7 @@
     }
 
     /** Asked once more on the same link, with a filter or without. */
-    void again(final Sub sub, final Filter filter) {
+    void again(final Subscription sub, final Filter filter) {
         if (filter != null) {
             filtered.add(sub);
         }
@@ -111,26 +111,26 @@
         fetching.forEach(this::further);
     }
 
-    private void notice(final long request, final Sub sub) {
+    private void notice(final long request, final Subscription sub) {
         envoy.weft().notice(request, sub.topic, sub.berth.client, sub.instance, sub.position);
     }
 
-    private void fetch(final Sub sub) {
+    private void fetch(final Subscription sub) {
         final long request = ++requests;
         fetching.put(request, sub);
         further(request, sub);
     }
 
-    private void further(final long request, final Sub sub) {
+    private void further(final long request, final Subscription sub) {
         envoy.weft().further(request, sub.topic, sub.replay.isEmpty() ? sub.after : sub.replay.getLast().index, sub.replayTo);
     }
 
     /** A home's word on a subscription: where it starts, and the first piece of what lies behind its cursor. */
-    void taken(final long request, final boolean expired, final long position, final List<Message> behind, final boolean more) {
+    void taken(final long request, final boolean expired, final long position, final List<StoredMessage> behind, final boolean more) {
         asked.remove(request);
         askMore();
-        final Sub waiting = fetching.remove(request);
-        final Sub sub = waiting != null ? waiting : joining.remove(request);
+        final Subscription waiting = fetching.remove(request);
+        final Subscription sub = waiting != null ? waiting : joining.remove(request);
         if (sub == null || sub.berth.subs.get(sub.topic) != sub) {
             return;
         }
@@ -148,13 +148,13 @@
         }
     }
 
-    private void begin(final Sub sub, final long position, final List<Message> behind, final boolean more) {
+    private void begin(final Subscription sub, final long position, final List<StoredMessage> behind, final boolean more) {
         if (sub.berth.subs.get(sub.topic) != sub) {
             return;
         }
         final long nowMs = pulse.nowMs();
         sub.open(sub.position >= 0 ? sub.position : position, nowMs);
-        if (!more && Replays.isShort(behind) && !precedence.follows(sub)) {
+        if (!more && ReplayScheduler.isShort(behind) && !precedence.follows(sub)) {
             behind.forEach(message -> sub.deliver(message, nowMs));
             sub.after = Math.max(sub.after, position);
         } else {
@@ -164,9 +164,9 @@
         }
     }
 
-    void deliver(final Message message, final long nowMs) {
+    void deliver(final StoredMessage message, final long nowMs) {
         // Copied: a slow client's link may be cut while it is written to.
-        for (final Sub sub : new ArrayList<>(subs(message.topic))) {
+        for (final Subscription sub : new ArrayList<>(subs(message.topic))) {
             if (sub.catching) {
                 replays.hold(sub, message);
             } else if (precedence.follows(sub) && !precedence.free(sub, message.index)) {
@@ -178,28 +178,28 @@
         }
     }
 
-    private void giveUp(final Sub sub, final String reason) {
+    private void giveUp(final Subscription sub, final String reason) {
         forget(sub);
         weave.remove(sub.topic, sub.berth.client);
         sub.berth.refuse("SUB", sub.topic, "", reason);
     }
 
     /** The link is gone, or the client gave the topic up: nothing more is delivered. */
-    void forget(final Sub sub) {
+    void forget(final Subscription sub) {
         if (sub.berth.subs.remove(sub.topic, sub)) {
             sub.berth.guard.ended(sub.topic);
         }
         joining.values().remove(sub);
         fetching.values().remove(sub);
         filtered.remove(sub);
-        final List<Sub> subs = byTopic.get(sub.topic);
+        final List<Subscription> subs = byTopic.get(sub.topic);
         if (subs != null && subs.remove(sub) && subs.isEmpty()) {
             byTopic.remove(sub.topic);
         }
     }
 
-    void drop(final Berth berth, final String topic) {
-        final Sub sub = berth.subs.get(topic);
+    void drop(final ClientSession berth, final String topic) {
+        final Subscription sub = berth.subs.get(topic);
         if (sub != null) {
             forget(sub);
         }
@@ -207,7 +207,7 @@
     }
 
     void look(final long nowMs) {
-        for (final Sub sub : new ArrayList<>(joining.values())) {
+        for (final Subscription sub : new ArrayList<>(joining.values())) {
             if (nowMs - sub.sinceMs > JOIN_ANSWER_MS) {
                 giveUp(sub, "RETRY");
             }
