--- a/src/main/java/yewjunction/dock/package-info.java
+++ b/src/main/java/yewjunction/gateway/package-info.java
@@ -1,2 +1,2 @@
 /** Clients' links: the line protocol, subscriptions, messages under way, moving clients on. */
-package yewjunction.dock;
+package yewjunction.gateway;
--- a/src/main/java/yewjunction/window/Windows.java
+++ b/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
@@ -1,4 +1,4 @@
-package yewjunction.window;
+package yewjunction.maintenance;
 
 import biweekly.Biweekly;
 import biweekly.ICalendar;
@@ -15,23 +15,23 @@
 import java.util.TimeZone;
 import java.util.stream.Stream;
 
-import static yewjunction.base.ToolLimits.WINDOW_FILE_BYTES;
-import static yewjunction.base.ToolLimits.WINDOW_TURNS;
+import static yewjunction.common.ToolLimits.WINDOW_FILE_BYTES;
+import static yewjunction.common.ToolLimits.WINDOW_TURNS;
 
 /** Planned work, read once. A file that can't be read is reported and left out; the others count. */
-public final class Windows {
-    private final List<Planned> planned = new ArrayList<>();
+public final class MaintenanceWindows {
+    private final List<PlannedWork> planned = new ArrayList<>();
     private final List<String> bad = new ArrayList<>();
 
-    private record Planned(VEvent event, TimeZone zone, Duration length) {
+    private record PlannedWork(VEvent event, TimeZone zone, Duration length) {
     }
 
-    private Windows() {
+    private MaintenanceWindows() {
     }
 
     /** A calendar file, or a folder of files that end in .ics. */
-    public static Windows read(final Path place) {
-        final Windows windows = new Windows();
+    public static MaintenanceWindows read(final Path place) {
+        final MaintenanceWindows windows = new MaintenanceWindows();
         if (Files.isDirectory(place)) {
             try (Stream<Path> files = Files.list(place)) {
                 files.filter(file -> file.toString().endsWith(".ics")).sorted().forEach(windows::add);
@@ -83,7 +83,7 @@
         }
         final var assigned = calendar.getTimezoneInfo().getTimezone(event.getDateStart());
         // A recurrence is reckoned where it was planned: at two at night there, in summer as in winter.
-        planned.add(new Planned(event, assigned == null ? TimeZone.getDefault() : assigned.getTimeZone(), length));
+        planned.add(new PlannedWork(event, assigned == null ? TimeZone.getDefault() : assigned.getTimeZone(), length));
     }
 
     public List<String> bad() {
@@ -92,7 +92,7 @@
 
     /** What is planned at that moment for something with one of these names, or null. */
     public String explains(final Instant moment, final List<String> names) {
-        for (final Planned one : planned) {
+        for (final PlannedWork one : planned) {
             final String text = text(one.event);
             if (names.stream().anyMatch(name -> names(text, name)) && covers(one, moment)) {
                 return one.event.getSummary() == null ? "planned work" : one.event.getSummary().getValue();
@@ -122,7 +122,7 @@
         return Character.isLetterOrDigit(sign) || sign == '-' || sign == '_';
     }
 
-    private static boolean covers(final Planned one, final Instant moment) {
+    private static boolean covers(final PlannedWork one, final Instant moment) {
         final DateIterator starts = one.event.getDateIterator(one.zone);
         // Jumps near the moment; the turns are bounded, since a rule may name a start each second for ever.
         starts.advanceTo(Date.from(moment.minus(one.length)));
--- a/src/main/java/yewjunction/window/package-info.java
+++ b/src/main/java/yewjunction/maintenance/package-info.java
@@ -1,2 +1,2 @@
 /** Maintenance windows from iCalendar files: which planned work explains what is seen. */
-package yewjunction.window;
+package yewjunction.maintenance;
--- a/src/main/java/yewjunction/roster/Prober.java
+++ b/src/main/java/yewjunction/membership/FailureDetector.java
@@ -1,36 +1,36 @@
-package yewjunction.roster;
+package yewjunction.membership;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import yewjunction.base.Pulse;
-import yewjunction.base.Questions;
-import yewjunction.roster.Letters.Detour;
-import yewjunction.roster.Letters.Echo;
-import yewjunction.roster.Letters.Letter;
-import yewjunction.roster.Letters.Probe;
+import yewjunction.common.AgentContext;
+import yewjunction.common.PendingRequests;
+import yewjunction.membership.MembershipMessages.PingRequest;
+import yewjunction.membership.MembershipMessages.Ack;
+import yewjunction.membership.MembershipMessages.MembershipMessage;
+import yewjunction.membership.MembershipMessages.Ping;
 
-import static yewjunction.base.Limits.PROBE_ACROSS_EVERY;
-import static yewjunction.base.Limits.PROBE_ANSWER_MS;
-import static yewjunction.base.Limits.PROBE_HELPERS;
-import static yewjunction.base.Limits.PROBE_MS;
+import static yewjunction.common.Limits.PROBE_ACROSS_EVERY;
+import static yewjunction.common.Limits.PROBE_ANSWER_MS;
+import static yewjunction.common.Limits.PROBE_HELPERS;
+import static yewjunction.common.Limits.PROBE_MS;
 
 /** Probes a peer a period, asks others for a second opinion, and answers for others. */
-final class Prober {
-    private final Pulse pulse;
-    private final Roster roster;
+final class FailureDetector {
+    private final AgentContext pulse;
+    private final MembershipList roster;
     private final ArrayDeque<String> nearTurn = new ArrayDeque<>();
     private final ArrayDeque<String> farTurn = new ArrayDeque<>();
     /** By address: a datagram has no link that would end with its sender. */
-    private final Questions<String, Runnable> questions;
+    private final PendingRequests<String, Runnable> questions;
     /** Sent, for others too: what is asked for them changes the turn, or all that started together would look across together. */
     private long probes;
 
-    Prober(final Pulse pulse, final Roster roster) {
+    FailureDetector(final AgentContext pulse, final MembershipList roster) {
         this.pulse = pulse;
         this.roster = roster;
-        questions = new Questions<>(roster.self().life);
+        questions = new PendingRequests<>(roster.self().life);
     }
 
     void start() {
@@ -38,19 +38,19 @@
         pulse.after(pulse.luck().nextInt((int) PROBE_MS), this::probeNext);
     }
 
-    void take(final String from, final Letter letter) {
-        if (letter instanceof Probe probe) {
-            final Echo echo = new Echo();
+    void take(final String from, final MembershipMessage letter) {
+        if (letter instanceof Ping probe) {
+            final Ack echo = new Ack();
             echo.number = probe.number;
             roster.send(from, echo);
-        } else if (letter instanceof Echo echo) {
+        } else if (letter instanceof Ack echo) {
             final Runnable answered = questions.answered(echo.number, letter.self.address);
             if (answered != null) {
                 answered.run();
             }
-        } else if (letter instanceof Detour detour) {
+        } else if (letter instanceof PingRequest detour) {
             final long number = probe(detour.target, () -> {
-                final Echo echo = new Echo();
+                final Ack echo = new Ack();
                 echo.number = detour.number;
                 roster.send(from, echo);
             });
@@ -60,7 +60,7 @@
 
     private long probe(final String target, final Runnable answered) {
         probes++;
-        final Probe probe = new Probe();
+        final Ping probe = new Ping();
         probe.number = questions.ask(target, answered);
         roster.send(target, probe);
         return probe.number;
@@ -102,7 +102,7 @@
     private String nextOf(final ArrayDeque<String> turn, final boolean across) {
         if (turn.isEmpty()) {
             final List<String> addresses = new ArrayList<>();
-            for (final Peer peer : roster.all()) {
+            for (final Member peer : roster.all()) {
                 if (peer.up() && peer.zone.equals(roster.self().zone) != across) {
                     addresses.add(peer.address);
                 }
@@ -116,14 +116,14 @@
 
     private void askOthers(final String target, final Runnable answered, final List<Long> numbers) {
         final List<String> helpers = new ArrayList<>();
-        for (final Peer peer : roster.all()) {
-            if (peer.standing == Peer.UP && peer.zone.equals(roster.self().zone) && !peer.address.equals(target)) {
+        for (final Member peer : roster.all()) {
+            if (peer.standing == Member.UP && peer.zone.equals(roster.self().zone) && !peer.address.equals(target)) {
                 helpers.add(peer.address);
             }
         }
         Collections.shuffle(helpers, pulse.luck());
         for (int i = 0; i < Math.min(PROBE_HELPERS, helpers.size()); i++) {
-            final Detour detour = new Detour();
+            final PingRequest detour = new PingRequest();
             // Each opinion is a question of its own: it counts from whom it was asked.
             detour.number = questions.ask(helpers.get(i), answered);
             numbers.add(detour.number);
--- a/src/main/java/yewjunction/roster/Peer.java
+++ b/src/main/java/yewjunction/membership/Member.java
@@ -1,7 +1,7 @@
-package yewjunction.roster;
+package yewjunction.membership;
 
 /** One process of the system as the roster knows it. */
-public final class Peer {
+public final class Member {
     static final int UP = 0;
     static final int SUSPECT = 1;
     static final int LEFT = 2;
@@ -26,8 +26,8 @@
         number = firstNumber;
     }
 
-    Peer copy() {
-        final Peer copied = new Peer();
+    Member copy() {
+        final Member copied = new Member();
         copied.address = address;
         copied.node = node;
         copied.zone = zone;
@@ -56,7 +56,7 @@
     }
 
     /** Whether this news goes over what is known: a higher number wins, then the worse standing. */
-    boolean over(final Peer known) {
+    boolean over(final Member known) {
         return number > known.number || number == known.number && standing > known.standing;
     }
 }
--- a/src/main/java/yewjunction/roster/Roster.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -1,4 +1,4 @@
-package yewjunction.roster;
+package yewjunction.membership;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,37 +10,37 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import yewjunction.base.Event;
-import yewjunction.base.Pulse;
-import yewjunction.roster.Letters.Crew;
-import yewjunction.roster.Letters.Echo;
-import yewjunction.roster.Letters.Hail;
-import yewjunction.roster.Letters.Letter;
-
-import static yewjunction.base.Limits.GONE_MS;
-import static yewjunction.base.Limits.NEWS_PER_PROBE;
-import static yewjunction.base.Limits.NEWS_TIMES;
-import static yewjunction.base.Limits.SUSPECT_MS;
+import yewjunction.common.LogEvent;
+import yewjunction.common.AgentContext;
+import yewjunction.membership.MembershipMessages.SyncResponse;
+import yewjunction.membership.MembershipMessages.Ack;
+import yewjunction.membership.MembershipMessages.SyncRequest;
+import yewjunction.membership.MembershipMessages.MembershipMessage;
+
+import static yewjunction.common.Limits.GONE_MS;
+import static yewjunction.common.Limits.NEWS_PER_PROBE;
+import static yewjunction.common.Limits.NEWS_TIMES;
+import static yewjunction.common.Limits.SUSPECT_MS;
 
 /** Membership by probing, second opinions and suspicion (SWIM). Its removals change no voters and no data. */
-public final class Roster {
-    private final Pulse pulse;
-    private final Peer self;
+public final class MembershipList {
+    private final AgentContext pulse;
+    private final Member self;
     private final BiConsumer<String, Object> sender;
-    private final Map<String, Peer> peers = new HashMap<>();
+    private final Map<String, Member> peers = new HashMap<>();
     private final Map<String, Long> changedMs = new HashMap<>();
     private final Map<String, Integer> newsLeft = new LinkedHashMap<>();
-    private final Prober prober;
-    private Function<Peer, String> planned = peer -> null;
-    private final Hailer hailer;
+    private final FailureDetector prober;
+    private Function<Member, String> planned = peer -> null;
+    private final SeedJoiner hailer;
     private boolean left;
 
-    public Roster(final Pulse pulse, final Peer self, final BiConsumer<String, Object> sender) {
+    public MembershipList(final AgentContext pulse, final Member self, final BiConsumer<String, Object> sender) {
         this.pulse = pulse;
         this.self = self;
         this.sender = sender;
-        prober = new Prober(pulse, this);
-        hailer = new Hailer(pulse, this);
+        prober = new FailureDetector(pulse, this);
+        hailer = new SeedJoiner(pulse, this);
     }
 
     /** Seeds are peer addresses of crux processes; some may be stale. */
@@ -58,34 +58,34 @@
         return left;
     }
 
-    public Peer self() {
+    public Member self() {
         return self;
     }
 
-    public Collection<Peer> all() {
+    public Collection<Member> all() {
         return Collections.unmodifiableCollection(peers.values());
     }
 
     /** Peers of a duty that are up, own zone first, without this process. */
-    public List<Peer> up(final String duty) {
-        final List<Peer> chosen = new ArrayList<>();
-        for (final Peer peer : peers.values()) {
+    public List<Member> up(final String duty) {
+        final List<Member> chosen = new ArrayList<>();
+        for (final Member peer : peers.values()) {
             if (peer.up() && peer.duty.equals(duty)) {
                 chosen.add(peer);
             }
         }
-        chosen.sort(java.util.Comparator.comparing((Peer peer) -> !peer.zone.equals(self.zone))
+        chosen.sort(java.util.Comparator.comparing((Member peer) -> !peer.zone.equals(self.zone))
             .thenComparing(peer -> peer.address));
         return chosen;
     }
 
-    public Peer at(final String address) {
+    public Member at(final String address) {
         return peers.get(address);
     }
 
     /** The zone of an address, empty when it is not known. */
     public String zoneAt(final String address) {
-        final Peer peer = address.equals(self.address) ? self : peers.get(address);
+        final Member peer = address.equals(self.address) ? self : peers.get(address);
         return peer == null ? "" : peer.zone;
     }
 
@@ -99,12 +99,12 @@
     /** Says goodbye, so that nobody suspects first. */
     public void leave() {
         left = true;
-        self.standing = Peer.LEFT;
+        self.standing = Member.LEFT;
         self.ready = false;
         raise(self.number + 1);
-        for (final Peer peer : peers.values()) {
+        for (final Member peer : peers.values()) {
             if (peer.up() && peer.zone.equals(self.zone)) {
-                send(peer.address, new Echo());
+                send(peer.address, new Ack());
             }
         }
     }
@@ -120,33 +120,33 @@
     }
 
     /** Who explains why a peer may be away: planned work, or null for none. */
-    public void planned(final Function<Peer, String> explainer) {
+    public void planned(final Function<Member, String> explainer) {
         planned = explainer;
     }
 
-    private String about(final Peer peer) {
+    private String about(final Member peer) {
         final String work = planned.apply(peer);
         return peer.node + " " + peer.duty + (work == null ? "" : " planned: " + work);
     }
 
     void suspect(final String address) {
-        final Peer peer = peers.get(address);
-        if (peer != null && peer.standing == Peer.UP) {
-            Event.SIBLING_SUSPECT.info(about(peer));
-            change(peer, Peer.SUSPECT);
+        final Member peer = peers.get(address);
+        if (peer != null && peer.standing == Member.UP) {
+            LogEvent.SIBLING_SUSPECT.info(about(peer));
+            change(peer, Member.SUSPECT);
             tellSuspect(peer);
         }
     }
 
     /** Told at once and again, so that it can refute before the time is over though datagrams get lost. */
-    private void tellSuspect(final Peer peer) {
-        if (peers.get(peer.address) == peer && peer.standing == Peer.SUSPECT && !left) {
-            send(peer.address, new Echo());
+    private void tellSuspect(final Member peer) {
+        if (peers.get(peer.address) == peer && peer.standing == Member.SUSPECT && !left) {
+            send(peer.address, new Ack());
             pulse.after(SUSPECT_MS / 4, () -> tellSuspect(peer));
         }
     }
 
-    private void change(final Peer peer, final int standing) {
+    private void change(final Member peer, final int standing) {
         peer.standing = standing;
         changedMs.put(peer.address, pulse.nowMs());
         tell(peer.address);
@@ -154,12 +154,12 @@
 
     void sweep() {
         final long nowMs = pulse.nowMs();
-        for (final Iterator<Peer> each = peers.values().iterator(); each.hasNext();) {
-            final Peer peer = each.next();
+        for (final Iterator<Member> each = peers.values().iterator(); each.hasNext();) {
+            final Member peer = each.next();
             final long sinceMs = nowMs - changedMs.getOrDefault(peer.address, nowMs);
-            if (peer.standing == Peer.SUSPECT && sinceMs > SUSPECT_MS) {
-                Event.SIBLING_GONE.info(about(peer));
-                change(peer, Peer.GONE);
+            if (peer.standing == Member.SUSPECT && sinceMs > SUSPECT_MS) {
+                LogEvent.SIBLING_GONE.info(about(peer));
+                change(peer, Member.GONE);
             } else if (!peer.up() && sinceMs > GONE_MS) {
                 each.remove();
                 changedMs.remove(peer.address);
@@ -167,11 +167,11 @@
         }
     }
 
-    void send(final String address, final Letter letter) {
+    void send(final String address, final MembershipMessage letter) {
         letter.self = self.copy();
         // Whoever is thought to be away hears so first: a restarted or wrongly suspected one then refutes it.
-        final Peer receiver = peers.get(address);
-        if (receiver != null && receiver.standing != Peer.UP) {
+        final Member receiver = peers.get(address);
+        if (receiver != null && receiver.standing != Member.UP) {
             letter.news.add(receiver.copy());
         }
         for (final String about : List.copyOf(newsLeft.keySet())) {
@@ -182,7 +182,7 @@
             if (left <= 0) {
                 newsLeft.remove(about);
             }
-            final Peer known = peers.get(about);
+            final Member known = peers.get(about);
             if (known != null) {
                 letter.news.add(known.copy());
             }
@@ -191,33 +191,33 @@
     }
 
     public void take(final String from, final Object taken) {
-        if (!(taken instanceof Letter letter) || letter.self == null) {
+        if (!(taken instanceof MembershipMessage letter) || letter.self == null) {
             return;
         }
         final long numberBefore = self.number;
         hear(letter.self, true);
         // Whoever asks a seed hears all of it: passing that on would cost each of a hundred that start together as many times.
-        letter.news.forEach(news -> hear(news, !(letter instanceof Crew)));
+        letter.news.forEach(news -> hear(news, !(letter instanceof SyncResponse)));
         if (self.number != numberBefore) {
             // A refutation goes straight back to whoever doubted.
-            send(from, new Echo());
+            send(from, new Ack());
         }
-        if (letter instanceof Hail hail) {
+        if (letter instanceof SyncRequest hail) {
             hailer.answer(from, hail);
         } else {
             prober.take(from, letter);
         }
     }
 
-    private void hear(final Peer news, final boolean passedOn) {
+    private void hear(final Member news, final boolean passedOn) {
         if (news.address.equals(self.address)) {
             // News of an earlier life, or a suspicion: refuted by a higher number.
-            if (!left && news.number >= self.number && (news.life != self.life || news.standing != Peer.UP)) {
+            if (!left && news.number >= self.number && (news.life != self.life || news.standing != Member.UP)) {
                 raise(news.number + 1);
             }
             return;
         }
-        final Peer known = peers.get(news.address);
+        final Member known = peers.get(news.address);
         if (known == null) {
             // Someone unknown who is gone already is no news.
             if (news.up()) {
@@ -226,7 +226,7 @@
                 if (passedOn) {
                     tell(news.address);
                 }
-                Event.SIBLING_JOINED.info(news.node + " " + news.duty);
+                LogEvent.SIBLING_JOINED.info(news.node + " " + news.duty);
             }
         } else if (news.over(known)) {
             peers.put(news.address, news);
--- a/src/main/java/yewjunction/roster/Hailer.java
+++ b/src/main/java/yewjunction/membership/SeedJoiner.java
@@ -1,26 +1,26 @@
-package yewjunction.roster;
+package yewjunction.membership;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Pulse;
-import yewjunction.roster.Letters.Crew;
-import yewjunction.roster.Letters.Hail;
+import yewjunction.common.AgentContext;
+import yewjunction.membership.MembershipMessages.SyncResponse;
+import yewjunction.membership.MembershipMessages.SyncRequest;
 
-import static yewjunction.base.Limits.CREW_PER_LETTER;
-import static yewjunction.base.Limits.HAIL_SEED_EVERY;
-import static yewjunction.base.Limits.HAIL_SEED_FIRST;
-import static yewjunction.base.Limits.JOIN_MS;
-import static yewjunction.base.Limits.REJOIN_MS;
+import static yewjunction.common.Limits.CREW_PER_LETTER;
+import static yewjunction.common.Limits.HAIL_SEED_EVERY;
+import static yewjunction.common.Limits.HAIL_SEED_FIRST;
+import static yewjunction.common.Limits.JOIN_MS;
+import static yewjunction.common.Limits.REJOIN_MS;
 
 /** Asks seeds who is there, and tells others who ask. */
-final class Hailer {
-    private final Pulse pulse;
-    private final Roster roster;
+final class SeedJoiner {
+    private final AgentContext pulse;
+    private final MembershipList roster;
     private List<String> seeds = List.of();
     private long paceMs = JOIN_MS;
     private int hails;
 
-    Hailer(final Pulse pulse, final Roster roster) {
+    SeedJoiner(final AgentContext pulse, final MembershipList roster) {
         this.pulse = pulse;
         this.roster = roster;
     }
@@ -50,7 +50,7 @@
             }
         }
         if (!others.isEmpty()) {
-            final Hail hail = new Hail();
+            final SyncRequest hail = new SyncRequest();
             hail.digest = digest();
             roster.send(others.get(pulse.luck().nextInt(others.size())), hail);
         }
@@ -62,26 +62,26 @@
 
     private long digest() {
         long sum = roster.self().digest();
-        for (final Peer peer : roster.all()) {
+        for (final Member peer : roster.all()) {
             sum += peer.up() ? peer.digest() : 0;
         }
         return sum;
     }
 
     /** The whole crew, in datagrams of a bounded size; to one that knows the same only that this process is there. */
-    void answer(final String from, final Hail hail) {
-        Crew crew = new Crew();
+    void answer(final String from, final SyncRequest hail) {
+        SyncResponse crew = new SyncResponse();
         if (hail.digest == digest()) {
             roster.send(from, crew);
             return;
         }
-        for (final Peer peer : roster.all()) {
+        for (final Member peer : roster.all()) {
             if (peer.up()) {
                 crew.news.add(peer.copy());
             }
             if (crew.news.size() == CREW_PER_LETTER) {
                 roster.send(from, crew);
-                crew = new Crew();
+                crew = new SyncResponse();
             }
         }
         roster.send(from, crew);
--- a/src/main/java/yewjunction/node/VaultNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -3,68 +3,68 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Charter;
-import yewjunction.charter.Facts;
-import yewjunction.charter.Tenure;
-import yewjunction.herald.Home;
-import yewjunction.herald.Warp;
-import yewjunction.ledger.Clerk;
-import yewjunction.ledger.Disk;
-import yewjunction.ledger.Ledger;
-import yewjunction.ledger.Seating;
-import yewjunction.roster.Roster;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.control.Configuration;
+import yewjunction.control.ClusterState;
+import yewjunction.control.LeaseClient;
+import yewjunction.fanout.StreamServer;
+import yewjunction.fanout.SubscriptionSyncServer;
+import yewjunction.raft.TaskExecutor;
+import yewjunction.raft.Disk;
+import yewjunction.raft.RaftNode;
+import yewjunction.raft.VoterPlacement;
+import yewjunction.membership.MembershipList;
 import yewjunction.settings.Settings;
-import yewjunction.vault.Cellar;
-import yewjunction.vault.Gate;
-import yewjunction.vault.Message;
-import yewjunction.weave.Weave;
+import yewjunction.store.MessageStore;
+import yewjunction.store.AdmissionController;
+import yewjunction.store.StoredMessage;
+import yewjunction.subscription.AddWinsSet;
 
-import static yewjunction.base.Limits.ENROL_MS;
+import static yewjunction.common.Limits.ENROL_MS;
 
 /** A store machine's data plane: one member of the vaults' ledger, and home to its zone's edges. */
-public final class VaultNode implements Node, Cellar.Watcher, Tenure.Watcher {
+public final class StoreNode implements Node, MessageStore.Listener, LeaseClient.Listener {
     /** Group number of the vaults' ledger; a field everywhere, so that there can be more. */
     private static final int GROUP = 1;
-    private final Cellar cellar;
-    private final Ledger ledger;
-    private final Gate gate;
-    private final Home home;
-    private final Tenure tenure;
-    private final Weave weave = new Weave();
-
-    private final Pulse pulse;
-    private final Roster roster;
+    private final MessageStore cellar;
+    private final RaftNode ledger;
+    private final AdmissionController gate;
+    private final StreamServer home;
+    private final LeaseClient tenure;
+    private final AddWinsSet weave = new AddWinsSet();
+
+    private final AgentContext pulse;
+    private final MembershipList roster;
     private final Settings settings;
     private final String address;
     private final long life;
 
-    public VaultNode(final Pulse pulse, final Post post, final Disk disk, final Clerk clerk, final Roster roster,
+    public StoreNode(final AgentContext pulse, final PeerTransport post, final Disk disk, final TaskExecutor clerk, final MembershipList roster,
             final Settings settings, final long life) {
         this.pulse = pulse;
         this.roster = roster;
         this.settings = settings;
         this.life = life;
         address = settings.address(Settings.TIDE_OFFSET);
-        cellar = new Cellar(pulse, this, settings);
-        ledger = new Ledger(GROUP, pulse, post, disk, clerk, "messages", cellar);
+        cellar = new MessageStore(pulse, this, settings);
+        ledger = new RaftNode(GROUP, pulse, post, disk, clerk, "messages", cellar);
         ledger.listen();
-        gate = new Gate(pulse, post, ledger, cellar);
-        home = new Home(pulse, post, ledger, cellar, weave);
-        tenure = new Tenure(pulse, post, () -> Node.cruxes(roster, settings), this)
+        gate = new AdmissionController(pulse, post, ledger, cellar);
+        home = new StreamServer(pulse, post, ledger, cellar, weave);
+        tenure = new LeaseClient(pulse, post, () -> Node.cruxes(roster, settings), this)
             .named(address, settings.node(), settings.zone(), "vault", life);
         tenure.reporting(() -> tenure.diskOwed(ledger.course().owedMs()));
-        new Warp(pulse, post, weave, roster, home, replica -> Node.live(replica, weave, tenure, roster));
+        new SubscriptionSyncServer(pulse, post, weave, roster, home, replica -> Node.live(replica, weave, tenure, roster));
     }
 
     @Override
     public void start() {
         if (ledger.identity() == null) {
-            ledger.name(address + "#" + Ledger.drawnName(life));
+            ledger.name(address + "#" + RaftNode.drawnName(life));
         }
         ledger.start();
-        ledger.electorate().seat(new Seating(settings.votersNeeded(), () -> tenure.facts().retiringAddresses(), roster::zoneAt));
+        ledger.electorate().seat(new VoterPlacement(settings.votersNeeded(), () -> tenure.facts().retiringAddresses(), roster::zoneAt));
         ledger.membership().keep(this::vaults, () -> !tenure.facts().retiringAddresses().contains(address));
         tenure.identity(ledger.identity());
         tenure.start();
@@ -76,7 +76,7 @@
     }
 
     /** What this vault keeps. */
-    public Cellar cellar() {
+    public MessageStore cellar() {
         return cellar;
     }
 
@@ -102,7 +102,7 @@
         for (final String one : retiring) {
             final String node = tenure.facts().retiringNode(one);
             // Only once the change is committed: then a majority of those that stay holds all that was ever acknowledged.
-            if (node != null && !ledger.electorate().changing() && voters.stream().noneMatch(voter -> Ledger.address(voter).equals(one))) {
+            if (node != null && !ledger.electorate().changing() && voters.stream().noneMatch(voter -> RaftNode.address(voter).equals(one))) {
                 emptied.add(node);
             }
         }
@@ -120,13 +120,13 @@
     }
 
     @Override
-    public void configChanged(final Charter charter) {
+    public void configChanged(final Configuration charter) {
         cellar.charter(charter);
         gate.lending().look(charter);
     }
 
     @Override
-    public void factsChanged(final Facts facts) {
+    public void factsChanged(final ClusterState facts) {
         weave.replicas(facts.newestReplica(), facts.liveReplicas());
         if (facts.retiringAddresses().contains(address)) {
             // It may be taken away the moment it is empty: its edges find another home while it still answers.
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public boolean admittedHere(final Message message) {
+    public boolean admittedHere(final StoredMessage message) {
         return gate != null && gate.admitted(message);
     }
 
--- a/src/main/java/yewjunction/ledger/Pace.java
+++ b/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
@@ -1,15 +1,15 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
-import static yewjunction.base.ControlLimits.IMAGE_LEAST_BYTES;
-import static yewjunction.base.ControlLimits.IMAGE_PACE_MS;
+import static yewjunction.common.ControlLimits.IMAGE_LEAST_BYTES;
+import static yewjunction.common.ControlLimits.IMAGE_PACE_MS;
 
 /** How much a peer far behind is sent at a time: more while its link takes it well within a beat, less where beats would wait. */
-final class Pace {
+final class AdaptiveChunkSize {
     private final int mostBytes;
     private int bytes = IMAGE_LEAST_BYTES;
     private long roundTripMs = Long.MAX_VALUE;
 
-    Pace(final int mostBytes) {
+    AdaptiveChunkSize(final int mostBytes) {
         this.mostBytes = mostBytes;
     }
 
--- a/src/main/java/yewjunction/ledger/Shelf.java
+++ b/src/main/java/yewjunction/raft/AppendOnlyFile.java
@@ -1,44 +1,44 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Defect;
-import yewjunction.base.Event;
+import yewjunction.common.YewjunctionException;
+import yewjunction.common.LogEvent;
 
-import static yewjunction.base.Defect.Code.LEDGER_DAMAGED;
+import static yewjunction.common.YewjunctionException.ErrorCode.LEDGER_DAMAGED;
 
 /** An append-only file of records that is synced in groups and rewritten when it gets long. */
-final class Shelf {
+final class AppendOnlyFile {
     private final Disk disk;
-    private final Clerk clerk;
+    private final TaskExecutor clerk;
     private final String name;
-    private List<Piece> waiting = new ArrayList<>();
+    private List<PendingRecord> waiting = new ArrayList<>();
     private boolean busy;
     private long length;
-    private List<Record.Piece> newContent;
+    private List<LogRecord.Content> newContent;
 
-    private record Piece(int kind, byte[] body, Runnable synced) {
+    private record PendingRecord(int kind, byte[] body, Runnable synced) {
     }
 
-    Shelf(final Disk disk, final Clerk clerk, final String name) {
+    AppendOnlyFile(final Disk disk, final TaskExecutor clerk, final String name) {
         this.disk = disk;
         this.clerk = clerk;
         this.name = name;
     }
 
     /** Reads the file at start, before any traffic: blocking is right here. */
-    List<Record.Piece> open() {
+    List<LogRecord.Content> open() {
         final byte[] bytes = disk.read(name);
         if (bytes == null) {
             return List.of();
         }
-        final Record.Reading reading = Record.read(bytes);
+        final LogRecord.ScanResult reading = LogRecord.read(bytes);
         if (reading.damaged()) {
-            throw new Defect(LEDGER_DAMAGED, name + " is damaged at byte " + reading.goodBytes() + " of " + bytes.length);
+            throw new YewjunctionException(LEDGER_DAMAGED, name + " is damaged at byte " + reading.goodBytes() + " of " + bytes.length);
         }
         if (reading.goodBytes() < bytes.length) {
-            Event.TAIL_CUT.warn(name + " at byte " + reading.goodBytes() + " of " + bytes.length);
+            LogEvent.TAIL_CUT.warn(name + " at byte " + reading.goodBytes() + " of " + bytes.length);
             disk.cut(name, reading.goodBytes());
         }
         // Synced before anything builds on it: what was read may not have reached the disk yet.
@@ -52,19 +52,19 @@
     }
 
     void append(final int kind, final byte[] body, final Runnable synced) {
-        waiting.add(new Piece(kind, body, synced));
+        waiting.add(new PendingRecord(kind, body, synced));
         if (!busy) {
             next();
         }
     }
 
     /** The new content stands for all that was appended so far; what comes later is appended behind it. */
-    void rewrite(final List<Record.Piece> content, final Runnable synced) {
+    void rewrite(final List<LogRecord.Content> content, final Runnable synced) {
         // Waiting records are part of the new content already; only their callbacks are still owed.
-        final List<Piece> covered = waiting;
+        final List<PendingRecord> covered = waiting;
         waiting = new ArrayList<>();
         newContent = content;
-        waiting.add(new Piece(-1, null, () -> {
+        waiting.add(new PendingRecord(-1, null, () -> {
             covered.forEach(piece -> piece.synced.run());
             synced.run();
         }));
@@ -75,18 +75,18 @@
 
     private void next() {
         busy = true;
-        final List<Piece> batch = waiting;
-        final List<Record.Piece> content = newContent;
+        final List<PendingRecord> batch = waiting;
+        final List<LogRecord.Content> content = newContent;
         waiting = new ArrayList<>();
         newContent = null;
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         if (content != null) {
-            content.forEach(piece -> bytes.writeBytes(Record.wrapBody(piece.kind(), piece.body(), 0)));
+            content.forEach(piece -> bytes.writeBytes(LogRecord.wrapBody(piece.kind(), piece.body(), 0)));
         }
         final long syncedTo = content != null ? 0 : length;
-        for (final Piece piece : batch) {
+        for (final PendingRecord piece : batch) {
             if (piece.kind >= 0) {
-                bytes.writeBytes(Record.wrapBody(piece.kind, piece.body, syncedTo));
+                bytes.writeBytes(LogRecord.wrapBody(piece.kind, piece.body, syncedTo));
             }
         }
         length = (content != null ? 0 : length) + bytes.size();
--- a/src/main/java/yewjunction/ledger/Course.java
+++ b/src/main/java/yewjunction/raft/CommitTracker.java
@@ -1,23 +1,23 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewjunction.base.Event;
+import yewjunction.common.LogEvent;
 
-import static yewjunction.base.ControlLimits.CATCH_UP_BYTES;
-import static yewjunction.base.ControlLimits.CATCH_UP_ENTRIES;
-import static yewjunction.base.Limits.LEDGER_BYTES;
-import static yewjunction.base.Limits.LEDGER_TAIL_BYTES;
-import static yewjunction.base.Limits.LEDGER_TAIL_ENTRIES;
+import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
+import static yewjunction.common.ControlLimits.CATCH_UP_ENTRIES;
+import static yewjunction.common.Limits.LEDGER_BYTES;
+import static yewjunction.common.Limits.LEDGER_TAIL_BYTES;
+import static yewjunction.common.Limits.LEDGER_TAIL_ENTRIES;
 
 /** How far the log is synced, committed and applied here, and who waits for that. */
-public final class Course {
-    private final Ledger ledger;
-    private final Machine machine;
-    private final ArrayDeque<Write> writes = new ArrayDeque<>();
+public final class CommitTracker {
+    private final RaftNode ledger;
+    private final StateMachine machine;
+    private final ArrayDeque<PendingWrite> writes = new ArrayDeque<>();
     private final Map<Long, Proposal> proposals = new HashMap<>();
     private boolean rewriting;
     private long rewrittenBytes;
@@ -26,7 +26,7 @@
     private long syncedIndex;
 
     /** Entries on their way to the disk, in the order they will get there. */
-    private static final class Write {
+    private static final class PendingWrite {
         long lastIndex;
         long atMs;
     }
@@ -34,10 +34,10 @@
     private record Proposal(long term, Consumer<Boolean> done) {
     }
 
-    Course(final Ledger ledger, final Machine machine) {
+    CommitTracker(final RaftNode ledger, final StateMachine machine) {
         this.ledger = ledger;
         this.machine = machine;
-        final Archive archive = ledger.archive;
+        final RaftStorage archive = ledger.archive;
         final byte[] state = archive.takeState();
         if (state != null) {
             machine.restore(archive.stateIndex(), state);
@@ -74,11 +74,11 @@
         dropped.forEach(proposal -> proposal.done.accept(false));
     }
 
-    void write(final List<Entry> entries) {
+    void write(final List<LogEntry> entries) {
         if (entries.isEmpty()) {
             return;
         }
-        final Write write = new Write();
+        final PendingWrite write = new PendingWrite();
         write.lastIndex = entries.get(entries.size() - 1).index;
         write.atMs = ledger.pulse.nowMs();
         writes.add(write);
@@ -124,12 +124,12 @@
         }
         commit = Math.min(newCommit, ledger.log.lastIndex());
         while (applied < commit) {
-            final Entry entry = ledger.log.get(applied + 1);
+            final LogEntry entry = ledger.log.get(applied + 1);
             applied = entry.index;
-            if (entry.kind == Entry.DATA) {
+            if (entry.kind == LogEntry.DATA) {
                 machine.apply(entry.index, entry.data);
-            } else if (entry.kind == Entry.VOTERS) {
-                Event.VOTERS_CHANGED.info("group " + ledger.group + " " + Archive.votersOf(entry.data));
+            } else if (entry.kind == LogEntry.VOTERS) {
+                LogEvent.VOTERS_CHANGED.info("group " + ledger.group + " " + RaftStorage.votersOf(entry.data));
             }
             final Proposal proposal = proposals.remove(entry.index);
             if (proposal != null) {
@@ -156,7 +156,7 @@
         ledger.archive.rewrite(applied, machine.snapshot(), () -> {
             rewriting = false;
             rewrittenBytes = ledger.archive.bytes();
-            Event.LEDGER_REWRITTEN.info("group " + ledger.group + " bytes " + rewrittenBytes);
+            LogEvent.LEDGER_REWRITTEN.info("group " + ledger.group + " bytes " + rewrittenBytes);
         });
     }
 
--- a/src/main/java/yewjunction/ledger/Disk.java
+++ b/src/main/java/yewjunction/raft/Disk.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** The few disk operations a ledger needs; names are inside one folder. */
 public interface Disk {
--- a/src/main/java/yewjunction/ledger/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -1,28 +1,28 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import yewjunction.base.Event;
-import yewjunction.ledger.Letters.Ask;
-import yewjunction.ledger.Letters.AskAnswer;
+import yewjunction.common.LogEvent;
+import yewjunction.raft.RaftMessages.VoteRequest;
+import yewjunction.raft.RaftMessages.VoteResponse;
 
-import static yewjunction.base.Limits.ELECT_BROKEN_LEAST_MS;
-import static yewjunction.base.Limits.ELECT_BROKEN_MOST_MS;
-import static yewjunction.base.Limits.ELECT_FIRST_LEAST_MS;
-import static yewjunction.base.Limits.ELECT_FIRST_MOST_MS;
-import static yewjunction.base.Limits.ELECT_LEAST_MS;
-import static yewjunction.base.Limits.ELECT_MOST_MS;
+import static yewjunction.common.Limits.ELECT_BROKEN_LEAST_MS;
+import static yewjunction.common.Limits.ELECT_BROKEN_MOST_MS;
+import static yewjunction.common.Limits.ELECT_FIRST_LEAST_MS;
+import static yewjunction.common.Limits.ELECT_FIRST_MOST_MS;
+import static yewjunction.common.Limits.ELECT_LEAST_MS;
+import static yewjunction.common.Limits.ELECT_MOST_MS;
 
 /** When and how a member stands for the lead. */
 final class Election {
-    private final Ledger ledger;
+    private final RaftNode ledger;
     private final Set<String> grants = new HashSet<>();
     private long electAtMs;
     /** Votes proper are being asked for, not only whether they would be given. */
     private boolean firm;
 
-    Election(final Ledger ledger) {
+    Election(final RaftNode ledger) {
         this.ledger = ledger;
     }
 
@@ -99,18 +99,18 @@
     private void askAll(final boolean pre, final boolean handedOver) {
         for (final String voter : ledger.voters()) {
             if (!voter.equals(ledger.identity())) {
-                final Ask ask = new Ask();
+                final VoteRequest ask = new VoteRequest();
                 ask.pre = pre;
                 ask.handedOver = handedOver;
                 ask.lastIndex = ledger.log.lastIndex();
                 ask.lastTerm = ledger.log.lastTerm();
-                ledger.introductions.send(ledger.post.dial(Ledger.address(voter)),
-                    Letters.withTerm(ledger.addressed(ask, voter), ledger.archive.term + (pre ? 1 : 0)));
+                ledger.introductions.send(ledger.post.dial(RaftNode.address(voter)),
+                    RaftMessages.withTerm(ledger.addressed(ask, voter), ledger.archive.term + (pre ? 1 : 0)));
             }
         }
     }
 
-    void granted(final AskAnswer answer) {
+    void granted(final VoteResponse answer) {
         final long term = ledger.archive.term;
         if (answer.term > term && !answer.granted) {
             ledger.seen(answer.term);
@@ -129,7 +129,7 @@
             standFirmly(false);
         } else {
             over();
-            Event.LEADER_WON.info("group " + ledger.group + " term " + ledger.archive.term);
+            LogEvent.LEADER_WON.info("group " + ledger.group + " term " + ledger.archive.term);
             ledger.lead();
         }
     }
--- a/src/main/java/yewjunction/ledger/Following.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -1,37 +1,37 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Link;
-import yewjunction.ledger.Letters.Append;
-import yewjunction.ledger.Letters.AppendAnswer;
-import yewjunction.ledger.Letters.Ask;
-import yewjunction.ledger.Letters.AskAnswer;
-import yewjunction.ledger.Letters.Image;
-import yewjunction.ledger.Letters.Join;
+import yewjunction.common.PeerConnection;
+import yewjunction.raft.RaftMessages.AppendEntriesRequest;
+import yewjunction.raft.RaftMessages.AppendEntriesResponse;
+import yewjunction.raft.RaftMessages.VoteRequest;
+import yewjunction.raft.RaftMessages.VoteResponse;
+import yewjunction.raft.RaftMessages.InstallSnapshotRequest;
+import yewjunction.raft.RaftMessages.JoinRequest;
 
 /** What a member does for a candidate or a leader. */
-final class Following {
-    private final Ledger ledger;
-    private final List<Waiting> waiting = new ArrayList<>();
+final class FollowerState {
+    private final RaftNode ledger;
+    private final List<PendingResponse> waiting = new ArrayList<>();
 
     /** An answer owed once the disk holds the entries it speaks of. */
-    private record Waiting(Link link, Append append, long match) {
+    private record PendingResponse(PeerConnection link, AppendEntriesRequest append, long match) {
     }
 
-    Following(final Ledger ledger) {
+    FollowerState(final RaftNode ledger) {
         this.ledger = ledger;
     }
 
     void join(final String peerAddress, final boolean wantsVote, final boolean leaves) {
-        final Join join = ledger.addressed(new Join(), null);
+        final JoinRequest join = ledger.addressed(new JoinRequest(), null);
         join.wantsVote = wantsVote;
         join.leaves = leaves ? true : null;
         ledger.introductions.send(ledger.post.dial(peerAddress), join);
     }
 
-    void ask(final Link link, final Ask ask) {
-        final Archive archive = ledger.archive;
+    void ask(final PeerConnection link, final VoteRequest ask) {
+        final RaftStorage archive = ledger.archive;
         final boolean logServes = ask.lastTerm > ledger.log.lastTerm()
             || ask.lastTerm == ledger.log.lastTerm() && ask.lastIndex >= ledger.log.lastIndex();
         // Whoever hears a leader keeps to it: a peer with a bad link must not unseat a good leader.
@@ -55,15 +55,15 @@
         archive.saveVote(ask.term, ask.from, () -> answer(link, ask, true, ask.term));
     }
 
-    private void answer(final Link link, final Ask ask, final boolean granted, final long term) {
-        final AskAnswer answer = Letters.withTerm(ledger.addressed(new AskAnswer(), ask.from), term);
+    private void answer(final PeerConnection link, final VoteRequest ask, final boolean granted, final long term) {
+        final VoteResponse answer = RaftMessages.withTerm(ledger.addressed(new VoteResponse(), ask.from), term);
         answer.pre = ask.pre;
         answer.granted = granted;
         ledger.introductions.send(link, answer);
     }
 
     /** True when the letter comes from the leader of the current term. */
-    private boolean accepted(final Letters.Letter letter) {
+    private boolean accepted(final RaftMessages.RaftMessage letter) {
         ledger.seen(letter.term);
         if (letter.term < ledger.archive.term) {
             return false;
@@ -76,8 +76,8 @@
         return true;
     }
 
-    void append(final Link link, final Append append) {
-        final Log log = ledger.log;
+    void append(final PeerConnection link, final AppendEntriesRequest append) {
+        final RaftLog log = ledger.log;
         if (!accepted(append)) {
             answer(link, append, false, 0);
             return;
@@ -90,8 +90,8 @@
             answer(link, append, false, Math.min(log.lastIndex(), append.prevIndex - 1));
             return;
         }
-        final List<Entry> fresh = new ArrayList<>();
-        for (final Entry entry : append.entries) {
+        final List<LogEntry> fresh = new ArrayList<>();
+        for (final LogEntry entry : append.entries) {
             // What the snapshot covers was committed and is the same everywhere.
             if (entry.index <= log.baseIndex()) {
                 continue;
@@ -115,7 +115,7 @@
         if (match <= ledger.course.syncedIndex() || append.entries.isEmpty()) {
             answer(link, append, true, Math.min(match, ledger.course.syncedIndex()));
         } else {
-            waiting.add(new Waiting(link, append, match));
+            waiting.add(new PendingResponse(link, append, match));
         }
     }
 
@@ -123,9 +123,9 @@
         if (waiting.isEmpty()) {
             return;
         }
-        final List<Waiting> owed = new ArrayList<>(waiting);
+        final List<PendingResponse> owed = new ArrayList<>(waiting);
         waiting.clear();
-        for (final Waiting one : owed) {
+        for (final PendingResponse one : owed) {
             if (one.append.term != ledger.archive.term) {
                 continue;
             }
@@ -137,8 +137,8 @@
         }
     }
 
-    private void answer(final Link link, final Append append, final boolean accepted, final long match) {
-        final AppendAnswer answer = ledger.addressed(new AppendAnswer(), append.from);
+    private void answer(final PeerConnection link, final AppendEntriesRequest append, final boolean accepted, final long match) {
+        final AppendEntriesResponse answer = ledger.addressed(new AppendEntriesResponse(), append.from);
         answer.accepted = accepted;
         answer.match = match;
         // The answer bears this member's term: a round counts in it only if it was asked in it.
@@ -146,11 +146,11 @@
         ledger.introductions.send(link, answer);
     }
 
-    void image(final Link link, final Image image) {
+    void image(final PeerConnection link, final InstallSnapshotRequest image) {
         if (!accepted(image)) {
             return;
         }
-        final Append asked = new Append();
+        final AppendEntriesRequest asked = new AppendEntriesRequest();
         asked.from = image.from;
         // The entry that a snapshot ends with is here: so is all before it, and what is behind it must stay.
         if (ledger.log.termAt(image.lastIndex) == image.lastTerm) {
--- a/src/main/java/yewjunction/ledger/Membership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -1,19 +1,19 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-import static yewjunction.base.ControlLimits.LEAVE_LOOK_MS;
-import static yewjunction.base.ControlLimits.LEAVE_MS;
-import static yewjunction.base.Limits.ENROL_MS;
+import static yewjunction.common.ControlLimits.LEAVE_LOOK_MS;
+import static yewjunction.common.ControlLimits.LEAVE_MS;
+import static yewjunction.common.Limits.ENROL_MS;
 
 /**
  * A member's own side of its membership: whoever has no vote, or hears no leader, makes itself known to whoever leads, by
  * whatever way the lead passed. A new leader knows the voters from its log, and all others only by their own word.
  */
-public final class Membership {
-    private final Ledger ledger;
+public final class GroupMembership {
+    private final RaftNode ledger;
     private Supplier<List<String>> peers = List::of;
     private BooleanSupplier wantsVote = () -> false;
     private boolean leaving;
@@ -21,7 +21,7 @@
     private long goal;
     private long goalMs;
 
-    Membership(final Ledger ledger) {
+    GroupMembership(final RaftNode ledger) {
         this.ledger = ledger;
     }
 
@@ -43,7 +43,7 @@
         }
         // Whoever knows another leader passes it on; with a leader in reach nobody else is troubled.
         final String leader = ledger.leader();
-        final List<String> asked = leader == null ? peers.get() : List.of(Ledger.address(leader));
+        final List<String> asked = leader == null ? peers.get() : List.of(RaftNode.address(leader));
         asked.forEach(peer -> ledger.following.join(peer, !leaving && wantsVote.getAsBoolean(), leaving));
     }
 
--- a/src/main/java/yewjunction/ledger/PassingDisk.java
+++ b/src/main/java/yewjunction/raft/InMemoryDisk.java
@@ -1,11 +1,11 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Memory in the place of a disk, for a member on a machine that has none: it follows and never votes. */
-public final class PassingDisk implements Disk {
+public final class InMemoryDisk implements Disk {
     private final Map<String, byte[]> files = new HashMap<>();
 
     @Override
--- a/src/main/java/yewjunction/ledger/Tempo.java
+++ b/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
@@ -1,20 +1,20 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 
-import static yewjunction.base.Limits.ELECT_MOST_MS;
-import static yewjunction.base.Limits.LATE_REST_MS;
-import static yewjunction.base.Limits.LATE_SHARE;
-import static yewjunction.base.Limits.LATE_WEIGHT;
+import static yewjunction.common.Limits.ELECT_MOST_MS;
+import static yewjunction.common.Limits.LATE_REST_MS;
+import static yewjunction.common.Limits.LATE_SHARE;
+import static yewjunction.common.Limits.LATE_WEIGHT;
 
 /** Whether this leader's own links or machine hold everybody up: when all peers answer late, it is the one to go. */
-final class Tempo {
-    private final Ledger ledger;
-    private final Leading leading;
+final class LeaderLatencyMonitor {
+    private final RaftNode ledger;
+    private final LeaderState leading;
     private long beatRound;
     private long sinceMs;
 
-    Tempo(final Ledger ledger, final Leading leading) {
+    LeaderLatencyMonitor(final RaftNode ledger, final LeaderState leading) {
         this.ledger = ledger;
         this.leading = leading;
     }
@@ -26,7 +26,7 @@
 
     /** At each beat: who has not answered the one before. */
     void beat(final long newRound) {
-        for (final Standing standing : leading.standings.values()) {
+        for (final PeerProgress standing : leading.standings.values()) {
             final boolean late = standing.round < beatRound;
             standing.late += LATE_WEIGHT * ((late ? 1 : 0) - standing.late);
         }
@@ -41,7 +41,7 @@
             return false;
         }
         for (final String voter : voters) {
-            final Standing standing = leading.standing(voter);
+            final PeerProgress standing = leading.standing(voter);
             if (!voter.equals(ledger.identity()) && (standing.late < LATE_SHARE || nowMs - standing.heardMs > ELECT_MOST_MS)) {
                 return false;
             }
--- a/src/main/java/yewjunction/ledger/Leading.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -1,26 +1,26 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import yewjunction.ledger.Letters.Append;
-import yewjunction.ledger.Letters.AppendAnswer;
+import yewjunction.raft.RaftMessages.AppendEntriesRequest;
+import yewjunction.raft.RaftMessages.AppendEntriesResponse;
 
-import static yewjunction.base.Limits.APPEND_AGAIN_MS;
-import static yewjunction.base.Limits.BEAT_MS;
-import static yewjunction.base.Limits.COMMIT_WORD_MS;
-import static yewjunction.base.Limits.DISK_DRAGS_MS;
-import static yewjunction.base.Limits.ELECT_MOST_MS;
+import static yewjunction.common.Limits.APPEND_AGAIN_MS;
+import static yewjunction.common.Limits.BEAT_MS;
+import static yewjunction.common.Limits.COMMIT_WORD_MS;
+import static yewjunction.common.Limits.DISK_DRAGS_MS;
+import static yewjunction.common.Limits.ELECT_MOST_MS;
 
 /** What a leader does: replicates, commits, confirms its leadership. */
-final class Leading {
-    private final Ledger ledger;
-    final Electorate electorate;
-    final Map<String, Standing> standings = new HashMap<>();
-    private final Rounds rounds;
-    private final Tempo tempo;
-    final Images images;
+final class LeaderState {
+    private final RaftNode ledger;
+    final VoterReconfiguration electorate;
+    final Map<String, PeerProgress> standings = new HashMap<>();
+    private final ReadIndexRequests rounds;
+    private final LeaderLatencyMonitor tempo;
+    final SnapshotTransfer images;
     private long firstIndex;
     private long era;
     private boolean sending;
@@ -31,12 +31,12 @@
     /** The commit that all have been told. */
     private long toldCommit;
 
-    Leading(final Ledger ledger) {
+    LeaderState(final RaftNode ledger) {
         this.ledger = ledger;
-        electorate = new Electorate(ledger, this);
-        rounds = new Rounds(ledger);
-        tempo = new Tempo(ledger, this);
-        images = new Images(ledger, this);
+        electorate = new VoterReconfiguration(ledger, this);
+        rounds = new ReadIndexRequests(ledger);
+        tempo = new LeaderLatencyMonitor(ledger, this);
+        images = new SnapshotTransfer(ledger, this);
     }
 
     void begin() {
@@ -47,7 +47,7 @@
         announced = false;
         ledger.voters().forEach(this::standing);
         firstIndex = ledger.log.lastIndex() + 1;
-        append(Entry.NOTHING, new byte[0]);
+        append(LogEntry.NOTHING, new byte[0]);
         beat(era);
     }
 
@@ -62,9 +62,9 @@
         return firstIndex;
     }
 
-    Standing standing(final String identity) {
+    PeerProgress standing(final String identity) {
         return standings.computeIfAbsent(identity, key -> {
-            final Standing fresh = new Standing();
+            final PeerProgress fresh = new PeerProgress();
             fresh.next = ledger.log.lastIndex() + 1;
             fresh.heardMs = ledger.pulse.nowMs();
             return fresh;
@@ -103,7 +103,7 @@
     }
 
     long append(final int kind, final byte[] data) {
-        final Entry entry = new Entry(ledger.log.lastIndex() + 1, ledger.archive.term, kind, data);
+        final LogEntry entry = new LogEntry(ledger.log.lastIndex() + 1, ledger.archive.term, kind, data);
         ledger.course.write(List.of(entry));
         sendSoon();
         return entry.index;
@@ -136,7 +136,7 @@
     private void sendAll() {
         if (ledger.leadsTerm()) {
             toldCommit = ledger.commit();
-            for (final Map.Entry<String, Standing> one : List.copyOf(standings.entrySet())) {
+            for (final Map.Entry<String, PeerProgress> one : List.copyOf(standings.entrySet())) {
                 if (!self(one.getKey())) {
                     send(one.getKey(), one.getValue());
                 }
@@ -146,9 +146,9 @@
     }
 
     /** What was lost with a link shows at the next beat: it names an entry that the peer lacks, and is denied. */
-    private void send(final String identity, final Standing standing) {
+    private void send(final String identity, final PeerProgress standing) {
         final long nowMs = ledger.pulse.nowMs();
-        final Log log = ledger.log;
+        final RaftLog log = ledger.log;
         if (standing.relay != null) {
             ledger.relay.tell(identity, standing, rounds.newest());
             return;
@@ -161,7 +161,7 @@
             images.send(identity, nowMs);
             return;
         }
-        final Append append = new Append();
+        final AppendEntriesRequest append = new AppendEntriesRequest();
         append.prevIndex = standing.next - 1;
         append.prevTerm = log.termAt(append.prevIndex);
         append.commit = ledger.commit();
@@ -175,9 +175,9 @@
         ledger.sendTo(identity, append);
     }
 
-    void answered(final AppendAnswer answer) {
+    void answered(final AppendEntriesResponse answer) {
         ledger.seen(answer.term);
-        final Standing standing = standings.get(answer.from);
+        final PeerProgress standing = standings.get(answer.from);
         if (!ledger.leadsTerm() || answer.term != ledger.archive.term || standing == null) {
             return;
         }
@@ -239,7 +239,7 @@
         }
     }
 
-    void learn(final Letters.Join join) {
+    void learn(final RaftMessages.JoinRequest join) {
         if (ledger.leadsTerm()) {
             standing(join.from).said(join, ledger.pulse.nowMs());
         }
--- a/src/main/java/yewjunction/ledger/Entry.java
+++ b/src/main/java/yewjunction/raft/LogEntry.java
@@ -1,7 +1,7 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** One entry of the log. */
-public final class Entry {
+public final class LogEntry {
     static final int NOTHING = 0;
     static final int DATA = 1;
     static final int VOTERS = 2;
@@ -11,10 +11,10 @@
     public int kind;
     public byte[] data = new byte[0];
 
-    public Entry() {
+    public LogEntry() {
     }
 
-    Entry(final long index, final long term, final int kind, final byte[] data) {
+    LogEntry(final long index, final long term, final int kind, final byte[] data) {
         this.index = index;
         this.term = term;
         this.kind = kind;
--- a/src/main/java/yewjunction/ledger/Record.java
+++ b/src/main/java/yewjunction/raft/LogRecord.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,17 +8,17 @@
 import static java.nio.ByteOrder.BIG_ENDIAN;
 
 /** Flyweight over a checksummed record: length, sum, how far the file was synced then, kind, body. */
-final class Record {
+final class LogRecord {
     static final int HEAD = 4 + 4 + 8 + 1;
     private static final int MOST = 64 << 20;
     private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
     private int offset;
 
     /** What a file holds: good records, where the good part ends, and whether synced records lie behind that. */
-    record Reading(List<Piece> pieces, int goodBytes, boolean damaged) {
+    record ScanResult(List<Content> pieces, int goodBytes, boolean damaged) {
     }
 
-    record Piece(int kind, byte[] body) {
+    record Content(int kind, byte[] body) {
     }
 
     static byte[] wrapBody(final int kind, final byte[] body, final long syncedTo) {
@@ -38,7 +38,7 @@
         return (int) crc.getValue();
     }
 
-    private Record wrap(final byte[] bytes, final int newOffset) {
+    private LogRecord wrap(final byte[] bytes, final int newOffset) {
         buffer.wrap(bytes);
         offset = newOffset;
         return this;
@@ -57,14 +57,14 @@
             && buffer.getInt(offset + 4, BIG_ENDIAN) == sum(bytes, offset + 8, HEAD - 8 + length);
     }
 
-    static Reading read(final byte[] bytes) {
-        final Record record = new Record();
-        final List<Piece> pieces = new ArrayList<>();
+    static ScanResult read(final byte[] bytes) {
+        final LogRecord record = new LogRecord();
+        final List<Content> pieces = new ArrayList<>();
         int at = 0;
         while (at < bytes.length && record.wrap(bytes, at).good(bytes)) {
             final byte[] body = new byte[record.length()];
             System.arraycopy(bytes, at + HEAD, body, 0, body.length);
-            pieces.add(new Piece(bytes[at + 16], body));
+            pieces.add(new Content(bytes[at + 16], body));
             at += HEAD + body.length;
         }
         // A bad record is a torn tail, unless a later good one says that this place had been synced.
@@ -72,6 +72,6 @@
         for (int later = at + 1; later < bytes.length && !damaged; later++) {
             damaged = record.wrap(bytes, later).good(bytes) && record.buffer.getLong(later + 8, BIG_ENDIAN) > at;
         }
-        return new Reading(pieces, at, damaged);
+        return new ScanResult(pieces, at, damaged);
     }
 }
--- a/src/main/java/yewjunction/ledger/Standing.java
+++ b/src/main/java/yewjunction/raft/PeerProgress.java
@@ -1,15 +1,15 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 
-import static yewjunction.base.ControlLimits.CAUGHT_UP_BYTES;
-import static yewjunction.base.Limits.APPEND_BYTES;
-import static yewjunction.base.Limits.APPEND_ENTRIES;
-import static yewjunction.base.Limits.LEDGER_TAIL_ENTRIES;
-import static yewjunction.base.Limits.VOTER_LAGS_MS;
+import static yewjunction.common.ControlLimits.CAUGHT_UP_BYTES;
+import static yewjunction.common.Limits.APPEND_BYTES;
+import static yewjunction.common.Limits.APPEND_ENTRIES;
+import static yewjunction.common.Limits.LEDGER_TAIL_ENTRIES;
+import static yewjunction.common.Limits.VOTER_LAGS_MS;
 
 /** How far a peer is. */
-final class Standing {
+final class PeerProgress {
     long next;
     long match;
     long round;
@@ -28,9 +28,9 @@
     private boolean behind;
     private long windowEnd;
     private long sentMs;
-    private final Pace pace = new Pace(APPEND_BYTES);
+    private final AdaptiveChunkSize pace = new AdaptiveChunkSize(APPEND_BYTES);
 
-    void said(final Letters.Join join, final long nowMs) {
+    void said(final RaftMessages.JoinRequest join, final long nowMs) {
         wantsVote = join.wantsVote;
         leavesMs = join.leaves == null ? 0 : nowMs;
     }
@@ -39,7 +39,7 @@
      * The entries to send next. All that a peer far behind lacks would wait on its link before any beat: it gets a little
      * at a time, each after the answer to the one before, or after a denial when that was lost.
      */
-    List<Entry> slice(final Log log, final long nowMs) {
+    List<LogEntry> slice(final RaftLog log, final long nowMs) {
         if (windowEnd > match && next == windowEnd + 1) {
             return List.of();
         }
@@ -49,7 +49,7 @@
         if (!behind) {
             return log.slice(next, APPEND_ENTRIES, APPEND_BYTES);
         }
-        final List<Entry> entries = log.slice(next, APPEND_ENTRIES, pace.bytes());
+        final List<LogEntry> entries = log.slice(next, APPEND_ENTRIES, pace.bytes());
         windowEnd = next - 1 + entries.size();
         sentMs = nowMs;
         return entries;
--- a/src/main/java/yewjunction/ledger/Log.java
+++ b/src/main/java/yewjunction/raft/RaftLog.java
@@ -1,13 +1,13 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** The entries in memory, behind the last snapshot. */
-final class Log {
-    private final ArrayList<Entry> entries = new ArrayList<>();
+final class RaftLog {
+    private final ArrayList<LogEntry> entries = new ArrayList<>();
     /** Those of the entries that change voters: few, and asked for at every turn. */
-    private final ArrayList<Entry> voterChanges = new ArrayList<>();
+    private final ArrayList<LogEntry> voterChanges = new ArrayList<>();
     private long baseIndex;
     private long baseTerm;
     private List<String> baseVoters = List.of();
@@ -40,17 +40,17 @@
         return index < baseIndex || index > lastIndex() ? -1 : get(index).term;
     }
 
-    Entry get(final long index) {
+    LogEntry get(final long index) {
         return entries.get((int) (index - baseIndex - 1));
     }
 
-    void append(final Entry entry) {
+    void append(final LogEntry entry) {
         // Invariant: indices follow without gap and terms never fall.
         if (entry.index != lastIndex() + 1 || entry.term < lastTerm()) {
             throw new IllegalStateException("entry " + entry.index + "/" + entry.term + " after " + lastIndex() + "/" + lastTerm());
         }
         entries.add(entry);
-        if (entry.kind == Entry.VOTERS) {
+        if (entry.kind == LogEntry.VOTERS) {
             voterChanges.add(entry);
         }
     }
@@ -99,7 +99,7 @@
     List<String> votersAt(final long index) {
         for (int place = voterChanges.size() - 1; place >= 0; place--) {
             if (voterChanges.get(place).index <= index) {
-                return Archive.votersOf(voterChanges.get(place).data);
+                return RaftStorage.votersOf(voterChanges.get(place).data);
             }
         }
         return baseVoters;
@@ -109,11 +109,11 @@
         return voterChanges.isEmpty() ? baseIndex : voterChanges.get(voterChanges.size() - 1).index;
     }
 
-    List<Entry> slice(final long from, final int mostEntries, final int mostBytes) {
-        final List<Entry> chosen = new ArrayList<>();
+    List<LogEntry> slice(final long from, final int mostEntries, final int mostBytes) {
+        final List<LogEntry> chosen = new ArrayList<>();
         int bytes = 0;
         for (long at = from; at <= lastIndex() && chosen.size() < mostEntries && bytes < mostBytes; at++) {
-            final Entry entry = get(at);
+            final LogEntry entry = get(at);
             chosen.add(entry);
             bytes += entry.data.length + 32;
         }
--- a/src/main/java/yewjunction/ledger/Letters.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -1,22 +1,22 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.base.Codec;
+import yewjunction.common.MessageCodec;
 
 /** What ledgers of one group say to one another. */
-public final class Letters {
-    private Letters() {
+public final class RaftMessages {
+    private RaftMessages() {
     }
 
-    public static void know(final Codec codec) {
-        codec.know(10, Ask.class).know(11, AskAnswer.class).know(12, Append.class).know(13, AppendAnswer.class)
-            .know(14, Image.class).know(15, HandOver.class).know(16, Join.class)
-            .know(17, ImageAnswer.class).know(18, Fetch.class).know(19, Fetched.class);
+    public static void know(final MessageCodec codec) {
+        codec.know(10, VoteRequest.class).know(11, VoteResponse.class).know(12, AppendEntriesRequest.class).know(13, AppendEntriesResponse.class)
+            .know(14, InstallSnapshotRequest.class).know(15, TimeoutNowRequest.class).know(16, JoinRequest.class)
+            .know(17, InstallSnapshotResponse.class).know(18, FetchRequest.class).know(19, FetchResponse.class);
     }
 
     /** Common to all: the group, who speaks, to whom, in which term. */
-    abstract static class Letter {
+    abstract static class RaftMessage {
         int group;
         /** Null, and nobody named as receiver, where the link's earlier letters said both. */
         String from;
@@ -25,7 +25,7 @@
         long term;
     }
 
-    static <T extends Letter> T withTerm(final T letter, final long term) {
+    static <T extends RaftMessage> T withTerm(final T letter, final long term) {
         letter.term = term;
         return letter;
     }
@@ -40,50 +40,50 @@
     }
 
     /** For a vote, or, when pre is set, whether a vote would be given. */
-    static final class Ask extends Letter {
+    static final class VoteRequest extends RaftMessage {
         boolean pre;
         boolean handedOver;
         long lastIndex;
         long lastTerm;
     }
 
-    static final class AskAnswer extends Letter {
+    static final class VoteResponse extends RaftMessage {
         boolean pre;
         boolean granted;
     }
 
-    static final class Append extends Letter {
+    static final class AppendEntriesRequest extends RaftMessage {
         long prevIndex;
         long prevTerm;
         long commit;
         long round;
         /** No answer is needed when all is as the leader thinks. */
         boolean quiet;
-        List<Entry> entries = new ArrayList<>();
+        List<LogEntry> entries = new ArrayList<>();
         /** Where the receiver fetches committed entries; null for one whom the leader serves itself. */
         String relay;
     }
 
     /** A member without a vote asks one of its zone for what is committed behind its own end. */
-    static final class Fetch extends Letter {
+    static final class FetchRequest extends RaftMessage {
         long next;
         long lastTerm;
     }
 
-    static final class Fetched extends Letter {
+    static final class FetchResponse extends RaftMessage {
         long prevIndex;
         long prevTerm;
-        List<Entry> entries = new ArrayList<>();
+        List<LogEntry> entries = new ArrayList<>();
     }
 
-    static final class AppendAnswer extends Letter {
+    static final class AppendEntriesResponse extends RaftMessage {
         boolean accepted;
         long match;
         long round;
     }
 
     /** A piece of a snapshot, for a peer too far behind; the next one follows its answer. */
-    static final class Image extends Letter {
+    static final class InstallSnapshotRequest extends RaftMessage {
         long lastIndex;
         long lastTerm;
         List<String> voters = new ArrayList<>();
@@ -98,7 +98,7 @@
     }
 
     /** How much of a snapshot a peer holds. */
-    static final class ImageAnswer extends Letter {
+    static final class InstallSnapshotResponse extends RaftMessage {
         long lastIndex;
         int held;
         /** Of the letter that it answers. */
@@ -107,11 +107,11 @@
     }
 
     /** The leader stops: stand for election now. */
-    static final class HandOver extends Letter {
+    static final class TimeoutNowRequest extends RaftMessage {
     }
 
     /** A newcomer asks whoever leads to bring it up to date and make it a voter when a place is free. */
-    static final class Join extends Letter {
+    static final class JoinRequest extends RaftMessage {
         boolean wantsVote;
         /** By a member that does not lead itself. */
         Boolean passedOn;
--- a/src/main/java/yewjunction/ledger/Ledger.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -1,55 +1,55 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import java.util.function.Consumer;
-import yewjunction.base.Event;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
+import yewjunction.common.LogEvent;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
 
-import static yewjunction.base.Limits.ASK_AROUND_MS;
-import static yewjunction.base.Limits.ELECT_LEAST_MS;
-import static yewjunction.base.Limits.ELECT_MOST_MS;
+import static yewjunction.common.Limits.ASK_AROUND_MS;
+import static yewjunction.common.Limits.ELECT_LEAST_MS;
+import static yewjunction.common.Limits.ELECT_MOST_MS;
 
 /** One member of a replicated log. All calls on the owner's thread. */
-public final class Ledger {
+public final class RaftNode {
     enum Role { FOLLOWS, STANDS, LEADS }
     final int group;
-    final Pulse pulse;
-    final Post post;
-    final Archive archive;
-    final Log log;
-    private final Machine machine;
-    final Leading leading;
-    final Following following;
+    final AgentContext pulse;
+    final PeerTransport post;
+    final RaftStorage archive;
+    final RaftLog log;
+    private final StateMachine machine;
+    final LeaderState leading;
+    final FollowerState following;
     private final Election election;
-    final Course course;
-    final Introductions introductions;
-    final Relay relay;
-    final Membership membership;
+    final CommitTracker course;
+    final ConnectionHandshakes introductions;
+    final ZoneRelay relay;
+    final GroupMembership membership;
     private Role role = Role.FOLLOWS;
     private String leaderIdentity;
-    private Link leaderLink;
+    private PeerConnection leaderLink;
     private long heardMs;
     private boolean stopped;
 
-    public Ledger(final int group, final Pulse pulse, final Post post, final Disk disk, final Clerk clerk,
-            final String name, final Machine machine) {
+    public RaftNode(final int group, final AgentContext pulse, final PeerTransport post, final Disk disk, final TaskExecutor clerk,
+            final String name, final StateMachine machine) {
         this.group = group;
         this.pulse = pulse;
         this.post = post;
         this.machine = machine;
-        archive = new Archive(new Shelf(disk, clerk, name));
+        archive = new RaftStorage(new AppendOnlyFile(disk, clerk, name));
         log = archive.log;
-        introductions = new Introductions(this);
-        relay = new Relay(this);
-        membership = new Membership(this);
-        leading = new Leading(this);
-        following = new Following(this);
+        introductions = new ConnectionHandshakes(this);
+        relay = new ZoneRelay(this);
+        membership = new GroupMembership(this);
+        leading = new LeaderState(this);
+        following = new FollowerState(this);
         election = new Election(this);
-        course = new Course(this, machine);
+        course = new CommitTracker(this, machine);
         heardMs = -ELECT_MOST_MS;
-        Event.LEDGER_OPENED.info("group " + group + " identity " + archive.identity + " term " + archive.term
+        LogEvent.LEDGER_OPENED.info("group " + group + " identity " + archive.identity + " term " + archive.term
             + " last " + log.lastIndex() + " voters " + voters());
     }
 
@@ -123,7 +123,7 @@
         if (!leads() || leading.electorate.handing()) {
             return false;
         }
-        final long index = leading.append(Entry.DATA, data);
+        final long index = leading.append(LogEntry.DATA, data);
         course.await(index, archive.term, done);
         return true;
     }
@@ -138,34 +138,34 @@
     }
 
     /** How far entries are synced, committed and applied here. */
-    public Course course() {
+    public CommitTracker course() {
         return course;
     }
 
     /** Who votes, decided by the leader. */
-    public Electorate electorate() {
+    public VoterReconfiguration electorate() {
         return leading.electorate;
     }
 
     /** This member's own side of its membership. */
-    public Membership membership() {
+    public GroupMembership membership() {
         return membership;
     }
 
     /** Takes the group's letters from the post. */
     public void listen() {
-        new Mail(this, following, leading, election).listen();
+        new MessageRouter(this, following, leading, election).listen();
     }
 
-    <T extends Letters.Letter> T addressed(final T letter, final String to) {
+    <T extends RaftMessages.RaftMessage> T addressed(final T letter, final String to) {
         letter.group = group;
         letter.from = archive.identity;
-        letter.to = to == null ? 0 : Letters.shortened(to);
+        letter.to = to == null ? 0 : RaftMessages.shortened(to);
         letter.term = archive.term;
         return letter;
     }
 
-    void sendTo(final String identity, final Letters.Letter letter) {
+    void sendTo(final String identity, final RaftMessages.RaftMessage letter) {
         introductions.send(post.dial(address(identity)), addressed(letter, identity));
     }
 
@@ -182,11 +182,11 @@
         return role == Role.LEADS || leaderIdentity != null && pulse.nowMs() - heardMs < ELECT_LEAST_MS;
     }
 
-    void heardOn(final Link link) {
+    void heardOn(final PeerConnection link) {
         leaderLink = link;
     }
 
-    void closed(final Link link) {
+    void closed(final PeerConnection link) {
         introductions.closed(link);
         relay.closed(link);
         if (link == leaderLink && role == Role.FOLLOWS && !stopped) {
@@ -219,7 +219,7 @@
         role = Role.FOLLOWS;
         if (led) {
             // Whoever is told no here must not find a leader any more: it would propose in a term that is another's.
-            Event.LEADER_LOST.info("group " + group + " term " + archive.term);
+            LogEvent.LEADER_LOST.info("group " + group + " term " + archive.term);
             leading.end();
         }
         election.over();
--- a/src/main/java/yewjunction/ledger/Archive.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -8,13 +8,13 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 /** A ledger's records: identity, votes, entries, cuts, snapshots. */
-final class Archive {
+final class RaftStorage {
     private static final int IDENTITY = 1;
     private static final int VOTE = 2;
     private static final int ENTRY = 3;
     private static final int CUT = 4;
     private static final int IMAGE = 5;
-    private final Shelf shelf;
+    private final AppendOnlyFile shelf;
 
     long term;
     String votedFor = "";
@@ -22,11 +22,11 @@
     /** As it was read at the start, until it is taken: whoever owns the state needs no second one in memory. */
     private byte[] state;
     private long stateIndex;
-    final Log log = new Log();
+    final RaftLog log = new RaftLog();
 
-    Archive(final Shelf shelf) {
+    RaftStorage(final AppendOnlyFile shelf) {
         this.shelf = shelf;
-        for (final Record.Piece piece : shelf.open()) {
+        for (final LogRecord.Content piece : shelf.open()) {
             replay(piece.kind(), ByteBuffer.wrap(piece.body()));
         }
     }
@@ -39,7 +39,7 @@
                 votedFor = text(body);
             }
             case ENTRY -> {
-                final Entry entry = new Entry(body.getLong(), body.getLong(), body.get(), null);
+                final LogEntry entry = new LogEntry(body.getLong(), body.getLong(), body.get(), null);
                 entry.data = rest(body);
                 log.append(entry);
             }
@@ -109,12 +109,12 @@
         return ByteBuffer.allocate(8 + vote.length).putLong(term).put(vote).array();
     }
 
-    private static byte[] entryBody(final Entry entry) {
+    private static byte[] entryBody(final LogEntry entry) {
         return ByteBuffer.allocate(17 + entry.data.length).putLong(entry.index).putLong(entry.term)
             .put((byte) entry.kind).put(entry.data).array();
     }
 
-    void append(final List<Entry> entries, final Runnable synced) {
+    void append(final List<LogEntry> entries, final Runnable synced) {
         for (int i = 0; i < entries.size(); i++) {
             log.append(entries.get(i));
             shelf.append(ENTRY, entryBody(entries.get(i)), i == entries.size() - 1 ? synced : () -> { });
@@ -132,14 +132,14 @@
 
     /** Puts a snapshot and the log behind it in the place of the whole file. */
     void rewrite(final long newStateIndex, final byte[] newState, final Runnable synced) {
-        final List<Record.Piece> content = new ArrayList<>();
-        content.add(new Record.Piece(IDENTITY, identity.getBytes(UTF_8)));
-        content.add(new Record.Piece(VOTE, voteBody()));
+        final List<LogRecord.Content> content = new ArrayList<>();
+        content.add(new LogRecord.Content(IDENTITY, identity.getBytes(UTF_8)));
+        content.add(new LogRecord.Content(VOTE, voteBody()));
         final byte[] voters = votersData(log.votersAt(log.baseIndex()));
-        content.add(new Record.Piece(IMAGE, ByteBuffer.allocate(28 + voters.length + newState.length).putLong(newStateIndex)
+        content.add(new LogRecord.Content(IMAGE, ByteBuffer.allocate(28 + voters.length + newState.length).putLong(newStateIndex)
             .putLong(log.baseIndex()).putLong(log.termAt(log.baseIndex())).putInt(voters.length).put(voters).put(newState).array()));
         for (long at = log.baseIndex() + 1; at <= log.lastIndex(); at++) {
-            content.add(new Record.Piece(ENTRY, entryBody(log.get(at))));
+            content.add(new LogRecord.Content(ENTRY, entryBody(log.get(at))));
         }
         shelf.rewrite(content, synced);
     }
--- a/src/main/java/yewjunction/ledger/Rounds.java
+++ b/src/main/java/yewjunction/raft/ReadIndexRequests.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /** Questions whether this member still leads, each answered by a majority's answers to later appends. */
-final class Rounds {
-    private final Ledger ledger;
-    private final List<Question> questions = new ArrayList<>();
+final class ReadIndexRequests {
+    private final RaftNode ledger;
+    private final List<PendingRead> questions = new ArrayList<>();
     private long newest;
 
-    private record Question(long round, Consumer<Boolean> done) {
+    private record PendingRead(long round, Consumer<Boolean> done) {
     }
 
-    Rounds(final Ledger ledger) {
+    ReadIndexRequests(final RaftNode ledger) {
         this.ledger = ledger;
     }
 
@@ -27,11 +27,11 @@
     }
 
     void ask(final Consumer<Boolean> done) {
-        questions.add(new Question(next(), done));
+        questions.add(new PendingRead(next(), done));
     }
 
     /** Answers what a majority has answered by now. */
-    void look(final Leading leading) {
+    void look(final LeaderState leading) {
         if (questions.isEmpty()) {
             return;
         }
@@ -42,14 +42,14 @@
         }
         Arrays.sort(rounds);
         final long majority = rounds[(rounds.length - 1) / 2];
-        final List<Question> answered = questions.stream().filter(question -> question.round <= majority).toList();
+        final List<PendingRead> answered = questions.stream().filter(question -> question.round <= majority).toList();
         questions.removeAll(answered);
         answered.forEach(question -> question.done.accept(true));
     }
 
     /** The leadership is over: whoever asked is told no. */
     void drop() {
-        final List<Question> owed = new ArrayList<>(questions);
+        final List<PendingRead> owed = new ArrayList<>(questions);
         questions.clear();
         owed.forEach(question -> question.done.accept(false));
     }
--- a/src/main/java/yewjunction/ledger/Images.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -1,57 +1,57 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import yewjunction.ledger.Letters.Image;
-import yewjunction.ledger.Letters.ImageAnswer;
-
-import static yewjunction.base.ControlLimits.CATCH_UP_BYTES;
-import static yewjunction.base.ControlLimits.CATCH_UP_ENTRIES;
-import static yewjunction.base.ControlLimits.IMAGES_MOST;
-import static yewjunction.base.ControlLimits.IMAGE_ASK_MS;
-import static yewjunction.base.ControlLimits.IMAGE_GONE_MS;
-import static yewjunction.base.ControlLimits.IMAGE_LEAD_MS;
-import static yewjunction.base.ControlLimits.IMAGE_MOST_BYTES;
-import static yewjunction.base.Limits.IMAGE_PIECE_BYTES;
-import static yewjunction.base.Limits.LINK_SILENCE_MS;
+import yewjunction.raft.RaftMessages.InstallSnapshotRequest;
+import yewjunction.raft.RaftMessages.InstallSnapshotResponse;
+
+import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
+import static yewjunction.common.ControlLimits.CATCH_UP_ENTRIES;
+import static yewjunction.common.ControlLimits.IMAGES_MOST;
+import static yewjunction.common.ControlLimits.IMAGE_ASK_MS;
+import static yewjunction.common.ControlLimits.IMAGE_GONE_MS;
+import static yewjunction.common.ControlLimits.IMAGE_LEAD_MS;
+import static yewjunction.common.ControlLimits.IMAGE_MOST_BYTES;
+import static yewjunction.common.Limits.IMAGE_PIECE_BYTES;
+import static yewjunction.common.Limits.LINK_SILENCE_MS;
 
 /**
  * Snapshots on their way: from a leader in pieces, each after the answer to the one before. One that was begun is finished:
  * it ends when the receiver has installed it or is elsewhere, is gone for long, or the leadership ends.
  */
-final class Images {
-    private final Ledger ledger;
-    private final Leading leading;
-    private final Map<String, Sending> sendings = new HashMap<>();
+final class SnapshotTransfer {
+    private final RaftNode ledger;
+    private final LeaderState leading;
+    private final Map<String, OutgoingSnapshot> sendings = new HashMap<>();
     private long snapshots;
-    private Receiving receiving;
+    private IncomingSnapshot receiving;
 
     /** A snapshot, shared by all that receive it. Its number never returns in this life, nor its term in another. */
     private record Snapshot(long number, long lastIndex, long lastTerm, List<String> voters, byte[] state) {
     }
 
     /** How far one peer is with it. */
-    private static final class Sending {
+    private static final class OutgoingSnapshot {
         final Snapshot snapshot;
         int offset;
-        final Pace pace = new Pace(IMAGE_PIECE_BYTES);
+        final AdaptiveChunkSize pace = new AdaptiveChunkSize(IMAGE_PIECE_BYTES);
         /** Counts letters; and which of them was the last that carried a piece. */
         int attempt;
         int pieceAttempt;
         long sentMs;
         final long beganMs;
 
-        Sending(final Snapshot snapshot, final long beganMs) {
+        OutgoingSnapshot(final Snapshot snapshot, final long beganMs) {
             this.snapshot = snapshot;
             this.beganMs = beganMs;
         }
     }
 
     /** The pieces that have come. */
-    private static final class Receiving {
+    private static final class IncomingSnapshot {
         final String from;
         final long term;
         final long number;
@@ -59,7 +59,7 @@
         final byte[] state;
         int held;
 
-        Receiving(final Image image) {
+        IncomingSnapshot(final InstallSnapshotRequest image) {
             from = image.from;
             term = image.term;
             number = image.number;
@@ -68,7 +68,7 @@
         }
     }
 
-    Images(final Ledger ledger, final Leading leading) {
+    SnapshotTransfer(final RaftNode ledger, final LeaderState leading) {
         this.ledger = ledger;
         this.leading = leading;
     }
@@ -83,9 +83,9 @@
 
     /** Begins, or asks after the piece that was not answered for a while: never from the first byte again. */
     void send(final String identity, final long nowMs) {
-        Sending sending = sendings.get(identity);
+        OutgoingSnapshot sending = sendings.get(identity);
         if (sending == null) {
-            sending = new Sending(snapshot(), nowMs);
+            sending = new OutgoingSnapshot(snapshot(), nowMs);
             sendings.put(identity, sending);
         } else if (nowMs - sending.sentMs < IMAGE_ASK_MS) {
             return;
@@ -97,8 +97,8 @@
     /** Whether this leader had better stay: the next one would begin a snapshot anew that is under way here. */
     boolean hold(final long nowMs) {
         return sendings.entrySet().stream().anyMatch(one -> {
-            final Sending sending = one.getValue();
-            final Standing standing = leading.standings.get(one.getKey());
+            final OutgoingSnapshot sending = one.getValue();
+            final PeerProgress standing = leading.standings.get(one.getKey());
             // What is there in full needs this leader no more, and a receiver may be gone while a broken link shows.
             return standing != null && sending.offset < sending.snapshot.state.length && nowMs - sending.beganMs < IMAGE_LEAD_MS
                 && nowMs - standing.heardMs < LINK_SILENCE_MS + 2 * IMAGE_ASK_MS;
@@ -117,11 +117,11 @@
         return new Snapshot(++snapshots, applied, ledger.log.termAt(applied), ledger.log.votersAt(applied), ledger.course.image());
     }
 
-    private void letter(final String identity, final Sending sending, final int endOffset, final long nowMs) {
+    private void letter(final String identity, final OutgoingSnapshot sending, final int endOffset, final long nowMs) {
         sending.sentMs = nowMs;
         sending.attempt++;
         final Snapshot snapshot = sending.snapshot;
-        final Image image = new Image();
+        final InstallSnapshotRequest image = new InstallSnapshotRequest();
         image.lastIndex = snapshot.lastIndex;
         image.lastTerm = snapshot.lastTerm;
         image.voters = snapshot.voters;
@@ -133,10 +133,10 @@
         ledger.sendTo(identity, image);
     }
 
-    void answered(final ImageAnswer answer) {
+    void answered(final InstallSnapshotResponse answer) {
         ledger.seen(answer.term);
-        final Standing standing = leading.standings.get(answer.from);
-        final Sending sending = sendings.get(answer.from);
+        final PeerProgress standing = leading.standings.get(answer.from);
+        final OutgoingSnapshot sending = sendings.get(answer.from);
         if (!ledger.leadsTerm() || answer.term != ledger.archive.term || standing == null || sending == null
             || sending.snapshot.number != answer.number || answer.held < 0 || answer.held > sending.snapshot.state.length) {
             return;
@@ -161,7 +161,7 @@
     /** Ends what is done or can no longer help: its receiver has it, or is gone, or the log no longer begins before its end. */
     void tidy(final long nowMs) {
         sendings.entrySet().removeIf(one -> {
-            final Standing standing = leading.standings.get(one.getKey());
+            final PeerProgress standing = leading.standings.get(one.getKey());
             final long lastIndex = one.getValue().snapshot.lastIndex;
             return standing == null || standing.match >= lastIndex || nowMs - standing.heardMs > IMAGE_GONE_MS
                 || lastIndex < ledger.log.baseIndex();
@@ -172,8 +172,8 @@
     long unneeded(final long nowMs) {
         long unneeded = Long.MAX_VALUE;
         if (ledger.leadsTerm()) {
-            for (final Map.Entry<String, Standing> one : leading.standings.entrySet()) {
-                final Sending sending = sendings.get(one.getKey());
+            for (final Map.Entry<String, PeerProgress> one : leading.standings.entrySet()) {
+                final OutgoingSnapshot sending = sendings.get(one.getKey());
                 final long held = sending == null ? one.getValue().match : sending.snapshot.lastIndex;
                 if (!one.getKey().equals(ledger.identity()) && held >= ledger.log.baseIndex()
                     && nowMs - one.getValue().heardMs <= IMAGE_GONE_MS) {
@@ -185,21 +185,21 @@
     }
 
     /** Takes a piece; the whole state once the last one is there, else null. */
-    byte[] taken(final Image image) {
+    byte[] taken(final InstallSnapshotRequest image) {
         final boolean sameLeader = receiving != null && receiving.from.equals(image.from) && receiving.term == image.term;
         // A late letter of one that its sender gave up, or nothing that a ledger could hold.
         if (sameLeader && image.number < receiving.number || image.length < 0 || image.length > IMAGE_MOST_BYTES) {
             return null;
         }
         if (!sameLeader || image.number > receiving.number) {
-            receiving = new Receiving(image);
+            receiving = new IncomingSnapshot(image);
         }
         // One that was lost with a link leaves a gap: the answer names what is missing.
         if (image.offset == receiving.held && image.piece.length <= receiving.state.length - receiving.held) {
             System.arraycopy(image.piece, 0, receiving.state, receiving.held, image.piece.length);
             receiving.held += image.piece.length;
         }
-        final ImageAnswer answer = ledger.addressed(new ImageAnswer(), image.from);
+        final InstallSnapshotResponse answer = ledger.addressed(new InstallSnapshotResponse(), image.from);
         answer.lastIndex = image.lastIndex;
         answer.held = receiving.held;
         answer.number = image.number;
--- a/src/main/java/yewjunction/ledger/Machine.java
+++ b/src/main/java/yewjunction/raft/StateMachine.java
@@ -1,7 +1,7 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** What the log's committed entries drive. */
-public interface Machine {
+public interface StateMachine {
     void apply(long index, byte[] data);
 
     byte[] snapshot();
--- a/src/main/java/yewjunction/ledger/Clerk.java
+++ b/src/main/java/yewjunction/raft/TaskExecutor.java
@@ -1,6 +1,6 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** Does blocking work elsewhere, in the order given, and comes back on the owner's thread. */
-public interface Clerk {
+public interface TaskExecutor {
     void work(Runnable blocking, Runnable afterwards);
 }
--- a/src/main/java/yewjunction/ledger/Electorate.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -1,35 +1,35 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import yewjunction.base.Event;
-import yewjunction.ledger.Letters.HandOver;
-
-import static yewjunction.base.ControlLimits.LEAVE_SAID_MS;
-import static yewjunction.base.Limits.APPEND_AGAIN_MS;
-import static yewjunction.base.Limits.BEAT_MS;
-import static yewjunction.base.Limits.CAUGHT_UP_ENTRIES;
-import static yewjunction.base.Limits.ELECT_MOST_MS;
-import static yewjunction.base.Limits.HAND_OVER_MS;
-import static yewjunction.base.Limits.RELAY_ENTRIES;
-import static yewjunction.base.Limits.VOTER_SILENT_MS;
+import yewjunction.common.LogEvent;
+import yewjunction.raft.RaftMessages.TimeoutNowRequest;
+
+import static yewjunction.common.ControlLimits.LEAVE_SAID_MS;
+import static yewjunction.common.Limits.APPEND_AGAIN_MS;
+import static yewjunction.common.Limits.BEAT_MS;
+import static yewjunction.common.Limits.CAUGHT_UP_ENTRIES;
+import static yewjunction.common.Limits.ELECT_MOST_MS;
+import static yewjunction.common.Limits.HAND_OVER_MS;
+import static yewjunction.common.Limits.RELAY_ENTRIES;
+import static yewjunction.common.Limits.VOTER_SILENT_MS;
 
 /** Who votes, and who leads next: a leader changes voters one at a time and hands over before it stops. */
-public final class Electorate {
-    private final Ledger ledger;
-    private final Leading leading;
+public final class VoterReconfiguration {
+    private final RaftNode ledger;
+    private final LeaderState leading;
     private boolean handing;
     private boolean handed;
-    private Seating seating = Seating.OPEN;
+    private VoterPlacement seating = VoterPlacement.OPEN;
 
-    Electorate(final Ledger ledger, final Leading leading) {
+    VoterReconfiguration(final RaftNode ledger, final LeaderState leading) {
         this.ledger = ledger;
         this.leading = leading;
     }
 
-    public void seat(final Seating chosenSeating) {
+    public void seat(final VoterPlacement chosenSeating) {
         seating = chosenSeating;
     }
 
@@ -44,7 +44,7 @@
 
     /** Whether a member is within a few entries of this leader's end. */
     public boolean nearEnd(final String identity) {
-        final Standing standing = leading.standings.get(identity);
+        final PeerProgress standing = leading.standings.get(identity);
         return standing != null && standing.match + CAUGHT_UP_ENTRIES >= ledger.log.lastIndex();
     }
 
@@ -57,7 +57,7 @@
         // One change at a time, and only by a leader that has committed in its own term.
         if (ledger.leads() && !changing() && !newVoters.equals(ledger.voters())) {
             newVoters.forEach(leading::standing);
-            leading.append(Entry.VOTERS, Archive.votersData(newVoters));
+            leading.append(LogEntry.VOTERS, RaftStorage.votersData(newVoters));
         }
     }
 
@@ -85,7 +85,7 @@
         final String newcomer = surplus == null ? newcomer(voters, nowMs) : null;
         if (surplus != null) {
             newVoters.remove(surplus);
-        } else if (newcomer != null && !newVoters.removeIf(voter -> Ledger.address(voter).equals(Ledger.address(newcomer)))
+        } else if (newcomer != null && !newVoters.removeIf(voter -> RaftNode.address(voter).equals(RaftNode.address(newcomer)))
             && (voters.size() < seating.seats() || voters.stream().anyMatch(voter -> weak(voter, nowMs)))) {
             newVoters.add(newcomer);
         }
@@ -101,7 +101,7 @@
 
     /** A voter that does not do what it sits there for. */
     private boolean weak(final String voter, final long nowMs) {
-        final Standing standing = leading.standing(voter);
+        final PeerProgress standing = leading.standing(voter);
         return leaves(voter) || !voter.equals(ledger.identity())
             && (nowMs - standing.heardMs > VOTER_SILENT_MS || standing.lags(nowMs));
     }
@@ -120,8 +120,8 @@
 
     /** Its machine is to be emptied, or its process said a moment ago that it ends. */
     private boolean leaves(final String identity) {
-        final Standing standing = leading.standings.get(identity);
-        return seating.leaving().get().contains(Ledger.address(identity))
+        final PeerProgress standing = leading.standings.get(identity);
+        return seating.leaving().get().contains(RaftNode.address(identity))
             || identity.equals(ledger.identity()) && ledger.membership.leaving()
             || standing != null && standing.leavesMs > 0 && ledger.pulse.nowMs() - standing.leavesMs < LEAVE_SAID_MS;
     }
@@ -150,7 +150,7 @@
             || nowMs - leading.standing(voter).heardMs < APPEND_AGAIN_MS && !leading.standing(voter).lags(nowMs));
         leading.standings.forEach((identity, standing) -> standing.relay = seated && !voters.contains(identity)
             && standing.match + RELAY_ENTRIES >= ledger.commit() && ledger.log.termAt(standing.match) >= 0 && !standing.lags(nowMs)
-            ? relay(Ledger.address(identity), voters, nowMs) : null);
+            ? relay(RaftNode.address(identity), voters, nowMs) : null);
     }
 
     private String relay(final String address, final List<String> voters, final long nowMs) {
@@ -159,26 +159,26 @@
             return null;
         }
         final List<String> near = new ArrayList<>(voters);
-        near.removeIf(voter -> !seating.zoneOf().apply(Ledger.address(voter)).equals(zone));
+        near.removeIf(voter -> !seating.zoneOf().apply(RaftNode.address(voter)).equals(zone));
         if (near.isEmpty()) {
             // No voter there: the first of the others that answers is served from here and serves the rest.
             leading.standings.forEach((one, standing) -> {
-                if (seating.zoneOf().apply(Ledger.address(one)).equals(zone) && nowMs - standing.heardMs < 2 * APPEND_AGAIN_MS) {
+                if (seating.zoneOf().apply(RaftNode.address(one)).equals(zone) && nowMs - standing.heardMs < 2 * APPEND_AGAIN_MS) {
                     near.add(one);
                 }
             });
         }
-        final String first = near.stream().map(Ledger::address).min(Comparator.naturalOrder()).orElse(address);
+        final String first = near.stream().map(RaftNode::address).min(Comparator.naturalOrder()).orElse(address);
         return first.equals(address) ? null : first;
     }
 
     private long votersLike(final List<String> voters, final String identity) {
-        final String address = Ledger.address(identity);
-        if (voters.stream().anyMatch(voter -> Ledger.address(voter).equals(address))) {
+        final String address = RaftNode.address(identity);
+        if (voters.stream().anyMatch(voter -> RaftNode.address(voter).equals(address))) {
             return -1;
         }
         final String zone = seating.zoneOf().apply(address);
-        return voters.stream().filter(voter -> seating.zoneOf().apply(Ledger.address(voter)).equals(zone)).count();
+        return voters.stream().filter(voter -> seating.zoneOf().apply(RaftNode.address(voter)).equals(zone)).count();
     }
 
     public void handOver(final Runnable done) {
@@ -188,7 +188,7 @@
         }
         handing = true;
         handed = false;
-        Event.LEADER_HANDED.info("group " + ledger.group);
+        LogEvent.LEADER_HANDED.info("group " + ledger.group);
         leading.standings.forEach(this::handOn);
         waitHanded(ledger.pulse.nowMs(), done);
     }
@@ -203,11 +203,11 @@
     }
 
     /** The first peer that holds everything is told to stand. */
-    void handOn(final String identity, final Standing standing) {
+    void handOn(final String identity, final PeerProgress standing) {
         if (handing && !handed && !identity.equals(ledger.identity()) && standing.match == ledger.log.lastIndex()
             && ledger.voters().contains(identity) && ledger.pulse.nowMs() - standing.heardMs < 3 * BEAT_MS) {
             handed = true;
-            ledger.sendTo(identity, new HandOver());
+            ledger.sendTo(identity, new TimeoutNowRequest());
         }
     }
 }
--- a/src/main/java/yewjunction/ledger/Relay.java
+++ b/src/main/java/yewjunction/raft/ZoneRelay.java
@@ -1,31 +1,31 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewjunction.base.Link;
-import yewjunction.ledger.Letters.Append;
-import yewjunction.ledger.Letters.Fetch;
-import yewjunction.ledger.Letters.Fetched;
+import yewjunction.common.PeerConnection;
+import yewjunction.raft.RaftMessages.AppendEntriesRequest;
+import yewjunction.raft.RaftMessages.FetchRequest;
+import yewjunction.raft.RaftMessages.FetchResponse;
 
-import static yewjunction.base.Limits.APPEND_BYTES;
-import static yewjunction.base.Limits.APPEND_ENTRIES;
-import static yewjunction.base.Limits.RELAY_AGAIN_MS;
-import static yewjunction.base.Limits.RELAY_BEAT_MS;
+import static yewjunction.common.Limits.APPEND_BYTES;
+import static yewjunction.common.Limits.APPEND_ENTRIES;
+import static yewjunction.common.Limits.RELAY_AGAIN_MS;
+import static yewjunction.common.Limits.RELAY_BEAT_MS;
 
 /**
  * Committed entries handed on inside a zone: the leader sends them across once, to a voter there, and members without a
  * vote fetch them from it. What is committed is the same everywhere, so it does not matter who hands it on.
  */
-final class Relay {
-    private final Ledger ledger;
+final class ZoneRelay {
+    private final RaftNode ledger;
     /** Who asked for what is not committed here yet: answered the moment it is. */
-    private final Map<Link, Fetch> waiting = new LinkedHashMap<>();
+    private final Map<PeerConnection, FetchRequest> waiting = new LinkedHashMap<>();
     /** Where this member fetches from, null while the leader itself sends. */
     private String source;
     private long askedMs;
 
-    Relay(final Ledger ledger) {
+    ZoneRelay(final RaftNode ledger) {
         this.ledger = ledger;
     }
 
@@ -39,7 +39,7 @@
     }
 
     private void fetch() {
-        final Fetch fetch = ledger.addressed(new Fetch(), null);
+        final FetchRequest fetch = ledger.addressed(new FetchRequest(), null);
         fetch.next = ledger.log.lastIndex() + 1;
         fetch.lastTerm = ledger.log.lastTerm();
         askedMs = ledger.pulse.nowMs();
@@ -47,11 +47,11 @@
     }
 
     /** To a member whose zone has the entries: it only needs to hear who leads, and to say how far it is. */
-    void tell(final String identity, final Standing standing, final long round) {
+    void tell(final String identity, final PeerProgress standing, final long round) {
         final long nowMs = ledger.pulse.nowMs();
         if (nowMs - standing.relayToldMs >= RELAY_BEAT_MS) {
             standing.relayToldMs = nowMs;
-            final Append append = new Append();
+            final AppendEntriesRequest append = new AppendEntriesRequest();
             append.prevIndex = standing.match;
             append.prevTerm = ledger.log.termAt(standing.match);
             append.commit = ledger.commit();
@@ -61,7 +61,7 @@
         }
     }
 
-    void asked(final Link link, final Fetch fetch) {
+    void asked(final PeerConnection link, final FetchRequest fetch) {
         waiting.put(link, fetch);
         serve(link, fetch);
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    private void serve(final Link link, final Fetch fetch) {
+    private void serve(final PeerConnection link, final FetchRequest fetch) {
         final long commit = ledger.commit();
         if (fetch.next > commit) {
             return;
@@ -83,20 +83,20 @@
         if (ledger.log.termAt(fetch.next - 1) != fetch.lastTerm) {
             return;
         }
-        final Fetched fetched = ledger.addressed(new Fetched(), fetch.from);
+        final FetchResponse fetched = ledger.addressed(new FetchResponse(), fetch.from);
         fetched.prevIndex = fetch.next - 1;
         fetched.prevTerm = fetch.lastTerm;
         fetched.entries = ledger.log.slice(fetch.next, (int) Math.min(APPEND_ENTRIES, commit - fetch.next + 1), APPEND_BYTES);
         ledger.introductions.send(link, fetched);
     }
 
-    void taken(final Fetched fetched) {
+    void taken(final FetchResponse fetched) {
         // What is taken may be of a later term than the one heard of: a leader of an earlier one must not cut it again.
         ledger.seen(fetched.term);
         if (source == null || ledger.leadsTerm()) {
             return;
         }
-        final List<Entry> entries = fetched.entries;
+        final List<LogEntry> entries = fetched.entries;
         // Only right behind the end: what came from elsewhere meanwhile is not touched.
         if (!entries.isEmpty() && fetched.prevIndex == ledger.log.lastIndex() && fetched.prevTerm == ledger.log.lastTerm()) {
             ledger.course.write(entries);
@@ -105,7 +105,7 @@
         fetch();
     }
 
-    void closed(final Link link) {
+    void closed(final PeerConnection link) {
         waiting.remove(link);
     }
 }
--- a/src/main/java/yewjunction/ledger/package-info.java
+++ b/src/main/java/yewjunction/raft/package-info.java
@@ -1,2 +1,2 @@
 /** One replicated log: elections, replication, voters, snapshots, and its records on disk. */
-package yewjunction.ledger;
+package yewjunction.raft;
--- a/src/main/java/yewjunction/app/Worker.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -1,19 +1,19 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.IntConsumer;
-import yewjunction.base.Defect;
-import yewjunction.base.Event;
-import yewjunction.base.Pulse;
-import yewjunction.ledger.Clerk;
+import yewjunction.common.YewjunctionException;
+import yewjunction.common.LogEvent;
+import yewjunction.common.AgentContext;
+import yewjunction.raft.TaskExecutor;
 
-import static yewjunction.base.Defect.Code.LEDGER_FULL;
-import static yewjunction.base.Limits.DISK_AGAIN_MS;
+import static yewjunction.common.YewjunctionException.ErrorCode.LEDGER_FULL;
+import static yewjunction.common.Limits.DISK_AGAIN_MS;
 
 /** The pool for blocking work: disk syncs, in order. It shares no table with the owner, so there is no lock to order. */
-final class Worker implements Clerk {
-    private final Pulse pulse;
+final class BlockingTaskExecutor implements TaskExecutor {
+    private final AgentContext pulse;
     private final IntConsumer ending;
     private final ExecutorService pool = Executors.newSingleThreadExecutor(task -> {
         final Thread thread = new Thread(null, task, "worker", 128 << 10);
@@ -22,7 +22,7 @@
     });
 
     /** Ending ends the process with a code, at once. */
-    Worker(final Pulse pulse, final IntConsumer ending) {
+    BlockingTaskExecutor(final AgentContext pulse, final IntConsumer ending) {
         this.pulse = pulse;
         this.ending = ending;
     }
@@ -37,7 +37,7 @@
                 // A disk that fails a sync can no longer be trusted: better down than wrong. An error too, as of memory: the
                 // pool would go on with another thread, and the owner would wait for this work for ever.
                 try {
-                    Event.DISK_FAILED.warn(String.valueOf(defect.getMessage()), defect);
+                    LogEvent.DISK_FAILED.warn(String.valueOf(defect.getMessage()), defect);
                 } finally {
                     ending.accept(Main.EXIT_DISK);
                 }
@@ -52,15 +52,15 @@
             try {
                 blocking.run();
                 if (told) {
-                    Event.DISK_TAKES.info("after a while without room");
+                    LogEvent.DISK_TAKES.info("after a while without room");
                 }
                 return;
-            } catch (final Defect defect) {
+            } catch (final YewjunctionException defect) {
                 if (defect.code() != LEDGER_FULL) {
                     throw defect;
                 }
                 if (!told) {
-                    Event.DISK_FULL.warn(defect.getMessage());
+                    LogEvent.DISK_FULL.warn(defect.getMessage());
                     told = true;
                 }
                 Thread.sleep(DISK_AGAIN_MS);
--- a/src/main/java/yewjunction/app/Examination.java
+++ b/src/main/java/yewjunction/server/Diagnosis.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import com.typesafe.config.ConfigRenderOptions;
 import com.typesafe.config.ConfigValueFactory;
@@ -10,24 +10,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 import yewjunction.doctor.Doctor;
 import yewjunction.doctor.Finding;
 import yewjunction.doctor.Finding.Code;
 import yewjunction.settings.Settings;
-import yewjunction.window.Windows;
+import yewjunction.maintenance.MaintenanceWindows;
 
-import static yewjunction.base.ToolLimits.DOCTOR_AGAIN_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_AGAIN_MS;
 
 /** The doctor on the command line. */
-final class Examination {
+final class Diagnosis {
     private static final int FINDINGS = 1;
     private static final int COULD_NOT_LOOK = 2;
 
     private static final Set<Code> PASSING = EnumSet.of(Code.EDGE_NOT_READY, Code.LEADERS_DIFFER, Code.VERSIONS_DIFFER,
         Code.SIBLING_SUSPECT, Code.NO_LEADER, Code.CRUX_OUTSIDE, Code.LEDGER_TORN);
 
-    private Examination() {
+    private Diagnosis() {
     }
 
     static int run(final String file, final String folder, final String calendar, final boolean json, final PrintStream out,
@@ -41,11 +41,11 @@
             err.println("no such folder: " + folder);
             return COULD_NOT_LOOK;
         }
-        final Windows windows = calendar == null ? null : Windows.read(Path.of(calendar));
+        final MaintenanceWindows windows = calendar == null ? null : MaintenanceWindows.read(Path.of(calendar));
         final List<Finding> findings;
         try {
             findings = lasting(Settings.load(Path.of(named)), folder == null ? null : Path.of(folder), windows);
-        } catch (final Defect defect) {
+        } catch (final YewjunctionException defect) {
             err.println(defect.code() + " " + defect.getMessage());
             return COULD_NOT_LOOK;
         } catch (final UncheckedIOException defect) {
@@ -57,7 +57,7 @@
     }
 
     /** What the second look finds too: elections, roll-outs and starts pass within moments, and news of them a little later. */
-    private static List<Finding> lasting(final Settings settings, final Path folder, final Windows windows) {
+    private static List<Finding> lasting(final Settings settings, final Path folder, final MaintenanceWindows windows) {
         final List<Finding> first = new Doctor(settings, folder).planned(windows).examine();
         if (first.stream().noneMatch(finding -> PASSING.contains(finding.code()))) {
             return first;
--- a/src/main/java/yewjunction/app/Checker.java
+++ b/src/main/java/yewjunction/server/FileChecker.java
@@ -1,16 +1,16 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import yewjunction.base.Defect;
-import yewjunction.charter.Charter;
+import yewjunction.common.YewjunctionException;
+import yewjunction.control.Configuration;
 import yewjunction.settings.Settings;
 
 /** Offline checks by the very code the daemons use. */
-final class Checker {
-    private Checker() {
+final class FileChecker {
+    private FileChecker() {
     }
 
     static int check(final Path file, final PrintStream out, final PrintStream err) {
@@ -24,12 +24,12 @@
         try {
             // An operator's configuration is JSON, a settings file YAML: the first sign tells them apart.
             if (text.stripLeading().startsWith("{")) {
-                out.println("configuration version " + Charter.read(text).version() + ": good");
+                out.println("configuration version " + Configuration.read(text).version() + ": good");
             } else {
                 out.println("settings of " + Settings.read(text).node() + ": good");
             }
             return Main.EXIT_OK;
-        } catch (final Defect defect) {
+        } catch (final YewjunctionException defect) {
             err.println(file + ": " + defect.code() + " " + defect.getMessage());
             return 1;
         }
--- a/src/main/java/yewjunction/app/Web.java
+++ b/src/main/java/yewjunction/server/HttpEndpoint.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpHandler;
@@ -16,24 +16,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import yewjunction.base.Event;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Desk;
-import yewjunction.ledger.Clerk;
-import yewjunction.loom.Addresses;
+import yewjunction.common.LogEvent;
+import yewjunction.common.AgentContext;
+import yewjunction.control.OperatorApi;
+import yewjunction.raft.TaskExecutor;
+import yewjunction.transport.SocketAddresses;
 
-import static yewjunction.base.ControlLimits.CALL_READ_MOST;
-import static yewjunction.base.ControlLimits.CALL_THREAD_IDLE_MS;
-import static yewjunction.base.ControlLimits.CALL_TRANSFER_S;
-import static yewjunction.base.ControlLimits.READY_THREADS;
-import static yewjunction.base.Limits.CALL_THREADS;
-import static yewjunction.base.Limits.CONFIG_BYTES;
+import static yewjunction.common.ControlLimits.CALL_READ_MOST;
+import static yewjunction.common.ControlLimits.CALL_THREAD_IDLE_MS;
+import static yewjunction.common.ControlLimits.CALL_TRANSFER_S;
+import static yewjunction.common.ControlLimits.READY_THREADS;
+import static yewjunction.common.Limits.CALL_THREADS;
+import static yewjunction.common.Limits.CONFIG_BYTES;
 
 /** The HTTP side of a process, on the JDK's own small server. */
-final class Web {
-    private static final Desk.Answer NO_ANSWER = new Desk.Answer(503, "{\"Err\":\"NO_ANSWER\"}", null);
+final class HttpEndpoint {
+    private static final OperatorApi.Response NO_ANSWER = new OperatorApi.Response(503, "{\"Err\":\"NO_ANSWER\"}", null);
 
-    private Web() {
+    private HttpEndpoint() {
     }
 
     private static HttpServer server(final String address, final HttpHandler handler, final Executor pool) {
@@ -41,7 +41,7 @@
         System.setProperty("sun.net.httpserver.maxReqTime", String.valueOf(CALL_TRANSFER_S));
         System.setProperty("sun.net.httpserver.maxRspTime", String.valueOf(CALL_TRANSFER_S));
         try {
-            final HttpServer server = HttpServer.create(Addresses.parse(address), 64);
+            final HttpServer server = HttpServer.create(SocketAddresses.parse(address), 64);
             server.createContext("/", handler);
             server.setExecutor(pool);
             server.start();
@@ -62,22 +62,22 @@
 
     /** What the owner of the tables does with a call; it answers once, maybe later. */
     interface Owner {
-        void take(Desk.Request request, Consumer<Desk.Answer> answer);
+        void take(OperatorApi.Request request, Consumer<OperatorApi.Response> answer);
     }
 
     /** The operator's calls, each handed to the owner of the tables; a thread is held only while bytes travel. */
-    static HttpServer operator(final String address, final Pulse pulse, final Owner owner) {
+    static HttpServer operator(final String address, final AgentContext pulse, final Owner owner) {
         final Executor pool = pool("call", CALL_THREADS);
         return server(address, exchange -> {
-            final Desk.Request request = read(exchange);
-            final CompletableFuture<Desk.Answer> promise = new CompletableFuture<>();
+            final OperatorApi.Request request = read(exchange);
+            final CompletableFuture<OperatorApi.Response> promise = new CompletableFuture<>();
             promise.thenAcceptAsync(answer -> reply(exchange, answer), pool);
             pulse.post(() -> {
                 pulse.after(request.patienceMs(), () -> promise.complete(NO_ANSWER));
                 try {
                     owner.take(request, promise::complete);
                 } catch (final RuntimeException defect) {
-                    Event.TURN_DEFECT.warn("an operator's call", defect);
+                    LogEvent.TURN_DEFECT.warn("an operator's call", defect);
                     promise.complete(NO_ANSWER);
                 }
             });
@@ -85,7 +85,7 @@
     }
 
     /** Reads large bodies on a thread of its own, which shares nothing with the owner. */
-    static Clerk reader(final Pulse pulse) {
+    static TaskExecutor reader(final AgentContext pulse) {
         final Executor pool = pool("reader", 1);
         return (blocking, afterwards) -> pool.execute(() -> {
             try {
@@ -107,7 +107,7 @@
         return pool;
     }
 
-    private static Desk.Request read(final HttpExchange exchange) throws IOException {
+    private static OperatorApi.Request read(final HttpExchange exchange) throws IOException {
         final InputStream in = exchange.getRequestBody();
         final byte[] body = in.readNBytes(CONFIG_BYTES + 1);
         final byte[] rest = new byte[16 << 10];
@@ -117,14 +117,14 @@
         }
         // As HTTP joins a header that was sent more than once: whoever reads it sees that.
         final List<String> bases = exchange.getRequestHeaders().get("Base-Version");
-        return new Desk.Request(exchange.getRequestMethod(), exchange.getRequestURI().getPath(),
+        return new OperatorApi.Request(exchange.getRequestMethod(), exchange.getRequestURI().getPath(),
             bases == null ? null : String.join(", ", bases), body);
     }
 
-    private static void reply(final HttpExchange exchange, final Desk.Answer answer) {
+    private static void reply(final HttpExchange exchange, final OperatorApi.Response answer) {
         try {
             if (answer.status() == 307) {
-                exchange.getResponseHeaders().set("Location", "http://" + Addresses.ip(answer.leaderAddress()) + ":"
+                exchange.getResponseHeaders().set("Location", "http://" + SocketAddresses.ip(answer.leaderAddress()) + ":"
                     + exchange.getLocalAddress().getPort() + exchange.getRequestURI());
             }
             answer(exchange, answer.status(), answer.json());
--- a/src/main/java/yewjunction/app/Main.java
+++ b/src/main/java/yewjunction/server/Main.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import com.github.rvesse.airline.Cli;
 import com.github.rvesse.airline.annotations.Arguments;
@@ -9,9 +9,9 @@
 import com.github.rvesse.airline.parser.errors.ParseException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import yewjunction.app.Process.Duty;
-import yewjunction.base.Defect;
-import yewjunction.base.Event;
+import yewjunction.server.ServerProcess.NodeRole;
+import yewjunction.common.YewjunctionException;
+import yewjunction.common.LogEvent;
 import yewjunction.settings.Settings;
 
 /** yewjunction: one jar, two programs, and tools round them. */
@@ -29,7 +29,7 @@
     }
 
     /** Common to both programs. */
-    abstract static class Program implements Callable<Integer> {
+    abstract static class ServerCommand implements Callable<Integer> {
         @Option(name = "--settings", title = "FILE", description = "settings file; else the one named by " + SETTINGS_VARIABLE)
         String file;
         @Option(name = "--calendar", title = "PLACE", description = "an iCalendar file, or a folder of them: planned work is named in events")
@@ -47,15 +47,15 @@
                 System.err.println("no settings file: set " + SETTINGS_VARIABLE + " or give --settings FILE");
                 return EXIT_SETTINGS;
             }
-            final Signals signals = Signals.listen();
-            final SettingsFile settingsFile = new SettingsFile(path);
+            final SignalHandlers signals = SignalHandlers.listen();
+            final SettingsReloader settingsFile = new SettingsReloader(path);
             try {
                 return process(settingsFile, settingsFile.load()).signalled(signals).planned(calendar).run();
-            } catch (final Defect defect) {
+            } catch (final YewjunctionException defect) {
                 System.err.println(defect.code() + " " + defect.getMessage());
                 return switch (defect.code()) {
                     case LEDGER_DAMAGED -> {
-                        Event.LEDGER_DAMAGED.warn(defect.getMessage());
+                        LogEvent.LEDGER_DAMAGED.warn(defect.getMessage());
                         yield EXIT_LEDGER;
                     }
                     case LEDGER_DISK -> EXIT_DISK;
@@ -67,22 +67,22 @@
             }
         }
 
-        abstract Process process(SettingsFile settingsFile, Settings settings);
+        abstract ServerProcess process(SettingsReloader settingsFile, Settings settings);
     }
 
     @Command(name = "tide", description = "Data plane: clients' links where it serves edge, kept messages where it serves store")
-    public static final class TideCommand extends Program {
+    public static final class DataPlaneCommand extends ServerCommand {
         @Override
-        Process process(final SettingsFile settingsFile, final Settings settings) {
-            return new Process(settingsFile, settings, settings.serves().contains("store") ? Duty.VAULT : Duty.TIDE);
+        ServerProcess process(final SettingsReloader settingsFile, final Settings settings) {
+            return new ServerProcess(settingsFile, settings, settings.serves().contains("store") ? NodeRole.VAULT : NodeRole.TIDE);
         }
     }
 
     @Command(name = "crux", description = "Control plane: configuration, names and voters; serves the operator")
-    public static final class CruxCommand extends Program {
+    public static final class ControlPlaneCommand extends ServerCommand {
         @Override
-        Process process(final SettingsFile settingsFile, final Settings settings) {
-            return new Process(settingsFile, settings, Duty.CRUX);
+        ServerProcess process(final SettingsReloader settingsFile, final Settings settings) {
+            return new ServerProcess(settingsFile, settings, NodeRole.CRUX);
         }
     }
 
@@ -97,7 +97,7 @@
                 System.err.println("usage: yewjunction check FILE");
                 return EXIT_USAGE;
             }
-            return Checker.check(Path.of(file), System.out, System.err);
+            return FileChecker.check(Path.of(file), System.out, System.err);
         }
     }
 
@@ -114,7 +114,7 @@
 
         @Override
         public Integer call() {
-            return Examination.run(file, folder, calendar, json, System.out, System.err);
+            return Diagnosis.run(file, folder, calendar, json, System.out, System.err);
         }
     }
 
@@ -129,8 +129,8 @@
     private static Cli<Callable<Integer>> cli() {
         final CliBuilder<Callable<Integer>> builder = Cli.builder("yewjunction");
         builder.withDescription("A realtime messaging service whose nodes act as one");
-        builder.withCommand(TideCommand.class);
-        builder.withCommand(CruxCommand.class);
+        builder.withCommand(DataPlaneCommand.class);
+        builder.withCommand(ControlPlaneCommand.class);
         builder.withCommand(CheckCommand.class);
         builder.withCommand(RehearseCommand.class);
         builder.withCommand(DoctorCommand.class);
@@ -155,10 +155,10 @@
         }
         // A daemon's start is service lost, and its plain form needs no parser: the library's set-up costs as much as the rest.
         if (arguments.length == 1 && arguments[0].equals("tide")) {
-            return new TideCommand().call();
+            return new DataPlaneCommand().call();
         }
         if (arguments.length == 1 && arguments[0].equals("crux")) {
-            return new CruxCommand().call();
+            return new ControlPlaneCommand().call();
         }
         final Callable<Integer> command;
         try {
--- a/src/main/java/yewjunction/app/Rehearsal.java
+++ b/src/main/java/yewjunction/server/Rehearsal.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -15,7 +15,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import yewjunction.app.Process.Duty;
+import yewjunction.server.ServerProcess.NodeRole;
 
 /** A whole small system in one process on loopback: takes a configuration and carries one message. */
 final class Rehearsal {
@@ -53,22 +53,22 @@
     /** Starts the system in a folder; it runs until this process ends. */
     static Rehearsal raise(final Path folder, final PrintStream out) throws IOException {
         final Rehearsal rehearsal = new Rehearsal(folder, out);
-        rehearsal.start("127.0.0.1", "crux", "ctl", Duty.CRUX);
+        rehearsal.start("127.0.0.1", "crux", "ctl", NodeRole.CRUX);
         for (int i = 1; i <= 3; i++) {
-            rehearsal.start("127.0.0." + i, "vault" + i, "store", Duty.VAULT);
+            rehearsal.start("127.0.0." + i, "vault" + i, "store", NodeRole.VAULT);
         }
-        rehearsal.start("127.0.0.4", "tide", "edge", Duty.TIDE);
+        rehearsal.start("127.0.0.4", "tide", "edge", NodeRole.TIDE);
         return rehearsal;
     }
 
-    private void start(final String ip, final String name, final String serves, final Duty duty) throws IOException {
+    private void start(final String ip, final String name, final String serves, final NodeRole duty) throws IOException {
         final Path file = folder.resolve(name + ".yaml");
         Files.writeString(file, "Nodename: " + name + "\nRole: " + name + "\nServes: [" + serves + "]\nIp: " + ip
             + "\nAz: zone-" + name + "\nListen: {Fe: '" + ip + ":" + (port + 4) + "', Ready: '" + ip + ":" + (port + 5)
             + "', Ctl: '" + ip + ":" + (port + 6) + "'}\nPortRange: [" + port + ", " + (port + 3) + "]\nSeeds: ['127.0.0.1:"
             + (port + 6) + "']\nBootstrap: true\nDatadir: " + folder.resolve(name) + "\n");
-        final SettingsFile settingsFile = new SettingsFile(file);
-        final Process process = new Process(settingsFile, settingsFile.load(), duty);
+        final SettingsReloader settingsFile = new SettingsReloader(file);
+        final ServerProcess process = new ServerProcess(settingsFile, settingsFile.load(), duty);
         final Thread thread = new Thread(process::run, name);
         thread.setDaemon(true);
         thread.start();
@@ -99,7 +99,7 @@
             out.println("rehearsal: -> " + in.readLine());
             in.readLine();
             final int done = filtered(client, in);
-            final Showcase showcase = new Showcase("127.0.0.4", port + 4, port + 6, out);
+            final RehearsalClients showcase = new RehearsalClients("127.0.0.4", port + 4, port + 6, out);
             return done == Main.EXIT_OK && showcase.order() && showcase.borrowing() ? Main.EXIT_OK : 1;
         }
     }
--- a/src/main/java/yewjunction/app/Showcase.java
+++ b/src/main/java/yewjunction/server/RehearsalClients.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -15,7 +15,7 @@
 import java.util.List;
 
 /** The examples of the README that need a client of their own, on the real wire: declared order, and borrowing ahead. */
-final class Showcase {
+final class RehearsalClients {
     private static final int STEP_MS = 100;
     private static final int PATIENCE_MS = 5_000;
     private final String edge;
@@ -23,7 +23,7 @@
     private final int operatorPort;
     private final PrintStream out;
 
-    Showcase(final String edge, final int clientPort, final int operatorPort, final PrintStream out) {
+    RehearsalClients(final String edge, final int clientPort, final int operatorPort, final PrintStream out) {
         this.edge = edge;
         this.clientPort = clientPort;
         this.operatorPort = operatorPort;
--- a/src/main/java/yewjunction/app/Process.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.nio.file.Path;
 import java.time.Instant;
@@ -7,60 +7,60 @@
 import java.util.function.IntConsumer;
 import org.agrona.concurrent.AgentRunner;
 import org.agrona.concurrent.NoOpIdleStrategy;
-import yewjunction.base.Codec;
-import yewjunction.base.Defect;
-import yewjunction.base.Event;
-import yewjunction.loom.Addresses;
-import yewjunction.loom.Datagrams;
-import yewjunction.ledger.Disk;
-import yewjunction.ledger.LocalDisk;
-import yewjunction.ledger.PassingDisk;
-import yewjunction.loom.Loom;
-import yewjunction.loom.SocketLine;
-import yewjunction.loom.Wires;
-import yewjunction.node.CruxNode;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.YewjunctionException;
+import yewjunction.common.LogEvent;
+import yewjunction.transport.SocketAddresses;
+import yewjunction.transport.UdpTransport;
+import yewjunction.raft.Disk;
+import yewjunction.raft.LocalDisk;
+import yewjunction.raft.InMemoryDisk;
+import yewjunction.transport.EventLoopAgent;
+import yewjunction.transport.TcpClientConnection;
+import yewjunction.transport.TcpPeerTransport;
+import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
-import yewjunction.node.VaultNode;
-import yewjunction.roster.Roster;
-import yewjunction.roster.Peer;
+import yewjunction.node.StoreNode;
+import yewjunction.membership.MembershipList;
+import yewjunction.membership.Member;
 import yewjunction.settings.Settings;
-import yewjunction.window.Windows;
+import yewjunction.maintenance.MaintenanceWindows;
 
-import static yewjunction.base.Limits.SETTINGS_LOOK_MS;
+import static yewjunction.common.Limits.SETTINGS_LOOK_MS;
 
 /** What all processes share: the agent, peer links, the roster, signals, the settings file. */
-final class Process {
+final class ServerProcess {
     private final Settings settings;
-    private final Loom loom;
-    private final Roster roster;
+    private final EventLoopAgent loom;
+    private final MembershipList roster;
     private final Node node;
     /** What a process is for. */
-    enum Duty { TIDE, VAULT, CRUX }
+    enum NodeRole { TIDE, VAULT, CRUX }
 
-    private final SettingsFile file;
+    private final SettingsReloader file;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private Signals signals = new Signals();
+    private SignalHandlers signals = new SignalHandlers();
     private String calendar;
     private boolean stopping;
     /** Written by the owner before it ends, read by whoever awaited that. */
     private RuntimeException startDefect;
 
-    Process(final SettingsFile file, final Settings settings, final Duty duty) {
+    ServerProcess(final SettingsReloader file, final Settings settings, final NodeRole duty) {
         this.file = file;
         this.settings = settings;
-        final String address = settings.address(duty == Duty.CRUX ? Settings.CRUX_OFFSET : Settings.TIDE_OFFSET);
+        final String address = settings.address(duty == NodeRole.CRUX ? Settings.CRUX_OFFSET : Settings.TIDE_OFFSET);
         // Drawn anew at each start: tells two lives at one address apart.
         final long life = new java.security.SecureRandom().nextLong() >>> 1;
-        loom = new Loom(life ^ System.nanoTime());
-        final Codec codec = new Codec();
-        yewjunction.ledger.Letters.know(codec);
-        yewjunction.roster.Letters.know(codec);
-        yewjunction.charter.Letters.know(codec);
-        yewjunction.vault.Letters.know(codec);
-        yewjunction.herald.Letters.know(codec);
-        final Wires wires = new Wires(loom, codec, Addresses.parse(address));
-        final Peer self = new Peer();
+        loom = new EventLoopAgent(life ^ System.nanoTime());
+        final MessageCodec codec = new MessageCodec();
+        yewjunction.raft.RaftMessages.know(codec);
+        yewjunction.membership.MembershipMessages.know(codec);
+        yewjunction.control.LeaseMessages.know(codec);
+        yewjunction.store.AdmissionMessages.know(codec);
+        yewjunction.fanout.FanoutMessages.know(codec);
+        final TcpPeerTransport wires = new TcpPeerTransport(loom, codec, SocketAddresses.parse(address));
+        final Member self = new Member();
         self.address = address;
         self.node = settings.node();
         self.zone = settings.zone();
@@ -68,28 +68,28 @@
         self.front = settings.front();
         self.life = life;
         self.begin(System.currentTimeMillis());
-        final Datagrams datagrams = new Datagrams(loom, codec, Addresses.parse(address));
-        roster = new Roster(loom, self, datagrams::send);
+        final UdpTransport datagrams = new UdpTransport(loom, codec, SocketAddresses.parse(address));
+        roster = new MembershipList(loom, self, datagrams::send);
         datagrams.onLetter(roster::take);
         node = switch (duty) {
-            case CRUX -> new CruxNode(loom, wires, disk(), worker(), roster, settings, life);
-            case VAULT -> new VaultNode(loom, wires, disk(), worker(), roster, settings, life);
+            case CRUX -> new ControlNode(loom, wires, disk(), worker(), roster, settings, life);
+            case VAULT -> new StoreNode(loom, wires, disk(), worker(), roster, settings, life);
             case TIDE -> new EdgeNode(loom, wires, roster, settings, life);
         };
     }
 
-    private Worker worker() {
-        return new Worker(loom, Runtime.getRuntime()::halt);
+    private BlockingTaskExecutor worker() {
+        return new BlockingTaskExecutor(loom, Runtime.getRuntime()::halt);
     }
 
     /** Whose signals it takes; those of a process of its own. */
-    Process signalled(final Signals chosenSignals) {
+    ServerProcess signalled(final SignalHandlers chosenSignals) {
         signals = chosenSignals;
         return this;
     }
 
     /** Planned work from calendar files; read again with the settings. */
-    Process planned(final String chosenCalendar) {
+    ServerProcess planned(final String chosenCalendar) {
         calendar = chosenCalendar;
         readCalendar();
         return this;
@@ -97,24 +97,24 @@
 
     private void readCalendar() {
         if (calendar != null) {
-            final Windows windows = Windows.read(Path.of(calendar));
-            windows.bad().forEach(Event.CALENDAR_BAD::warn);
+            final MaintenanceWindows windows = MaintenanceWindows.read(Path.of(calendar));
+            windows.bad().forEach(LogEvent.CALENDAR_BAD::warn);
             roster.planned(peer -> windows.explains(Instant.now(), List.of(peer.node, peer.zone)));
         }
     }
 
     private Disk disk() {
-        return settings.dataFolder().isEmpty() ? new PassingDisk() : new LocalDisk(Path.of(settings.dataFolder()));
+        return settings.dataFolder().isEmpty() ? new InMemoryDisk() : new LocalDisk(Path.of(settings.dataFolder()));
     }
 
     /** Opens the doors to the outside that this duty has. */
     private void listen() {
-        if (node instanceof CruxNode crux) {
-            crux.desk().readBy(Web.reader(loom));
-            Web.operator(settings.control(), loom, crux.desk()::take);
+        if (node instanceof ControlNode crux) {
+            crux.desk().readBy(HttpEndpoint.reader(loom));
+            HttpEndpoint.operator(settings.control(), loom, crux.desk()::take);
         } else if (node instanceof EdgeNode edge) {
-            SocketLine.listen(loom, Addresses.parse(settings.front()), edge::greet);
-            Web.readiness(settings.ready(), edge::ready);
+            TcpClientConnection.listen(loom, SocketAddresses.parse(settings.front()), edge::greet);
+            HttpEndpoint.readiness(settings.ready(), edge::ready);
         }
     }
 
@@ -124,7 +124,7 @@
             defect -> broken(defect, Runtime.getRuntime()::halt), null, loom);
         loom.post(this::start);
         // Behind the start: a signal that came early finds a process that has started.
-        signals.deliver(kind -> loom.post(kind == Signals.Kind.STOP ? this::stopOnce : this::hungUp));
+        signals.deliver(kind -> loom.post(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::hungUp));
         loom.every(SETTINGS_LOOK_MS, () -> {
             if (file.due()) {
                 reread();
@@ -147,7 +147,7 @@
             roster.start(settings.coreAddresses());
             node.start();
             listen();
-            Event.STARTED.info(settings.node() + " " + settings.role());
+            LogEvent.STARTED.info(settings.node() + " " + settings.role());
         } catch (final RuntimeException defect) {
             // A process without its doors serves nobody, and nobody would notice: it ends and says why.
             stopping = true;
@@ -159,7 +159,7 @@
     /** What one turn can't contain: after an error tables may be half changed, and only the disk says what was promised. */
     static void broken(final Throwable defect, final IntConsumer ending) {
         try {
-            Event.TURN_DEFECT.warn("loom", defect);
+            LogEvent.TURN_DEFECT.warn("loom", defect);
         } finally {
             if (defect instanceof Error) {
                 ending.accept(Main.EXIT_DEFECT);
@@ -170,12 +170,12 @@
     private void stopOnce() {
         if (!stopping) {
             stopping = true;
-            Event.STOPPING.info(settings.node() + " " + settings.role());
+            LogEvent.STOPPING.info(settings.node() + " " + settings.role());
             try {
                 node.stop(this::end);
             } catch (final RuntimeException defect) {
                 // What it could not give up in order ends as by a kill, and at once rather than after the platform's grace.
-                Event.TURN_DEFECT.warn("stop", defect);
+                LogEvent.TURN_DEFECT.warn("stop", defect);
                 end();
             }
         }
@@ -185,7 +185,7 @@
         // One more turn, so that what is written in this one leaves; armed first, so that it ends whatever fails here.
         loom.after(20, ended::countDown);
         roster.leave();
-        Event.STOPPED.info(settings.node() + " " + settings.role());
+        LogEvent.STOPPED.info(settings.node() + " " + settings.role());
     }
 
     private void hungUp() {
@@ -199,10 +199,10 @@
             roster.seeds(fresh.coreAddresses());
             node.reread(fresh);
             readCalendar();
-            Event.SETTINGS_REREAD.info(file.toString());
-        } catch (final Defect defect) {
+            LogEvent.SETTINGS_REREAD.info(file.toString());
+        } catch (final YewjunctionException defect) {
             // The settings in force stay: a bad file must not stop a node that works.
-            Event.SETTINGS_BAD.warn(defect.code() + " " + defect.getMessage());
+            LogEvent.SETTINGS_BAD.warn(defect.code() + " " + defect.getMessage());
         }
     }
 }
--- a/src/main/java/yewjunction/app/SettingsFile.java
+++ b/src/main/java/yewjunction/server/SettingsReloader.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,14 +7,14 @@
 import yewjunction.settings.Settings;
 
 /** The settings file, which somebody else writes at any moment, with a signal or without. */
-final class SettingsFile {
+final class SettingsReloader {
     private final Path file;
     /** The file's time and size before it was last read; null where it could not be looked at. */
     private String readState;
     /** The writer may still have been at it, within one tick of the file's clock: read once more at the next look. */
     private boolean again;
 
-    SettingsFile(final Path file) {
+    SettingsReloader(final Path file) {
         this.file = file;
     }
 
--- a/src/main/java/yewjunction/app/Signals.java
+++ b/src/main/java/yewjunction/server/SignalHandlers.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
@@ -8,15 +8,15 @@
  * Signals come on threads of the JVM's own, at any moment, also while the process is still being put together. They are
  * listened for before anything else, since a SIGHUP that nobody handles ends the JVM, and kept until the process takes them.
  */
-class Signals {
+class SignalHandlers {
     /** What a signal asks for. */
     enum Kind { STOP, REREAD }
 
     private final ArrayDeque<Kind> early = new ArrayDeque<>();
     private Consumer<Kind> taker;
 
-    static Signals listen() {
-        final Signals signals = new Signals();
+    static SignalHandlers listen() {
+        final SignalHandlers signals = new SignalHandlers();
         Signal.handle(new Signal("TERM"), signal -> signals.came(Kind.STOP));
         Signal.handle(new Signal("INT"), signal -> signals.came(Kind.STOP));
         Signal.handle(new Signal("HUP"), signal -> signals.came(Kind.REREAD));
--- a/src/main/java/yewjunction/app/package-info.java
+++ b/src/main/java/yewjunction/server/package-info.java
@@ -1,2 +1,2 @@
 /** The command line and the processes it starts. */
-package yewjunction.app;
+package yewjunction.server;
--- a/src/main/java/yewjunction/vault/Numbers.java
+++ b/src/main/java/yewjunction/store/AcceptedNumbers.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 
-import static yewjunction.base.Limits.NUMBER_MS;
+import static yewjunction.common.Limits.NUMBER_MS;
 
 /** Which numbers of a client were accepted on a topic. */
-final class Numbers {
-    private final Map<String, Track> tracks = new HashMap<>();
+final class AcceptedNumbers {
+    private final Map<String, SenderHistory> tracks = new HashMap<>();
 
     /** One client on one topic. */
-    static final class Track {
+    static final class SenderHistory {
         String key = "";
         long highest;
         List<Long> recent = new ArrayList<>();
@@ -26,7 +26,7 @@
     }
 
     void accept(final String client, final String topic, final long number, final long nowMs) {
-        final Track track = tracks.computeIfAbsent(key(client, topic), key -> new Track());
+        final SenderHistory track = tracks.computeIfAbsent(key(client, topic), key -> new SenderHistory());
         // Invariant: numbers of a client rise on a topic; the gate lets nothing else through.
         if (number <= track.highest) {
             throw new IllegalStateException("number " + number + " after " + track.highest + " of " + client + " on " + topic);
@@ -39,18 +39,18 @@
     }
 
     boolean accepted(final String client, final String topic, final long number) {
-        final Track track = tracks.get(key(client, topic));
+        final SenderHistory track = tracks.get(key(client, topic));
         return track != null && track.recent.contains(number);
     }
 
     long highest(final String client, final String topic) {
-        final Track track = tracks.get(key(client, topic));
+        final SenderHistory track = tracks.get(key(client, topic));
         return track == null ? 0 : track.highest;
     }
 
     void sweep(final long nowMs) {
-        for (final Iterator<Track> each = tracks.values().iterator(); each.hasNext();) {
-            final Track track = each.next();
+        for (final Iterator<SenderHistory> each = tracks.values().iterator(); each.hasNext();) {
+            final SenderHistory track = each.next();
             while (!track.recent.isEmpty() && nowMs - track.recentAtMs.get(0) > NUMBER_MS) {
                 track.recent.remove(0);
                 track.recentAtMs.remove(0);
@@ -62,13 +62,13 @@
         }
     }
 
-    List<Track> all() {
+    List<SenderHistory> all() {
         return new ArrayList<>(tracks.values());
     }
 
-    void restore(final List<Track> saved, final long nowMs) {
+    void restore(final List<SenderHistory> saved, final long nowMs) {
         tracks.clear();
-        for (final Track track : saved) {
+        for (final SenderHistory track : saved) {
             track.atMs = nowMs;
             track.recentAtMs = new ArrayList<>();
             track.recent.forEach(number -> track.recentAtMs.add(nowMs));
--- a/src/main/java/yewjunction/vault/Gate.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,55 +6,55 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.base.Pulse;
-import yewjunction.ledger.Ledger;
-import yewjunction.vault.Letters.Admit;
-import yewjunction.vault.Letters.Verdict;
-
-import static yewjunction.base.Limits.NUMBER_MS;
-import static yewjunction.vault.Letters.ACCEPTED;
-import static yewjunction.vault.Letters.DENIED;
-import static yewjunction.vault.Letters.ELSEWHERE;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.common.AgentContext;
+import yewjunction.raft.RaftNode;
+import yewjunction.store.AdmissionMessages.AdmitRequest;
+import yewjunction.store.AdmissionMessages.AdmitResponse;
+
+import static yewjunction.common.Limits.NUMBER_MS;
+import static yewjunction.store.AdmissionMessages.ACCEPTED;
+import static yewjunction.store.AdmissionMessages.DENIED;
+import static yewjunction.store.AdmissionMessages.ELSEWHERE;
 
 /** Admission of new messages, by the vaults' leader alone: doubles, order, quota, then the ledger. */
-public final class Gate {
-    private final Pulse pulse;
-    private final Ledger ledger;
-    private final Cellar cellar;
-    private final Map<String, List<Asker>> inFlight = new HashMap<>();
+public final class AdmissionController {
+    private final AgentContext pulse;
+    private final RaftNode ledger;
+    private final MessageStore cellar;
+    private final Map<String, List<Requester>> inFlight = new HashMap<>();
     private final Map<String, Long> highestInFlight = new HashMap<>();
     private final LinkedHashMap<String, Long> deniedMs = new LinkedHashMap<>();
 
-    private final Lending lending;
+    private final QuotaBorrowing lending;
 
-    private record Asker(Link link, long request) {
+    private record Requester(PeerConnection link, long request) {
     }
 
-    public Gate(final Pulse pulse, final Post post, final Ledger ledger, final Cellar cellar) {
+    public AdmissionController(final AgentContext pulse, final PeerTransport post, final RaftNode ledger, final MessageStore cellar) {
         this.pulse = pulse;
         this.ledger = ledger;
         this.cellar = cellar;
-        lending = new Lending(pulse, ledger, cellar);
-        post.on(Admit.class, this::admit);
+        lending = new QuotaBorrowing(pulse, ledger, cellar);
+        post.on(AdmitRequest.class, this::admit);
     }
 
-    private static String key(final Message message) {
-        return Numbers.key(message.client, message.topic) + " " + message.number;
+    private static String key(final StoredMessage message) {
+        return AcceptedNumbers.key(message.client, message.topic) + " " + message.number;
     }
 
     /** The leader's side of borrowing ahead. */
-    public Lending lending() {
+    public QuotaBorrowing lending() {
         return lending;
     }
 
-    private void admit(final Link link, final Admit admit) {
+    private void admit(final PeerConnection link, final AdmitRequest admit) {
         // What an edge says of accounts counts for nothing: only the leader stamps.
         admit.message.stampMs = null;
         admit.message.change = null;
-        final Asker asker = new Asker(link, admit.request);
-        final Message message = admit.message;
+        final Requester asker = new Requester(link, admit.request);
+        final StoredMessage message = admit.message;
         if (admit.revoked != null && ledger.leads() && !inFlight.containsKey(key(message))
             && !cellar.numbers.accepted(message.client, message.topic, message.number)) {
             deny(key(message), asker);
@@ -64,14 +64,14 @@
     }
 
     /** In turn: it waited until all that paid had passed, and may borrow now. */
-    private void decide(final Asker asker, final Message message, final boolean inTurn) {
+    private void decide(final Requester asker, final StoredMessage message, final boolean inTurn) {
         if (!ledger.leads()) {
             answer(asker, ELSEWHERE);
             return;
         }
         final String key = key(message);
-        final String track = Numbers.key(message.client, message.topic);
-        final List<Asker> askers = inFlight.get(key);
+        final String track = AcceptedNumbers.key(message.client, message.topic);
+        final List<Requester> askers = inFlight.get(key);
         if (cellar.numbers.accepted(message.client, message.topic, message.number)) {
             answer(asker, ACCEPTED);
         } else if (askers != null) {
@@ -91,7 +91,7 @@
         }
     }
 
-    private void account(final String key, final String track, final Message message, final Asker asker, final boolean inTurn) {
+    private void account(final String key, final String track, final StoredMessage message, final Requester asker, final boolean inTurn) {
         final long stampMs = lending.stampMs();
         switch (lending.verdict(message.tenant, stampMs, inTurn)) {
             case PAYS, BORROWS -> {
@@ -103,13 +103,13 @@
         }
     }
 
-    private void append(final String key, final String track, final Message message, final Asker asker) {
-        final List<Asker> askers = new ArrayList<>(1);
+    private void append(final String key, final String track, final StoredMessage message, final Requester asker) {
+        final List<Requester> askers = new ArrayList<>(1);
         askers.add(asker);
         inFlight.put(key, askers);
         highestInFlight.put(track, message.number);
-        final boolean taken = ledger.propose(Cellar.bytes(message), done -> {
-            final List<Asker> owed = inFlight.remove(key);
+        final boolean taken = ledger.propose(MessageStore.bytes(message), done -> {
+            final List<Requester> owed = inFlight.remove(key);
             highestInFlight.remove(track, message.number);
             lending.settled();
             // Without a clear end nothing is said: the edge asks the next leader with the same number.
@@ -127,7 +127,7 @@
     }
 
     /** The promise is remembered for longer than a copy of the number can be under way. */
-    private void deny(final String key, final Asker asker) {
+    private void deny(final String key, final Requester asker) {
         final long nowMs = pulse.nowMs();
         deniedMs.put(key, nowMs);
         for (final Iterator<Long> each = deniedMs.values().iterator(); each.hasNext();) {
@@ -139,15 +139,15 @@
         answer(asker, DENIED);
     }
 
-    private static void answer(final Asker asker, final int what) {
-        final Verdict verdict = new Verdict();
+    private static void answer(final Requester asker, final int what) {
+        final AdmitResponse verdict = new AdmitResponse();
         verdict.request = asker.request;
         verdict.what = what;
         asker.link.send(verdict);
     }
 
     /** Whether this leader admitted the message itself. */
-    public boolean admitted(final Message message) {
+    public boolean admitted(final StoredMessage message) {
         return inFlight.containsKey(key(message));
     }
 
--- a/src/main/java/yewjunction/vault/Letters.java
+++ b/src/main/java/yewjunction/store/AdmissionMessages.java
@@ -1,10 +1,10 @@
-package yewjunction.vault;
+package yewjunction.store;
 
-import yewjunction.base.Codec;
+import yewjunction.common.MessageCodec;
 
 /** What edges and the leading vault say to one another about new messages. */
-public final class Letters {
-    private Letters() {
+public final class AdmissionMessages {
+    private AdmissionMessages() {
     }
 
     public static final int ACCEPTED = 1;
@@ -13,18 +13,18 @@
     /** Not the leader: nothing was done here. */
     public static final int ELSEWHERE = 3;
 
-    public static void know(final Codec codec) {
-        codec.know(70, Admit.class).know(71, Verdict.class);
+    public static void know(final MessageCodec codec) {
+        codec.know(70, AdmitRequest.class).know(71, AdmitResponse.class);
     }
 
-    public static final class Admit {
+    public static final class AdmitRequest {
         public long request;
-        public Message message;
+        public StoredMessage message;
         /** Not to be accepted any more: asks for the leader's promise that it never will be, or for its word that it was. */
         public Boolean revoked;
     }
 
-    public static final class Verdict {
+    public static final class AdmitResponse {
         public long request;
         public int what;
     }
--- a/src/main/java/yewjunction/vault/Account.java
+++ b/src/main/java/yewjunction/store/BorrowingAccount.java
@@ -1,19 +1,19 @@
-package yewjunction.vault;
+package yewjunction.store;
 
-import yewjunction.charter.Balance;
+import yewjunction.control.AccountBalance;
 
 /**
  * What a tenant that borrows ahead may still send, and what it owes. Whole thousandths of a message and log time only, so
  * every vault that has applied the same entries holds the same account.
  */
-final class Account {
+final class BorrowingAccount {
     /** Thousandths that make a message. */
     static final long ONE = 1_000;
     /** Millionths that make the whole of a share. */
     private static final long WHOLE = 1_000_000;
     /** Thousandths a second, times ms, reckoned at once: its product with a share stays far inside a long. */
     private static final long STEP_MOST = 1_000_000_000_000_000L;
-    Terms terms = new Terms();
+    BorrowingTerms terms = new BorrowingTerms();
     long tokens;
     long debt;
     long borrowed;
@@ -26,8 +26,8 @@
     /** The entry that touched it last. */
     long index;
 
-    Account copy() {
-        final Account copy = new Account();
+    BorrowingAccount copy() {
+        final BorrowingAccount copy = new BorrowingAccount();
         copy.terms = terms;
         copy.tokens = tokens;
         copy.debt = debt;
@@ -91,7 +91,7 @@
         check();
     }
 
-    void agree(final Terms newTerms) {
+    void agree(final BorrowingTerms newTerms) {
         terms = newTerms;
         // A lower limit leaves the debt as it is and allows no more.
         tokens = Math.min(tokens, terms.depth);
@@ -104,8 +104,8 @@
         }
     }
 
-    Balance balance() {
-        final Balance balance = new Balance();
+    AccountBalance balance() {
+        final AccountBalance balance = new AccountBalance();
         balance.tenant = terms.tenant;
         balance.index = index;
         balance.borrowMax = terms.borrowMax;
--- a/src/main/java/yewjunction/vault/Accounts.java
+++ b/src/main/java/yewjunction/store/BorrowingAccounts.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,12 +7,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
-import yewjunction.base.Event;
-import yewjunction.charter.Balance;
+import yewjunction.common.LogEvent;
+import yewjunction.control.AccountBalance;
 
 /** The accounts of all tenants that borrow ahead or still owe: part of the state that the vaults' log drives. */
-final class Accounts {
-    private final Map<String, Account> byTenant = new TreeMap<>();
+final class BorrowingAccounts {
+    private final Map<String, BorrowingAccount> byTenant = new TreeMap<>();
     /** The configuration whose terms are in force. */
     private long version;
     /** The newest log time, and when this vault heard it by its own steady clock. */
@@ -21,15 +21,15 @@
     /** Told of an account that ends, with what it held; null in a leader's copy, which also logs nothing. */
     private final BiConsumer<String, Long> ended;
 
-    Accounts(final BiConsumer<String, Long> ended) {
+    BorrowingAccounts(final BiConsumer<String, Long> ended) {
         this.ended = ended;
     }
 
     /** As a snapshot holds it. */
-    static final class Saved {
+    static final class Snapshot {
         long version;
         long stampMs;
-        List<Account> accounts = new ArrayList<>();
+        List<BorrowingAccount> accounts = new ArrayList<>();
     }
 
     boolean none() {
@@ -40,11 +40,11 @@
         return version;
     }
 
-    Account of(final String tenant) {
+    BorrowingAccount of(final String tenant) {
         return byTenant.get(tenant);
     }
 
-    Iterable<Account> all() {
+    Iterable<BorrowingAccount> all() {
         return byTenant.values();
     }
 
@@ -57,8 +57,8 @@
     }
 
     /** What the accounts will be once all that is in flight is applied; its time goes on from here. */
-    Accounts ahead() {
-        final Accounts copy = new Accounts(null);
+    BorrowingAccounts ahead() {
+        final BorrowingAccounts copy = new BorrowingAccounts(null);
         byTenant.forEach((tenant, account) -> copy.byTenant.put(tenant, account.copy()));
         copy.version = version;
         copy.stampMs = stampMs;
@@ -67,7 +67,7 @@
     }
 
     /** An entry that was admitted while the tenant had no account bears no stamp and changes nothing. */
-    void apply(final long index, final Message message, final long nowMs) {
+    void apply(final long index, final StoredMessage message, final long nowMs) {
         if (message.stampMs == null) {
             return;
         }
@@ -85,22 +85,22 @@
     }
 
     void charge(final long index, final String tenant, final long atMs) {
-        final Account account = byTenant.get(tenant);
+        final BorrowingAccount account = byTenant.get(tenant);
         final long before = account.debt;
         account.charge(atMs);
         account.index = index;
         told(account, before);
     }
 
-    private void told(final Account account, final long before) {
+    private void told(final BorrowingAccount account, final long before) {
         if (ended != null && before == 0 && account.debt > 0) {
-            Event.BORROWING_BEGAN.info(account.terms.tenant + " at " + account.index);
+            LogEvent.BORROWING_BEGAN.info(account.terms.tenant + " at " + account.index);
         } else if (ended != null && before > 0 && account.debt == 0) {
-            Event.DEBT_REPAID.info(account.terms.tenant + " at " + account.index + ", in all " + account.repaid / Account.ONE);
+            LogEvent.DEBT_REPAID.info(account.terms.tenant + " at " + account.index + ", in all " + account.repaid / BorrowingAccount.ONE);
         }
     }
 
-    void change(final long index, final Terms.Change change, final long atMs) {
+    void change(final long index, final BorrowingTerms.TermsChange change, final long atMs) {
         byTenant.values().forEach(account -> {
             final long before = account.debt;
             account.refill(atMs);
@@ -113,12 +113,12 @@
         }
     }
 
-    private void agree(final long index, final List<Terms> all, final long atMs) {
+    private void agree(final long index, final List<BorrowingTerms> all, final long atMs) {
         final Set<String> named = new HashSet<>();
-        for (final Terms terms : all) {
+        for (final BorrowingTerms terms : all) {
             named.add(terms.tenant);
-            final Account account = byTenant.computeIfAbsent(terms.tenant, key -> {
-                final Account fresh = new Account();
+            final BorrowingAccount account = byTenant.computeIfAbsent(terms.tenant, key -> {
+                final BorrowingAccount fresh = new BorrowingAccount();
                 fresh.tokens = terms.firstTokens;
                 fresh.atMs = atMs;
                 fresh.index = index;
@@ -126,7 +126,7 @@
             });
             account.agree(terms.copy());
         }
-        for (final Account account : new ArrayList<>(byTenant.values())) {
+        for (final BorrowingAccount account : new ArrayList<>(byTenant.values())) {
             if (!named.contains(account.terms.tenant) && account.debt == 0) {
                 byTenant.remove(account.terms.tenant);
                 if (ended != null) {
@@ -136,25 +136,25 @@
         }
     }
 
-    List<Balance> balances() {
-        final List<Balance> balances = new ArrayList<>();
+    List<AccountBalance> balances() {
+        final List<AccountBalance> balances = new ArrayList<>();
         byTenant.values().forEach(account -> balances.add(account.balance()));
         return balances;
     }
 
     /** Null where nobody has borrowed yet: snapshots are then as they were. */
-    Saved saved() {
+    Snapshot saved() {
         if (stampMs == 0 && byTenant.isEmpty()) {
             return null;
         }
-        final Saved saved = new Saved();
+        final Snapshot saved = new Snapshot();
         saved.version = version;
         saved.stampMs = stampMs;
         saved.accounts.addAll(byTenant.values());
         return saved;
     }
 
-    void restore(final Saved saved, final long nowMs) {
+    void restore(final Snapshot saved, final long nowMs) {
         byTenant.clear();
         heardMs = nowMs;
         version = saved == null ? 0 : saved.version;
--- a/src/main/java/yewjunction/vault/Terms.java
+++ b/src/main/java/yewjunction/store/BorrowingTerms.java
@@ -1,10 +1,10 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** On what terms one tenant borrows; in thousandths of a message, the share in millionths. */
-final class Terms {
+final class BorrowingTerms {
     String tenant = "";
     /** A second. */
     long rate;
@@ -15,13 +15,13 @@
     long firstTokens;
 
     /** Whether both say the same to an account that there is already. */
-    boolean same(final Terms other) {
+    boolean same(final BorrowingTerms other) {
         return tenant.equals(other.tenant) && rate == other.rate && depth == other.depth && borrowMax == other.borrowMax
             && repayPpm == other.repayPpm;
     }
 
-    Terms copy() {
-        final Terms copy = new Terms();
+    BorrowingTerms copy() {
+        final BorrowingTerms copy = new BorrowingTerms();
         copy.tenant = tenant;
         copy.rate = rate;
         copy.depth = depth;
@@ -31,9 +31,9 @@
     }
 
     /** An entry of the vaults' log: the terms of all tenants that borrow or owe, or only that time has passed. */
-    static final class Change {
+    static final class TermsChange {
         /** Of the configuration that the terms were read from; 0 when only time has passed. */
         long version;
-        List<Terms> terms = new ArrayList<>();
+        List<BorrowingTerms> terms = new ArrayList<>();
     }
 }
--- a/src/main/java/yewjunction/vault/Cellar.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -11,79 +11,79 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Balance;
-import yewjunction.charter.Charter;
-import yewjunction.ledger.Machine;
+import yewjunction.common.AgentContext;
+import yewjunction.control.AccountBalance;
+import yewjunction.control.Configuration;
+import yewjunction.raft.StateMachine;
 import yewjunction.settings.Settings;
 
-import static yewjunction.base.Limits.KEEP_SLACK_MS;
-import static yewjunction.base.Limits.VAULT_SWEEP_MS;
+import static yewjunction.common.Limits.KEEP_SLACK_MS;
+import static yewjunction.common.Limits.VAULT_SWEEP_MS;
 
 /** The kept messages of one vault, driven by the vaults' ledger. */
-public final class Cellar implements Machine {
-    private static final Schema<Message> MESSAGES = RuntimeSchema.getSchema(Message.class);
-    private static final Schema<Image> IMAGES = RuntimeSchema.getSchema(Image.class);
-    private final Pulse pulse;
-    private final Watcher watcher;
-    private final TreeMap<Long, Message> byIndex = new TreeMap<>();
-    private final Map<String, Shelf> byTopic = new HashMap<>();
-    final Numbers numbers = new Numbers();
-    final Quotas quotas;
-    final Accounts accounts;
-    private Charter charter;
+public final class MessageStore implements StateMachine {
+    private static final Schema<StoredMessage> MESSAGES = RuntimeSchema.getSchema(StoredMessage.class);
+    private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
+    private final AgentContext pulse;
+    private final Listener watcher;
+    private final TreeMap<Long, StoredMessage> byIndex = new TreeMap<>();
+    private final Map<String, TopicMessages> byTopic = new HashMap<>();
+    final AcceptedNumbers numbers = new AcceptedNumbers();
+    final TenantRateLimiter quotas;
+    final BorrowingAccounts accounts;
+    private Configuration charter;
     private long floor;
 
     /** A topic's messages and the index of the last one dropped. */
-    private static final class Shelf {
-        final ArrayDeque<Message> messages = new ArrayDeque<>();
+    private static final class TopicMessages {
+        final ArrayDeque<StoredMessage> messages = new ArrayDeque<>();
         long floor;
     }
 
-    static final class Image {
-        List<Message> messages = new ArrayList<>();
-        List<Numbers.Track> tracks = new ArrayList<>();
-        List<Floor> floors = new ArrayList<>();
+    static final class Snapshot {
+        List<StoredMessage> messages = new ArrayList<>();
+        List<AcceptedNumbers.SenderHistory> tracks = new ArrayList<>();
+        List<TopicFloor> floors = new ArrayList<>();
         long floor;
         /** Null while nobody borrows ahead. */
-        Accounts.Saved accounts;
+        BorrowingAccounts.Snapshot accounts;
     }
 
-    static final class Floor {
+    static final class TopicFloor {
         String topic = "";
         long index;
     }
 
     /** Told of what is new here. */
-    public interface Watcher {
+    public interface Listener {
         /** Whether this vault admitted it in its present leadership, so that it is counted already. */
-        boolean admittedHere(Message message);
+        boolean admittedHere(StoredMessage message);
 
         void settledTo(long commit);
 
         void leaderIs(String identity, boolean self);
     }
 
-    public Cellar(final Pulse pulse, final Watcher watcher, final Settings settings) {
+    public MessageStore(final AgentContext pulse, final Listener watcher, final Settings settings) {
         this.pulse = pulse;
-        quotas = new Quotas(settings.quotaWindowS(), settings.quotaExcess(), settings.quotaSlack(), pulse.nowMs());
+        quotas = new TenantRateLimiter(settings.quotaWindowS(), settings.quotaExcess(), settings.quotaSlack(), pulse.nowMs());
         this.watcher = watcher;
-        accounts = new Accounts((tenant, tokens) -> quotas.continued(tenant, tokens, pulse.nowMs()));
+        accounts = new BorrowingAccounts((tenant, tokens) -> quotas.continued(tenant, tokens, pulse.nowMs()));
         pulse.every(VAULT_SWEEP_MS, this::sweep);
     }
 
-    public void charter(final Charter newCharter) {
+    public void charter(final Configuration newCharter) {
         charter = newCharter;
         quotas.charter(newCharter);
     }
 
-    static byte[] bytes(final Message message) {
+    static byte[] bytes(final StoredMessage message) {
         return ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512));
     }
 
     @Override
     public void apply(final long index, final byte[] data) {
-        final Message message = MESSAGES.newMessage();
+        final StoredMessage message = MESSAGES.newMessage();
         ProtostuffIOUtil.mergeFrom(data, message, MESSAGES);
         message.index = index;
         message.atMs = pulse.nowMs();
@@ -99,27 +99,27 @@
         put(message);
     }
 
-    private void put(final Message message) {
+    private void put(final StoredMessage message) {
         byIndex.put(message.index, message);
-        byTopic.computeIfAbsent(message.topic, key -> new Shelf()).messages.add(message);
+        byTopic.computeIfAbsent(message.topic, key -> new TopicMessages()).messages.add(message);
     }
 
     /** Messages with an index above the one and up to the other, in order. */
-    public Collection<Message> between(final long after, final long upTo) {
+    public Collection<StoredMessage> between(final long after, final long upTo) {
         return after >= upTo ? List.of() : byIndex.subMap(after, false, upTo, true).values();
     }
 
     /** A topic's messages behind a position, or null when one behind it was dropped. */
-    public List<Message> behind(final String topic, final long position) {
-        final Shelf shelf = byTopic.get(topic);
+    public List<StoredMessage> behind(final String topic, final long position) {
+        final TopicMessages shelf = byTopic.get(topic);
         if (shelf == null) {
             return List.of();
         }
         if (shelf.floor > position) {
             return null;
         }
-        final List<Message> found = new ArrayList<>();
-        for (final Message message : shelf.messages) {
+        final List<StoredMessage> found = new ArrayList<>();
+        for (final StoredMessage message : shelf.messages) {
             if (message.index > position) {
                 found.add(message);
             }
@@ -133,7 +133,7 @@
     }
 
     /** What tenants that borrow ahead hold and owe here. */
-    public List<Balance> balances() {
+    public List<AccountBalance> balances() {
         return accounts.balances();
     }
 
@@ -143,7 +143,7 @@
         byTopic.forEach((topic, shelf) -> {
             final long keepMs = keepMs(topic);
             while (!shelf.messages.isEmpty() && nowMs - shelf.messages.peek().atMs > keepMs) {
-                final Message dropped = shelf.messages.poll();
+                final StoredMessage dropped = shelf.messages.poll();
                 byIndex.remove(dropped.index);
                 shelf.floor = dropped.index;
                 floor = Math.max(floor, dropped.index);
@@ -152,21 +152,21 @@
     }
 
     private long keepMs(final String topic) {
-        final Charter.Space space = charter == null ? null : charter.space(topic);
+        final Configuration.Route space = charter == null ? null : charter.space(topic);
         // Without a configuration nothing may be dropped; of a space that is gone nothing is owed.
         return charter == null ? Long.MAX_VALUE : (space == null ? 0 : space.keepMs()) + KEEP_SLACK_MS;
     }
 
     @Override
     public byte[] snapshot() {
-        final Image image = new Image();
+        final Snapshot image = new Snapshot();
         image.messages.addAll(byIndex.values());
         image.tracks = numbers.all();
         image.floor = floor;
         image.accounts = accounts.saved();
         byTopic.forEach((topic, shelf) -> {
             if (shelf.floor > 0) {
-                final Floor one = new Floor();
+                final TopicFloor one = new TopicFloor();
                 one.topic = topic;
                 one.index = shelf.floor;
                 image.floors.add(one);
@@ -177,17 +177,17 @@
 
     @Override
     public void restore(final long index, final byte[] state) {
-        final Image image = IMAGES.newMessage();
+        final Snapshot image = IMAGES.newMessage();
         ProtostuffIOUtil.mergeFrom(state, image, IMAGES);
         byIndex.clear();
         byTopic.clear();
         floor = image.floor;
         final long nowMs = pulse.nowMs();
-        for (final Message message : image.messages) {
+        for (final StoredMessage message : image.messages) {
             message.atMs = nowMs;
             put(message);
         }
-        image.floors.forEach(one -> byTopic.computeIfAbsent(one.topic, key -> new Shelf()).floor = one.index);
+        image.floors.forEach(one -> byTopic.computeIfAbsent(one.topic, key -> new TopicMessages()).floor = one.index);
         numbers.restore(image.tracks, nowMs);
         accounts.restore(image.accounts, nowMs);
         quotas.forget();
--- a/src/main/java/yewjunction/vault/Lending.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,43 +7,43 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.base.Event;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Charter;
-import yewjunction.ledger.Ledger;
+import yewjunction.common.LogEvent;
+import yewjunction.common.AgentContext;
+import yewjunction.control.Configuration;
+import yewjunction.raft.RaftNode;
 
-import static yewjunction.base.Limits.LEND_IN_FLIGHT;
-import static yewjunction.base.Limits.LEND_OWED_MS;
-import static yewjunction.base.Limits.LEND_TURN;
-import static yewjunction.base.Limits.LEND_WAITING;
-import static yewjunction.base.Limits.SETTLE_MS;
+import static yewjunction.common.Limits.LEND_IN_FLIGHT;
+import static yewjunction.common.Limits.LEND_OWED_MS;
+import static yewjunction.common.Limits.LEND_TURN;
+import static yewjunction.common.Limits.LEND_WAITING;
+import static yewjunction.common.Limits.SETTLE_MS;
 
 /**
  * The leader's side of borrowing ahead: the accounts as they will be once all that is in flight is applied, whose turn it
  * is to borrow, and when terms and the passing of time enter the log. A borrower gets what others leave.
  */
-public final class Lending {
-    private final Pulse pulse;
-    private final Ledger ledger;
-    private final Cellar cellar;
+public final class QuotaBorrowing {
+    private final AgentContext pulse;
+    private final RaftNode ledger;
+    private final MessageStore cellar;
     private final Map<String, ArrayDeque<Runnable>> lanes = new LinkedHashMap<>();
     private final Set<String> atLimit = new HashSet<>();
-    private Accounts ahead;
+    private BorrowingAccounts ahead;
     private boolean turning;
     private long settledMs;
     private int underWay;
 
     /** What an account says to one message. */
-    enum Verdict { PAYS, BORROWS, WAITS, DENIES }
+    enum Decision { PAYS, BORROWS, WAITS, DENIES }
 
-    Lending(final Pulse pulse, final Ledger ledger, final Cellar cellar) {
+    QuotaBorrowing(final AgentContext pulse, final RaftNode ledger, final MessageStore cellar) {
         this.pulse = pulse;
         this.ledger = ledger;
         this.cellar = cellar;
     }
 
     /** Only at the leader, which has applied all that others admitted before it. */
-    private Accounts ahead() {
+    private BorrowingAccounts ahead() {
         if (ahead == null) {
             ahead = cellar.accounts.ahead();
         }
@@ -60,8 +60,8 @@
     }
 
     /** In turn: it is this message's turn to borrow, after all that paid. */
-    Verdict verdict(final String tenant, final long stampMs, final boolean inTurn) {
-        final Account account = ahead().of(tenant);
+    Decision verdict(final String tenant, final long stampMs, final boolean inTurn) {
+        final BorrowingAccount account = ahead().of(tenant);
         account.refill(stampMs);
         if (!inTurn && lanes.containsKey(tenant)) {
             // A tenant's own order never changes.
@@ -69,25 +69,25 @@
         }
         if (account.pays()) {
             atLimit.remove(tenant);
-            return Verdict.PAYS;
+            return Decision.PAYS;
         }
         if (!account.lends()) {
             if (atLimit.add(tenant)) {
-                Event.BORROW_LIMIT.info(tenant + " owes " + account.debt / Account.ONE);
+                LogEvent.BORROW_LIMIT.info(tenant + " owes " + account.debt / BorrowingAccount.ONE);
             }
-            return Verdict.DENIES;
+            return Decision.DENIES;
         }
         atLimit.remove(tenant);
         if (!inTurn) {
             return waits(tenant);
         }
         // Lent only while nobody else is held up by it.
-        return underWay < LEND_IN_FLIGHT && ledger.course().owedMs() < LEND_OWED_MS ? Verdict.BORROWS : Verdict.DENIES;
+        return underWay < LEND_IN_FLIGHT && ledger.course().owedMs() < LEND_OWED_MS ? Decision.BORROWS : Decision.DENIES;
     }
 
-    private Verdict waits(final String tenant) {
+    private Decision waits(final String tenant) {
         final ArrayDeque<Runnable> lane = lanes.get(tenant);
-        return lane == null || lane.size() < LEND_WAITING ? Verdict.WAITS : Verdict.DENIES;
+        return lane == null || lane.size() < LEND_WAITING ? Decision.WAITS : Decision.DENIES;
     }
 
     /** Looks again when it is this tenant's turn to borrow. */
@@ -138,7 +138,7 @@
     }
 
     /** Enters what has changed: terms of a new configuration, or that time has passed while somebody owes. */
-    public void look(final Charter charter) {
+    public void look(final Configuration charter) {
         if (!ledger.leads() || charter == null || ahead == null && cellar.accounts.none()
             && charter.tenants().stream().noneMatch(tenant -> tenant.borrowMax() > 0)) {
             return;
@@ -146,14 +146,14 @@
         final long stampMs = stampMs();
         boolean owes = false;
         boolean paidOff = false;
-        for (final Account account : ahead().all()) {
+        for (final BorrowingAccount account : ahead().all()) {
             final long before = account.debt;
             account.refill(stampMs);
             owes |= before > 0;
             paidOff |= before > 0 && account.debt == 0;
         }
-        final List<Terms> wanted = wanted(charter);
-        final Terms.Change change = new Terms.Change();
+        final List<BorrowingTerms> wanted = wanted(charter);
+        final BorrowingTerms.TermsChange change = new BorrowingTerms.TermsChange();
         if (charter.version() >= ahead().version() && !inForce(wanted)) {
             change.version = charter.version();
             change.terms = wanted;
@@ -161,17 +161,17 @@
             return;
         }
         settledMs = pulse.nowMs();
-        final Message entry = new Message();
+        final StoredMessage entry = new StoredMessage();
         entry.stampMs = stampMs;
         entry.change = change;
-        if (ledger.propose(Cellar.bytes(entry), done -> { })) {
+        if (ledger.propose(MessageStore.bytes(entry), done -> { })) {
             ahead().change(0, change, stampMs);
         }
     }
 
-    private boolean inForce(final List<Terms> wanted) {
+    private boolean inForce(final List<BorrowingTerms> wanted) {
         int known = 0;
-        for (final Account account : ahead().all()) {
+        for (final BorrowingAccount account : ahead().all()) {
             known++;
             if (wanted.stream().noneMatch(account.terms::same)) {
                 return false;
@@ -181,17 +181,17 @@
     }
 
     /** Whoever may borrow has an account, and whoever still owes keeps one, whatever the configuration says. */
-    private List<Terms> wanted(final Charter charter) {
-        final List<Terms> wanted = new ArrayList<>();
-        for (final Charter.Tenant tenant : charter.tenants()) {
-            final Account account = ahead().of(tenant.name());
+    private List<BorrowingTerms> wanted(final Configuration charter) {
+        final List<BorrowingTerms> wanted = new ArrayList<>();
+        for (final Configuration.Tenant tenant : charter.tenants()) {
+            final BorrowingAccount account = ahead().of(tenant.name());
             if (tenant.borrowMax() > 0 || account != null && account.debt > 0) {
                 wanted.add(cellar.quotas.terms(tenant, pulse.nowMs()));
             }
         }
-        for (final Account account : ahead().all()) {
+        for (final BorrowingAccount account : ahead().all()) {
             if (account.debt > 0 && charter.tenant(account.terms.tenant) == null) {
-                final Terms gone = new Terms();
+                final BorrowingTerms gone = new BorrowingTerms();
                 gone.tenant = account.terms.tenant;
                 wanted.add(gone);
             }
--- a/src/main/java/yewjunction/vault/Message.java
+++ b/src/main/java/yewjunction/store/StoredMessage.java
@@ -1,7 +1,7 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 /** A kept message; its index in the ledger is its position. */
-public final class Message {
+public final class StoredMessage {
     public long index;
     public String topic = "";
     public String client = "";
@@ -16,7 +16,7 @@
     /** Log time, only where the tenant has an account: null costs nothing on the wire and on the disk. */
     Long stampMs;
     /** What it changes in the accounts, in an entry that is no message; else null. */
-    Terms.Change change;
+    BorrowingTerms.TermsChange change;
 
     /** When this vault got it, by its own steady clock: other clocks mean nothing here. */
     transient long atMs;
--- a/src/main/java/yewjunction/vault/Quotas.java
+++ b/src/main/java/yewjunction/store/TenantRateLimiter.java
@@ -1,37 +1,37 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.HashMap;
 import java.util.Map;
-import yewjunction.charter.Charter;
-import yewjunction.charter.Charter.Tenant;
+import yewjunction.control.Configuration;
+import yewjunction.control.Configuration.Tenant;
 
-import static yewjunction.base.Limits.QUOTA_REPLAY_MS;
-import static yewjunction.base.Limits.QUOTA_SHARE;
-import static yewjunction.base.Limits.QUOTA_SPARE;
+import static yewjunction.common.Limits.QUOTA_REPLAY_MS;
+import static yewjunction.common.Limits.QUOTA_SHARE;
+import static yewjunction.common.Limits.QUOTA_SPARE;
 
 /** Token buckets of the tenants; one leader admits all messages, so they count over all nodes. */
-final class Quotas {
-    private final Map<String, Bucket> buckets = new HashMap<>();
+final class TenantRateLimiter {
+    private final Map<String, TokenBucket> buckets = new HashMap<>();
     private final double windowS;
     private final double excess;
     private final double slack;
     private final long startMs;
-    private Charter charter;
+    private Configuration charter;
 
-    private static final class Bucket {
+    private static final class TokenBucket {
         double tokens;
         long atMs;
     }
 
     /** Window, excess and slack: by how much the count of a window may pass a tenant's limit. */
-    Quotas(final double windowS, final double excess, final double slack, final long nowMs) {
+    TenantRateLimiter(final double windowS, final double excess, final double slack, final long nowMs) {
         this.windowS = windowS;
         this.excess = excess;
         this.slack = slack;
         startMs = nowMs;
     }
 
-    void charter(final Charter newCharter) {
+    void charter(final Configuration newCharter) {
         charter = newCharter;
     }
 
@@ -48,14 +48,14 @@
         return QUOTA_SPARE * (excess * (tenant.perSecond() * windowS + tenant.burst()) + slack);
     }
 
-    private Bucket filled(final String tenantName, final long nowMs) {
+    private TokenBucket filled(final String tenantName, final long nowMs) {
         final Tenant tenant = charter == null ? null : charter.tenant(tenantName);
         if (tenant == null) {
             return null;
         }
         final double depth = depth(tenant);
-        final Bucket bucket = buckets.computeIfAbsent(tenantName, key -> {
-            final Bucket fresh = new Bucket();
+        final TokenBucket bucket = buckets.computeIfAbsent(tenantName, key -> {
+            final TokenBucket fresh = new TokenBucket();
             // Nothing is known of the time before the start: the bucket has filled from then on.
             fresh.tokens = Math.min(depth, spare(tenant) + (nowMs - startMs) * tenant.perSecond() / 1_000);
             fresh.atMs = nowMs;
@@ -67,22 +67,22 @@
     }
 
     /** A borrowing tenant's terms, in whole thousandths; a new account begins with what its bucket holds. */
-    Terms terms(final Tenant tenant, final long nowMs) {
-        final Terms terms = new Terms();
+    BorrowingTerms terms(final Tenant tenant, final long nowMs) {
+        final BorrowingTerms terms = new BorrowingTerms();
         terms.tenant = tenant.name();
-        terms.rate = Math.round(tenant.perSecond() * Account.ONE);
-        terms.depth = (long) (depth(tenant) * Account.ONE);
-        terms.borrowMax = tenant.borrowMax() * Account.ONE;
+        terms.rate = Math.round(tenant.perSecond() * BorrowingAccount.ONE);
+        terms.depth = (long) (depth(tenant) * BorrowingAccount.ONE);
+        terms.borrowMax = tenant.borrowMax() * BorrowingAccount.ONE;
         terms.repayPpm = tenant.repayPpm();
-        terms.firstTokens = (long) (filled(tenant.name(), nowMs).tokens * Account.ONE);
+        terms.firstTokens = (long) (filled(tenant.name(), nowMs).tokens * BorrowingAccount.ONE);
         return terms;
     }
 
     /** The tenant's account has ended: its bucket goes on with what that held. */
     void continued(final String tenantName, final long thousandths, final long nowMs) {
-        final Bucket bucket = filled(tenantName, nowMs);
+        final TokenBucket bucket = filled(tenantName, nowMs);
         if (bucket != null) {
-            bucket.tokens = Math.min(bucket.tokens, (double) thousandths / Account.ONE);
+            bucket.tokens = Math.min(bucket.tokens, (double) thousandths / BorrowingAccount.ONE);
         }
     }
 
@@ -96,7 +96,7 @@
 
     /** Takes one message's worth, or says no. */
     boolean take(final String tenantName, final long nowMs) {
-        final Bucket bucket = filled(tenantName, nowMs);
+        final TokenBucket bucket = filled(tenantName, nowMs);
         if (bucket == null) {
             // No tenant stands behind a message of a public space; a tenant that is gone gets nothing more.
             return tenantName.isEmpty();
@@ -111,7 +111,7 @@
     /** A message that another leader admitted: it counts here too, for the day this vault leads. */
     void count(final String tenantName, final long nowMs) {
         // What the log brings back right after a start was counted before it.
-        final Bucket bucket = nowMs - startMs < QUOTA_REPLAY_MS ? null : filled(tenantName, nowMs);
+        final TokenBucket bucket = nowMs - startMs < QUOTA_REPLAY_MS ? null : filled(tenantName, nowMs);
         if (bucket != null) {
             bucket.tokens = Math.max(0, bucket.tokens - 1);
         }
--- a/src/main/java/yewjunction/weave/Weave.java
+++ b/src/main/java/yewjunction/subscription/AddWinsSet.java
@@ -1,4 +1,4 @@
-package yewjunction.weave;
+package yewjunction.subscription;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,8 +17,8 @@
  * Element = (topic, client). The rules are those of docs/paper.md. Kept by replica: the rule for (a, s) looks at v(a, s)
  * and w(s) alone, so what belongs to one s is compared, sent and merged as a whole state of its own.
  */
-public final class Weave {
-    private final Map<Long, Panel> panels = new HashMap<>();
+public final class AddWinsSet {
+    private final Map<Long, ReplicaState> panels = new HashMap<>();
     private final Set<Long> touched = new HashSet<>();
     private Set<Long> liveReplicas = Set.of();
     private long newestReplica;
@@ -36,8 +36,8 @@
         return self;
     }
 
-    private Panel panel(final long replica) {
-        return panels.computeIfAbsent(replica, key -> new Panel());
+    private ReplicaState panel(final long replica) {
+        return panels.computeIfAbsent(replica, key -> new ReplicaState());
     }
 
     /** A new unique instance (self, n): raises w(self) and sets v(a, self). */
@@ -45,7 +45,7 @@
         if (self == 0) {
             throw new IllegalStateException("a replica without a name adds nothing");
         }
-        final Panel own = panel(self);
+        final ReplicaState own = panel(self);
         own.observe(own.observed + 1);
         own.set(topic, client, own.observed);
         touched.add(self);
@@ -73,19 +73,19 @@
 
     /** v(a, s), 0 where there is none. */
     public long instance(final String topic, final String client, final long replica) {
-        final Panel panel = panels.get(replica);
+        final ReplicaState panel = panels.get(replica);
         return panel == null ? 0 : panel.instance(topic, client);
     }
 
     /** w(s). */
     public long observed(final long replica) {
-        final Panel panel = panels.get(replica);
+        final ReplicaState panel = panels.get(replica);
         return panel == null ? 0 : panel.observed;
     }
 
     /** Whether another replica than this one has an active instance of the element. */
     public boolean elsewhere(final String topic, final String client) {
-        for (final Map.Entry<Long, Panel> one : panels.entrySet()) {
+        for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
             if (one.getKey() != self && one.getValue().instance(topic, client) > 0) {
                 return true;
             }
@@ -95,7 +95,7 @@
 
     /** Whether some client of that replica has an active instance for the topic. */
     public boolean reaches(final String topic, final long replica) {
-        final Panel panel = panels.get(replica);
+        final ReplicaState panel = panels.get(replica);
         return panel != null && panel.cells.containsKey(topic);
     }
 
@@ -112,7 +112,7 @@
     }
 
     public void absent(final String client, final boolean away) {
-        final Panel own = self == 0 ? null : panel(self);
+        final ReplicaState own = self == 0 ? null : panel(self);
         if (own != null && own.absent.contains(client) != away) {
             final Set<String> clients = new HashSet<>(own.absent);
             if (away) {
@@ -147,30 +147,30 @@
 
     /** The whole state. */
     public byte[] state() {
-        return Pattern.pack(panels);
+        return ReplicaStateCodec.pack(panels);
     }
 
     /** The whole states of some parts. */
     public byte[] state(final Collection<Long> replicas) {
-        final Map<Long, Panel> chosen = new LinkedHashMap<>();
+        final Map<Long, ReplicaState> chosen = new LinkedHashMap<>();
         for (final long replica : replicas) {
             if (panels.containsKey(replica)) {
                 chosen.put(replica, panels.get(replica));
             }
         }
-        return Pattern.pack(chosen);
+        return ReplicaStateCodec.pack(chosen);
     }
 
     /** The digest of a replica's part. */
     public long mark(final long replica) {
-        final Panel panel = panels.get(replica);
+        final ReplicaState panel = panels.get(replica);
         return panel == null ? 0 : panel.mark();
     }
 
     public byte[] marks() {
         final Map<Long, Long> marks = new HashMap<>();
         panels.forEach((replica, panel) -> marks.put(replica, panel.mark()));
-        return Pattern.packMarks(marks);
+        return ReplicaStateCodec.packMarks(marks);
     }
 
     /** Parts held here that differ from those digests, in any order, up to about so many cells. */
@@ -180,14 +180,14 @@
 
     /** The same, of some replicas. */
     public List<Long> newsOf(final Collection<Long> of, final byte[] theirMarks, final int mostCells, final Random luck) {
-        final Map<Long, Long> theirs = Pattern.unpackMarks(theirMarks);
+        final Map<Long, Long> theirs = ReplicaStateCodec.unpackMarks(theirMarks);
         final List<Long> replicas = new ArrayList<>(of);
         replicas.retainAll(panels.keySet());
         Collections.shuffle(replicas, luck);
         final List<Long> news = new ArrayList<>();
         int cells = 0;
         for (final long replica : replicas) {
-            final Panel panel = panels.get(replica);
+            final ReplicaState panel = panels.get(replica);
             final Long theirMark = theirs.get(replica);
             if (cells < mostCells && (theirMark == null || theirMark != panel.mark())) {
                 news.add(replica);
@@ -200,7 +200,7 @@
     /** Parts named by those digests that differ here or are unknown. */
     public List<Long> wanted(final byte[] theirMarks) {
         final List<Long> wanted = new ArrayList<>();
-        Pattern.unpackMarks(theirMarks).forEach((replica, mark) -> {
+        ReplicaStateCodec.unpackMarks(theirMarks).forEach((replica, mark) -> {
             if (!retired(replica) && mark(replica) != mark) {
                 wanted.add(replica);
             }
@@ -210,7 +210,7 @@
 
     /** Merges whole states of some or all parts; loss, reordering and doubling of states do no harm. */
     public void receive(final byte[] state) {
-        Pattern.unpack(state).forEach((replica, incoming) -> {
+        ReplicaStateCodec.unpack(state).forEach((replica, incoming) -> {
             if (!retired(replica)) {
                 panel(replica).merge(incoming, replica == self);
             }
--- a/src/main/java/yewjunction/weave/Panel.java
+++ b/src/main/java/yewjunction/subscription/ReplicaState.java
@@ -1,4 +1,4 @@
-package yewjunction.weave;
+package yewjunction.subscription;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,7 +11,7 @@
  * One replica's part of the set: w(s), and v(., s) for all elements. The merge rule of one part looks at no other part,
  * so each is a whole state by itself. With it goes which of the replica's clients have no link.
  */
-final class Panel {
+final class ReplicaState {
     /** w(s). */
     long observed;
     /** v(., s) where it is not 0: topic, client, instance. */
@@ -56,7 +56,7 @@
     }
 
     /** Takes in another whole state of the same part; loss, reordering and doubling do no harm. */
-    void merge(final Panel incoming, final boolean own) {
+    void merge(final ReplicaState incoming, final boolean own) {
         final List<Runnable> changes = new ArrayList<>();
         incoming.cells.forEach((topic, clients) -> clients.forEach((client, theirs) ->
             compare(topic, client, theirs, incoming.observed, changes)));
