--- a/src/main/java/yewjunction/weave/Pattern.java
+++ b/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
@@ -1,4 +1,4 @@
-package yewjunction.weave;
+package yewjunction.subscription;
 
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
@@ -18,21 +18,21 @@
 import java.util.zip.InflaterInputStream;
 
 /** Panels on the wire: each client named once, numbers short, all deflated; and their digests. */
-final class Pattern {
-    private Pattern() {
+final class ReplicaStateCodec {
+    private ReplicaStateCodec() {
     }
 
-    private interface Writing {
+    private interface BodyWriter {
         void to(DataOutputStream out) throws IOException;
     }
 
-    static byte[] pack(final Map<Long, Panel> panels) {
+    static byte[] pack(final Map<Long, ReplicaState> panels) {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         final Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try (DataOutputStream out = new DataOutputStream(new BufferedOutputStream(new DeflaterOutputStream(bytes, deflater, 4096), 4096))) {
-            final Names names = new Names();
+            final StringTable names = new StringTable();
             number(out, panels.size());
-            for (final Map.Entry<Long, Panel> one : panels.entrySet()) {
+            for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
                 number(out, one.getKey());
                 pack(out, names, one.getValue());
             }
@@ -44,7 +44,7 @@
         return bytes.toByteArray();
     }
 
-    private static void pack(final DataOutputStream out, final Names names, final Panel panel) throws IOException {
+    private static void pack(final DataOutputStream out, final StringTable names, final ReplicaState panel) throws IOException {
         number(out, panel.observed);
         number(out, panel.cells.size());
         for (final Map.Entry<String, Map<String, Long>> topic : panel.cells.entrySet()) {
@@ -62,12 +62,12 @@
         }
     }
 
-    static Map<Long, Panel> unpack(final byte[] packed) {
-        final Map<Long, Panel> panels = new LinkedHashMap<>();
+    static Map<Long, ReplicaState> unpack(final byte[] packed) {
+        final Map<Long, ReplicaState> panels = new LinkedHashMap<>();
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(new InflaterInputStream(new ByteArrayInputStream(packed)), 4096))) {
             final List<String> names = new ArrayList<>();
             for (long left = number(in); left > 0; left--) {
-                final Panel panel = new Panel();
+                final ReplicaState panel = new ReplicaState();
                 panels.put(number(in), panel);
                 panel.observed = number(in);
                 for (long topics = number(in); topics > 0; topics--) {
@@ -110,7 +110,7 @@
         return marks;
     }
 
-    private static byte[] packed(final Writing writing) {
+    private static byte[] packed(final BodyWriter writing) {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             writing.to(out);
@@ -121,7 +121,7 @@
     }
 
     /** Writes a name in full the first time, then its number. */
-    private static final class Names {
+    private static final class StringTable {
         private final Map<String, Integer> known = new HashMap<>();
 
         void write(final DataOutputStream out, final String name) throws IOException {
--- a/src/main/java/yewjunction/loom/Line.java
+++ b/src/main/java/yewjunction/transport/ClientConnection.java
@@ -1,9 +1,9 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 /** One client's connection, as its owner sees it. */
-public interface Line {
+public interface ClientConnection {
     /** Where to write; flushed at the end of the turn. */
-    Outbox out();
+    WriteBuffer out();
 
     /** Bytes that wait to be written. */
     int waiting();
@@ -16,7 +16,7 @@
     boolean open();
 
     /** Reads what came. */
-    interface Owner {
+    interface Handler {
         /** Consumes whole messages from the start; answers how many bytes it took. */
         int take(byte[] bytes, int length);
 
@@ -24,7 +24,7 @@
     }
 
     /** Makes an owner for each new line. */
-    interface Greeter {
-        Owner greet(Line line);
+    interface HandlerFactory {
+        Handler greet(ClientConnection line);
     }
 }
--- a/src/main/java/yewjunction/loom/Inbox.java
+++ b/src/main/java/yewjunction/transport/CommandQueue.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /** Commands from any thread to the one owner: the only table that threads share with it (docs/control/threads.md). No lock. */
-final class Inbox<T> {
+final class CommandQueue<T> {
     // Not Agrona's many-to-one queue: there a put that is half done hides finished ones behind it (InboxTest).
     private final ConcurrentLinkedQueue<T> queue = new ConcurrentLinkedQueue<>();
     private final AtomicBoolean woken = new AtomicBoolean();
--- a/src/main/java/yewjunction/loom/Loom.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,33 +10,33 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import org.agrona.concurrent.Agent;
-import yewjunction.base.Event;
-import yewjunction.base.Pulse;
+import yewjunction.common.LogEvent;
+import yewjunction.common.AgentContext;
 
 /** The one agent of a process: blocks in its selector, then runs what is due. Owner of all tables. */
-public final class Loom implements Agent, Pulse {
+public final class EventLoopAgent implements Agent, AgentContext {
     private final Selector selector;
-    private final Inbox<Runnable> commands = new Inbox<>();
-    private final PriorityQueue<Alarm> alarms = new PriorityQueue<>();
+    private final CommandQueue<Runnable> commands = new CommandQueue<>();
+    private final PriorityQueue<Timer> alarms = new PriorityQueue<>();
     private final ArrayDeque<Runnable> flushes = new ArrayDeque<>();
     private final Random luck;
     private long alarmCount;
     private volatile Thread ownerThread;
 
-    private record Alarm(long atMs, long order, Runnable task) implements Comparable<Alarm> {
+    private record Timer(long atMs, long order, Runnable task) implements Comparable<Timer> {
         @Override
-        public int compareTo(final Alarm other) {
+        public int compareTo(final Timer other) {
             final int byTime = Long.compare(atMs, other.atMs);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
     /** Takes a ready key. */
-    interface Taker {
+    interface ReadyHandler {
         void ready(SelectionKey key) throws IOException;
     }
 
-    public Loom(final long seed) {
+    public EventLoopAgent(final long seed) {
         luck = new Random(seed);
         try {
             selector = Selector.open();
@@ -61,7 +61,7 @@
 
     @Override
     public void after(final long delayMs, final Runnable task) {
-        alarms.add(new Alarm(nowMs() + delayMs, alarmCount++, task));
+        alarms.add(new Timer(nowMs() + delayMs, alarmCount++, task));
     }
 
     @Override
@@ -81,7 +81,7 @@
     @Override
     public int doWork() throws IOException {
         ownerThread = Thread.currentThread();
-        final Alarm nextAlarm = alarms.peek();
+        final Timer nextAlarm = alarms.peek();
         final long waitMs = nextAlarm == null ? 1_000 : nextAlarm.atMs - nowMs();
         if (waitMs <= 0 || !commands.isEmpty()) {
             selector.selectNow();
@@ -96,7 +96,7 @@
                 work++;
                 guard(() -> {
                     if (key.isValid()) {
-                        ((Taker) key.attachment()).ready(key);
+                        ((ReadyHandler) key.attachment()).ready(key);
                     }
                 });
             }
@@ -118,17 +118,17 @@
         return work;
     }
 
-    private interface Turn {
+    private interface Step {
         void run() throws IOException;
     }
 
-    private static void guard(final Turn turn) {
+    private static void guard(final Step turn) {
         try {
             turn.run();
         } catch (final IOException | RuntimeException | StackOverflowError defect) {
             // One broken turn must not end the process: state is changed only after checks. What nests too deep fails in
             // the same way, and whoever sent it must not be able to end node after node. Other errors end the process.
-            Event.TURN_DEFECT.warn(String.valueOf(defect.getMessage()), defect);
+            LogEvent.TURN_DEFECT.warn(String.valueOf(defect.getMessage()), defect);
         }
     }
 
--- a/src/main/java/yewjunction/loom/Addresses.java
+++ b/src/main/java/yewjunction/transport/SocketAddresses.java
@@ -1,12 +1,12 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
 /** Text and addresses, without any name look-up. */
-public final class Addresses {
-    private Addresses() {
+public final class SocketAddresses {
+    private SocketAddresses() {
     }
 
     public static InetSocketAddress parse(final String text) {
--- a/src/main/java/yewjunction/loom/SocketLine.java
+++ b/src/main/java/yewjunction/transport/TcpClientConnection.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,23 +10,23 @@
 import java.nio.channels.SocketChannel;
 import java.util.Arrays;
 
-import static yewjunction.base.Limits.BACKLOG;
-import static yewjunction.base.Limits.CLIENT_BUFFER_BYTES;
+import static yewjunction.common.Limits.BACKLOG;
+import static yewjunction.common.Limits.CLIENT_BUFFER_BYTES;
 
 /** One client's connection: bytes in to its owner, bytes out gathered per turn. */
-public final class SocketLine implements Line, Loom.Taker {
-    private final Loom loom;
+public final class TcpClientConnection implements ClientConnection, EventLoopAgent.ReadyHandler {
+    private final EventLoopAgent loom;
     private final SocketChannel channel;
     private final SelectionKey key;
-    private final Outbox outbox = new Outbox(CLIENT_BUFFER_BYTES);
-    private Owner owner;
+    private final WriteBuffer outbox = new WriteBuffer(CLIENT_BUFFER_BYTES);
+    private Handler owner;
     private byte[] input;
     private int filled;
     private boolean flushing;
     private boolean closed;
     private boolean closing;
 
-    private SocketLine(final Loom loom, final SocketChannel channel) throws IOException {
+    private TcpClientConnection(final EventLoopAgent loom, final SocketChannel channel) throws IOException {
         this.loom = loom;
         this.channel = channel;
         channel.configureBlocking(false);
@@ -34,16 +34,16 @@
         key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
     }
 
-    public static void listen(final Loom loom, final InetSocketAddress own, final Greeter greeter) {
+    public static void listen(final EventLoopAgent loom, final InetSocketAddress own, final HandlerFactory greeter) {
         try {
             final ServerSocketChannel server = ServerSocketChannel.open();
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             server.bind(own, BACKLOG);
             server.configureBlocking(false);
-            server.register(loom.selector(), SelectionKey.OP_ACCEPT, (Loom.Taker) key -> {
+            server.register(loom.selector(), SelectionKey.OP_ACCEPT, (EventLoopAgent.ReadyHandler) key -> {
                 SocketChannel channel;
                 while ((channel = server.accept()) != null) {
-                    final SocketLine line = new SocketLine(loom, channel);
+                    final TcpClientConnection line = new TcpClientConnection(loom, channel);
                     line.owner = greeter.greet(line);
                 }
             });
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public Outbox out() {
+    public WriteBuffer out() {
         if (!flushing && !closed) {
             flushing = true;
             loom.flushLater(this::flush);
--- a/src/main/java/yewjunction/loom/Wire.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,28 +6,28 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import yewjunction.base.Codec;
-import yewjunction.base.Defect;
-import yewjunction.base.Event;
-import yewjunction.base.Link;
-
-import static yewjunction.base.Defect.Code.LETTER_UNKNOWN;
-import static yewjunction.base.Defect.Code.LINK_GARBLED;
-import static yewjunction.base.Limits.DIAL_MS;
-import static yewjunction.base.Limits.LETTER_BYTES;
-import static yewjunction.base.Limits.LINK_BEAT_MS;
-import static yewjunction.base.Limits.LINK_BUFFER_BYTES;
-import static yewjunction.base.Limits.LINK_QUEUE_BYTES;
-import static yewjunction.base.Limits.LINK_SILENCE_MS;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.YewjunctionException;
+import yewjunction.common.LogEvent;
+import yewjunction.common.PeerConnection;
+
+import static yewjunction.common.YewjunctionException.ErrorCode.LETTER_UNKNOWN;
+import static yewjunction.common.YewjunctionException.ErrorCode.LINK_GARBLED;
+import static yewjunction.common.Limits.DIAL_MS;
+import static yewjunction.common.Limits.LETTER_BYTES;
+import static yewjunction.common.Limits.LINK_BEAT_MS;
+import static yewjunction.common.Limits.LINK_BUFFER_BYTES;
+import static yewjunction.common.Limits.LINK_QUEUE_BYTES;
+import static yewjunction.common.Limits.LINK_SILENCE_MS;
 
 /** One peer link: frames of four bytes of length and a letter; length 0 is a beat. */
-final class Wire implements Link, Loom.Taker {
-    private final Wires owner;
-    private final Loom loom;
-    private final Codec codec;
+final class TcpPeerConnection implements PeerConnection, EventLoopAgent.ReadyHandler {
+    private final TcpPeerTransport owner;
+    private final EventLoopAgent loom;
+    private final MessageCodec codec;
     private final SocketChannel channel;
     private final String dialledAddress;
-    private final Outbox outbox = new Outbox(LINK_BUFFER_BYTES);
+    private final WriteBuffer outbox = new WriteBuffer(LINK_BUFFER_BYTES);
     private ByteBuffer input = ByteBuffer.allocate(LINK_BUFFER_BYTES);
     private SelectionKey key;
     private boolean connected;
@@ -37,7 +37,7 @@
     private long spokeMs;
     private String remote;
 
-    Wire(final Wires owner, final Loom loom, final Codec codec, final SocketChannel channel, final String dialledAddress)
+    TcpPeerConnection(final TcpPeerTransport owner, final EventLoopAgent loom, final MessageCodec codec, final SocketChannel channel, final String dialledAddress)
             throws IOException {
         this.owner = owner;
         this.loom = loom;
@@ -50,7 +50,7 @@
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         if (dialledAddress == null) {
             connected = true;
-            remote = Addresses.text((InetSocketAddress) channel.getRemoteAddress());
+            remote = SocketAddresses.text((InetSocketAddress) channel.getRemoteAddress());
             key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
         } else {
             remote = dialledAddress;
@@ -58,7 +58,7 @@
     }
 
     void connect() throws IOException {
-        connected = channel.connect(Addresses.parse(dialledAddress));
+        connected = channel.connect(SocketAddresses.parse(dialledAddress));
         key = channel.register(loom.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
         loom.after(DIAL_MS, () -> {
             if (!connected) {
@@ -82,7 +82,7 @@
         spokeMs = loom.nowMs();
         // A peer that does not read is cut, never waited for.
         if (outbox.size() > LINK_QUEUE_BYTES) {
-            Event.LINK_SLOW.warn(remote);
+            LogEvent.LINK_SLOW.warn(remote);
             close();
             return false;
         }
@@ -128,8 +128,8 @@
             }
         } catch (final IOException defect) {
             close();
-        } catch (final Defect defect) {
-            Event.LINK_GARBLED.warn(remote + " " + defect.code() + " " + defect.getMessage());
+        } catch (final YewjunctionException defect) {
+            LogEvent.LINK_GARBLED.warn(remote + " " + defect.code() + " " + defect.getMessage());
             close();
         }
     }
@@ -146,7 +146,7 @@
         while (!closed && input.remaining() >= 4) {
             final int length = input.getInt(input.position());
             if (length < 0 || length > LETTER_BYTES) {
-                throw new Defect(LINK_GARBLED, "length " + length);
+                throw new YewjunctionException(LINK_GARBLED, "length " + length);
             }
             if (input.remaining() < 4 + length) {
                 needed = 4 + length;
@@ -174,7 +174,7 @@
         final Object letter;
         try {
             letter = codec.decode(input.array(), start, length);
-        } catch (final Defect defect) {
+        } catch (final YewjunctionException defect) {
             // A kind this release does not know is skipped, so that releases can mix.
             if (defect.code() == LETTER_UNKNOWN) {
                 return;
@@ -189,7 +189,7 @@
             return;
         }
         if (nowMs - heardMs > LINK_SILENCE_MS) {
-            Event.LINK_LOST.info(remote + " silent");
+            LogEvent.LINK_LOST.info(remote + " silent");
             close();
         } else if (nowMs - spokeMs >= LINK_BEAT_MS) {
             outbox.putInt(0);
--- a/src/main/java/yewjunction/loom/Wires.java
+++ b/src/main/java/yewjunction/transport/TcpPeerTransport.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,24 +15,24 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import yewjunction.base.Codec;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
 
-import static yewjunction.base.Limits.BACKLOG;
-import static yewjunction.base.Limits.LINK_BEAT_MS;
+import static yewjunction.common.Limits.BACKLOG;
+import static yewjunction.common.Limits.LINK_BEAT_MS;
 
 /** All peer links of a process over TCP. */
-public class Wires implements Post {
-    private final Loom loom;
-    private final Codec codec;
+public class TcpPeerTransport implements PeerTransport {
+    private final EventLoopAgent loom;
+    private final MessageCodec codec;
     private final InetSocketAddress own;
-    private final Map<String, Wire> dialled = new HashMap<>();
-    private final Set<Wire> wires = new HashSet<>();
-    private final Map<Class<?>, BiConsumer<Link, Object>> handlers = new HashMap<>();
-    private final List<Consumer<Link>> closers = new ArrayList<>();
+    private final Map<String, TcpPeerConnection> dialled = new HashMap<>();
+    private final Set<TcpPeerConnection> wires = new HashSet<>();
+    private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
+    private final List<Consumer<PeerConnection>> closers = new ArrayList<>();
 
-    public Wires(final Loom loom, final Codec codec, final InetSocketAddress own) {
+    public TcpPeerTransport(final EventLoopAgent loom, final MessageCodec codec, final InetSocketAddress own) {
         this.loom = loom;
         this.codec = codec;
         this.own = own;
@@ -41,7 +41,7 @@
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             server.bind(own, BACKLOG);
             server.configureBlocking(false);
-            server.register(loom.selector(), SelectionKey.OP_ACCEPT, (Loom.Taker) key -> take(server));
+            server.register(loom.selector(), SelectionKey.OP_ACCEPT, (EventLoopAgent.ReadyHandler) key -> take(server));
         } catch (final IOException defect) {
             throw new UncheckedIOException("cannot listen for peers on " + own, defect);
         }
@@ -51,30 +51,30 @@
     private void take(final ServerSocketChannel server) throws IOException {
         SocketChannel channel;
         while ((channel = server.accept()) != null) {
-            wires.add(new Wire(this, loom, codec, channel, null));
+            wires.add(new TcpPeerConnection(this, loom, codec, channel, null));
         }
     }
 
     private void beat() {
         final long nowMs = loom.nowMs();
-        for (final Wire wire : new ArrayList<>(wires)) {
+        for (final TcpPeerConnection wire : new ArrayList<>(wires)) {
             wire.beat(nowMs);
         }
     }
 
     @Override
-    public Link dial(final String address) {
-        final Wire known = dialled.get(address);
+    public PeerConnection dial(final String address) {
+        final TcpPeerConnection known = dialled.get(address);
         if (known != null && known.open()) {
             return known;
         }
-        Wire wire = null;
+        TcpPeerConnection wire = null;
         SocketChannel channel = null;
         try {
             channel = channel();
             // The own address as source: the platform's links belong to the machine's address.
             channel.bind(new InetSocketAddress(own.getAddress(), 0));
-            wire = new Wire(this, loom, codec, channel, address);
+            wire = new TcpPeerConnection(this, loom, codec, channel, address);
             wires.add(wire);
             dialled.put(address, wire);
             wire.connect();
@@ -82,7 +82,7 @@
             if (wire == null) {
                 // No descriptor is left, perhaps: a link that broke at once. Whoever dialled has more to do in this turn.
                 shut(channel);
-                final Link lost = new LostLink(address);
+                final PeerConnection lost = new FailedConnection(address);
                 loom.post(() -> closers.forEach(closer -> closer.accept(lost)));
                 return lost;
             }
@@ -106,10 +106,10 @@
     }
 
     /** A link that never was open. */
-    private static final class LostLink implements Link {
+    private static final class FailedConnection implements PeerConnection {
         private final String remote;
 
-        LostLink(final String remote) {
+        FailedConnection(final String remote) {
             this.remote = remote;
         }
 
@@ -135,23 +135,23 @@
     }
 
     @Override
-    public <T> void on(final Class<T> kind, final BiConsumer<Link, T> handler) {
+    public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
         handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
     }
 
     @Override
-    public void onClose(final Consumer<Link> handler) {
+    public void onClose(final Consumer<PeerConnection> handler) {
         closers.add(handler);
     }
 
-    void deliver(final Wire wire, final Object letter) {
-        final BiConsumer<Link, Object> handler = handlers.get(letter.getClass());
+    void deliver(final TcpPeerConnection wire, final Object letter) {
+        final BiConsumer<PeerConnection, Object> handler = handlers.get(letter.getClass());
         if (handler != null) {
             handler.accept(wire, letter);
         }
     }
 
-    void gone(final Wire wire) {
+    void gone(final TcpPeerConnection wire) {
         wires.remove(wire);
         if (wire.dialledAddress() != null) {
             dialled.remove(wire.dialledAddress(), wire);
--- a/src/main/java/yewjunction/loom/Datagrams.java
+++ b/src/main/java/yewjunction/transport/UdpTransport.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -7,25 +7,25 @@
 import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
 import java.util.function.BiConsumer;
-import yewjunction.base.Codec;
-import yewjunction.base.Defect;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.YewjunctionException;
 
 /** Small letters that may be lost. */
-public final class Datagrams {
+public final class UdpTransport {
     /** bytes; above any datagram the roster sends. */
     private static final int DATAGRAM_BYTES = 8 << 10;
     private final DatagramChannel channel;
-    private final Codec codec;
+    private final MessageCodec codec;
     private final ByteBuffer input = ByteBuffer.allocate(DATAGRAM_BYTES);
     private BiConsumer<String, Object> handler = (from, letter) -> { };
 
-    public Datagrams(final Loom loom, final Codec codec, final InetSocketAddress own) {
+    public UdpTransport(final EventLoopAgent loom, final MessageCodec codec, final InetSocketAddress own) {
         this.codec = codec;
         try {
             channel = DatagramChannel.open();
             channel.bind(own);
             channel.configureBlocking(false);
-            channel.register(loom.selector(), SelectionKey.OP_READ, (Loom.Taker) key -> read());
+            channel.register(loom.selector(), SelectionKey.OP_READ, (EventLoopAgent.ReadyHandler) key -> read());
         } catch (final IOException defect) {
             throw new UncheckedIOException("cannot listen for probes on " + own, defect);
         }
@@ -37,7 +37,7 @@
 
     public void send(final String address, final Object letter) {
         try {
-            channel.send(ByteBuffer.wrap(codec.encode(letter)), Addresses.parse(address));
+            channel.send(ByteBuffer.wrap(codec.encode(letter)), SocketAddresses.parse(address));
         } catch (final IOException ignored) {
             // A datagram may be lost anyway: the protocol above sends again.
         }
@@ -58,11 +58,11 @@
             final Object letter;
             try {
                 letter = codec.decode(input.array(), 0, input.position());
-            } catch (final Defect ignored) {
+            } catch (final YewjunctionException ignored) {
                 // Anyone may send a datagram: what cannot be read is dropped.
                 continue;
             }
-            handler.accept(Addresses.text(from), letter);
+            handler.accept(SocketAddresses.text(from), letter);
         }
     }
 }
--- a/src/main/java/yewjunction/loom/Outbox.java
+++ b/src/main/java/yewjunction/transport/WriteBuffer.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,7 +8,7 @@
 import static java.nio.ByteOrder.BIG_ENDIAN;
 
 /** Bytes that wait to be written; grows as needed, shrinks when empty. */
-public final class Outbox {
+public final class WriteBuffer {
     /** bytes; read ones in front of unread ones that are worth moving. */
     private static final int COMPACT_BYTES = 64 << 10;
     private final int firstBytes;
@@ -16,7 +16,7 @@
     private int start;
     private int end;
 
-    public Outbox(final int firstBytes) {
+    public WriteBuffer(final int firstBytes) {
         this.firstBytes = firstBytes;
     }
 
--- a/src/main/java/yewjunction/loom/package-info.java
+++ b/src/main/java/yewjunction/transport/package-info.java
@@ -1,2 +1,2 @@
 /** The agent that owns a process's tables, and its sockets. */
-package yewjunction.loom;
+package yewjunction.transport;
--- a/src/test/java/yewjunction/capacity/Capacity.java
+++ b/src/test/java/yewjunction/capacity/CapacityHarness.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewjunction.weave.Weave;
+import yewjunction.subscription.AddWinsSet;
 
 /** Measures how what the system keeps, says and costs grows: hollow nodes in one process. docs/CAPACITY.md uses it. */
-public final class Capacity {
+public final class CapacityHarness {
     private static final int EXIT_UNSETTLED = 1;
     private static final int EXIT_REFUSED = 2;
     private static final int NODES_MOST = 1_000;
     /** bytes; a process's own tables, and what its roster keeps of each other one: both from runs of this program. */
     private static final long NODE_BYTES = 500_000, PAIR_BYTES = 300;
 
-    private Capacity() {
+    private CapacityHarness() {
     }
 
     private interface Run {
@@ -29,12 +29,12 @@
         }
         final int[] counts = Arrays.stream(words).skip(1).mapToInt(Integer::parseInt).toArray();
         switch (words[0]) {
-            case "control" -> sweep("nodes", counts, Capacity::control);
+            case "control" -> sweep("nodes", counts, CapacityHarness::control);
             case "messages" -> sweep("messages a second", counts, count -> messages(count, 5, 1));
             case "edges" -> sweep("edges", counts, count -> messages(100, count, 1));
             case "listeners" -> sweep("listeners at each of 5 edges", counts, count -> messages(50, 5, count));
-            case "across" -> sweep("stores, with 90 edges and 100 messages a second", counts, Across::measure);
-            case "set" -> sweep("elements", counts, Capacity::set);
+            case "across" -> sweep("stores, with 90 edges and 100 messages a second", counts, CrossZoneTraffic::measure);
+            case "set" -> sweep("elements", counts, CapacityHarness::set);
             default -> refuse("unknown: " + words[0]);
         }
     }
@@ -50,7 +50,7 @@
             refuse(nodes + " nodes: from 20 to " + NODES_MOST + ", and needs about " + (needed >> 20) + " MB of heap, there are "
                 + (Runtime.getRuntime().maxMemory() >> 20));
         }
-        final Control control = new Control();
+        final ControlTraffic control = new ControlTraffic();
         // Five of the machines are cruxes, a seventh vaults.
         return control.measure(nodes - 5 - Math.max(5, nodes / 7), Math.max(5, nodes / 7), 5) ? control.figures : null;
     }
@@ -59,7 +59,7 @@
         if (perSecond > 2_000 || edges > 100 || (long) edges * listeners > 20_000) {
             refuse("at most 2,000 messages a second, 100 edges and 20,000 listeners in one process");
         }
-        final Messages messages = new Messages();
+        final MessageCost messages = new MessageCost();
         return messages.measure(perSecond, edges, listeners) ? messages.figures : null;
     }
 
@@ -71,11 +71,11 @@
         System.gc();
         final Runtime runtime = Runtime.getRuntime();
         final long before = runtime.totalMemory() - runtime.freeMemory();
-        final Weave whole = new Weave();
+        final AddWinsSet whole = new AddWinsSet();
         final int perEdge = 140;
         long bytes = 0;
         for (int edge = 0; edge * perEdge < elements; edge++) {
-            final Weave part = new Weave();
+            final AddWinsSet part = new AddWinsSet();
             part.self(edge + 1);
             for (int i = 0; i < perEdge; i++) {
                 part.add("kafi810." + Integer.toString((edge * 31 + i * 7919) % 7_000, 36), "u" + Integer.toString(edge * 70 + i / 2, 36));
--- a/src/test/java/yewjunction/capacity/ControlShapeTest.java
+++ b/src/test/java/yewjunction/capacity/ControlScalingTest.java
@@ -7,22 +7,22 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** What must not grow with the number of nodes: a mechanism that stops scaling fails here. */
-class ControlShapeTest {
+class ControlScalingTest {
     /** Times; four times the nodes may cost this much more for each: timers that fall differently, and log terms. */
     private static final double FLAT = 1.35;
 
-    private static Control control(final int edges) {
-        final Control control = new Control();
+    private static ControlTraffic control(final int edges) {
+        final ControlTraffic control = new ControlTraffic();
         assertTrue(control.measure(edges, 5, 5), edges + " edges did not settle");
         return control;
     }
 
     @Test
     void controlCostsAnEdgeTheSameHoweverManyThereAre() {
-        final Control small = control(12);
-        final Control large = control(48);
-        for (final String name : new String[] {"edge: roster, letters/s a node, both ways", "edge: charter, letters/s a node, both ways",
-            "edge: charter, bytes/s a node, both ways", "change of the configuration: bytes an edge hears",
+        final ControlTraffic small = control(12);
+        final ControlTraffic large = control(48);
+        for (final String name : new String[] {"edge: membership, messages/s a node, both ways", "edge: control, messages/s a node, both ways",
+            "edge: control, bytes/s a node, both ways", "change of the configuration: bytes an edge hears",
             "restart of one edge: bytes of leases and facts that each other edge hears"}) {
             final double before = small.figures.get(name);
             final double after = large.figures.get(name);
--- a/src/test/java/yewjunction/capacity/Control.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 
 /** What a fleet that only keeps itself together says and costs, for one number of nodes. */
-final class Control {
+final class ControlTraffic {
     /** simulated ms; the news of a start ride on probes for up to a minute where nodes are many. */
     private static final long SETTLE_MS = 60_000, WATCH_MS = 30_000;
     /** Layers whose letters are control; vault and herald letters of an idle fleet too: nobody publishes here. */
-    private static final List<String> LAYERS = List.of("roster", "charter", "ledger", "herald", "");
+    private static final List<String> LAYERS = List.of("membership", "control", "raft", "fanout", "");
     final Map<String, Double> figures = new TreeMap<>();
 
     /** False when the fleet did not settle: then there are no figures. */
     boolean measure(final int edgeCount, final int vaultCount, final int cruxCount) {
-        final Fleet fleet = new Fleet(edgeCount, edgeCount, vaultCount, cruxCount);
+        final HollowFleet fleet = new HollowFleet(edgeCount, edgeCount, vaultCount, cruxCount);
         fleet.world.runFor(1_500);
         if (!fleet.configure(90, 60) || !fleet.world.runUntil(() -> fleet.ready() == edgeCount, 60_000)) {
             return false;
@@ -45,7 +45,7 @@
         return fleet.ready() == edgeCount;
     }
 
-    private void role(final String role, final Fleet fleet, final List<String> addresses) {
+    private void role(final String role, final HollowFleet fleet, final List<String> addresses) {
         for (final String layer : LAYERS) {
             double letters = 0;
             double bytes = 0;
@@ -58,7 +58,7 @@
             }
             final double seconds = WATCH_MS / 1_000.0;
             final String name = layer.isEmpty() ? "in all" : layer;
-            figures.put(role + ": " + name + ", letters/s a node, both ways", letters / addresses.size() / seconds);
+            figures.put(role + ": " + name + ", messages/s a node, both ways", letters / addresses.size() / seconds);
             figures.put(role + ": " + name + ", bytes/s a node, both ways", bytes / addresses.size() / seconds);
             if (layer.isEmpty()) {
                 figures.put(role + ": " + name + ", bytes/s of the busiest", most / seconds);
@@ -67,7 +67,7 @@
     }
 
     /** What one restarted edge makes all others hear. */
-    private void restart(final Fleet fleet) {
+    private void restart(final HollowFleet fleet) {
         final String address = fleet.edges.get(fleet.edges.size() / 2);
         fleet.world.host(address).kill();
         fleet.world.runFor(50);
@@ -77,13 +77,13 @@
         fleet.world.runFor(1_000);
         double bytes = 0;
         for (final String edge : fleet.edges) {
-            bytes += edge.equals(address) ? 0 : fleet.meter.of(edge, "charter.Lease")[3];
+            bytes += edge.equals(address) ? 0 : fleet.meter.of(edge, "control.LeaseResponse")[3];
         }
         figures.put("restart of one edge: bytes of leases and facts that each other edge hears", bytes / (fleet.edges.size() - 1));
     }
 
     /** What one change of the configuration costs, and how long until the last edge has it. */
-    private void change(final Fleet fleet) {
+    private void change(final HollowFleet fleet) {
         fleet.world.runFor(3_000);
         fleet.meter.reset();
         final long startMs = fleet.world.nowMs();
@@ -94,7 +94,7 @@
         fleet.world.runFor(1_000);
         double bytes = 0;
         for (final String edge : fleet.edges) {
-            bytes += fleet.meter.of(edge, "charter.Lease")[3];
+            bytes += fleet.meter.of(edge, "control.LeaseResponse")[3];
         }
         figures.put("change of the configuration: ms until acknowledged", (double) (takenMs - startMs));
         figures.put("change of the configuration: bytes an edge hears", bytes / fleet.edges.size());
--- a/src/test/java/yewjunction/capacity/Across.java
+++ b/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
@@ -6,14 +6,14 @@
 import java.util.TreeMap;
 
 /** What crosses zones, by kind of letter, with so many stores: 90 edges, 450 clients, 100 messages, 60 counts and 250 changed subscriptions a second. */
-final class Across {
+final class CrossZoneTraffic {
     private static final int EDGES = 90, CLIENTS = 450, TOPICS = 600, SECONDS = 10;
 
-    private Across() {
+    private CrossZoneTraffic() {
     }
 
     static Map<String, Double> measure(final int stores) {
-        final Fleet fleet = new Fleet(stores, EDGES, stores, 5);
+        final HollowFleet fleet = new HollowFleet(stores, EDGES, stores, 5);
         fleet.world.loss = 0;
         fleet.world.runFor(1_500);
         if (!fleet.configure(90, 60) || !fleet.world.runUntil(() -> fleet.ready() == EDGES, 30_000)) {
@@ -46,7 +46,7 @@
         double all = 0;
         for (final Map.Entry<String, long[]> row : fleet.meter.across.entrySet()) {
             figures.put(row.getKey() + ": bytes/s between zones", (double) row.getValue()[1] / SECONDS);
-            figures.put(row.getKey() + ": letters/s between zones", (double) row.getValue()[0] / SECONDS);
+            figures.put(row.getKey() + ": messages/s between zones", (double) row.getValue()[0] / SECONDS);
             all += row.getValue()[1];
         }
         figures.put("all: bytes/s between zones", all / SECONDS);
--- a/src/test/java/yewjunction/capacity/HollowClient.java
+++ b/src/test/java/yewjunction/capacity/HollowClient.java
@@ -1,20 +1,20 @@
 package yewjunction.capacity;
 
 import java.nio.charset.StandardCharsets;
-import yewjunction.loom.Line;
-import yewjunction.loom.Outbox;
+import yewjunction.transport.ClientConnection;
+import yewjunction.transport.WriteBuffer;
 
 /** A client at an edge of a fleet that only counts what it is sent. */
-final class HollowClient implements Line {
-    private final Fleet fleet;
-    private final Outbox out = new Outbox(256);
-    private final Line.Owner owner;
+final class HollowClient implements ClientConnection {
+    private final HollowFleet fleet;
+    private final WriteBuffer out = new WriteBuffer(256);
+    private final ClientConnection.Handler owner;
     private boolean flushing;
     long messages;
     long bytes;
     long acknowledged;
 
-    HollowClient(final Fleet fleet, final String edge, final String name) {
+    HollowClient(final HollowFleet fleet, final String edge, final String name) {
         this.fleet = fleet;
         owner = fleet.edge(edge).greet(this);
         say("HELLO " + name + " key0\r\n");
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public Outbox out() {
+    public WriteBuffer out() {
         if (!flushing) {
             flushing = true;
             fleet.world.after(0, () -> {
--- a/src/test/java/yewjunction/capacity/Fleet.java
+++ b/src/test/java/yewjunction/capacity/HollowFleet.java
@@ -5,23 +5,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewjunction.charter.Desk;
-import yewjunction.node.CruxNode;
+import yewjunction.control.OperatorApi;
+import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
-import yewjunction.node.VaultNode;
+import yewjunction.node.StoreNode;
 import yewjunction.settings.Settings;
-import yewjunction.sim.Host;
-import yewjunction.sim.Machines;
-import yewjunction.sim.Meter;
-import yewjunction.sim.World;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNodes;
+import yewjunction.simulation.TrafficMeter;
+import yewjunction.simulation.SimulatedNetwork;
 
 /** Hollow machines: the real code of all duties on a simulated network, all in this process, without clients of their own. */
-final class Fleet {
+final class HollowFleet {
     private static final int PORT = 7000;
     private static final int ZONES = 5;
-    final World world;
-    final Meter meter = new Meter();
+    final SimulatedNetwork world;
+    final TrafficMeter meter = new TrafficMeter();
     final List<String> edges = new ArrayList<>();
     final List<String> vaults = new ArrayList<>();
     final List<String> cruxes = new ArrayList<>();
@@ -31,8 +31,8 @@
     private long lives;
     private long version;
 
-    Fleet(final long seed, final int edgeCount, final int vaultCount, final int cruxCount) {
-        world = new World(seed);
+    HollowFleet(final long seed, final int edgeCount, final int vaultCount, final int cruxCount) {
+        world = new SimulatedNetwork(seed);
         world.meter = meter;
         lossesBorne = cruxCount >= 5 && vaultCount >= 5 ? 2 : 1;
         for (int i = 0; i < cruxCount; i++) {
@@ -57,11 +57,11 @@
     }
 
     void boot(final String address, final String duty, final boolean founding) {
-        final Host host = world.host(address);
+        final SimulatedHost host = world.host(address);
         final String ip = address.substring(0, address.indexOf(':'));
         final Settings settings = new Settings("n-" + ip, duty, List.of(duty), ip, "zone" + ip.charAt(3), ip + ":8022", ip + ":8029",
             ip + ":8024", PORT, PORT + 15, seeds, founding, "/data", lossesBorne, 2, 5, 0.1, 20, 260);
-        nodes.put(address, Machines.boot(host, settings, duty, ++lives).node());
+        nodes.put(address, SimulatedNodes.boot(host, settings, duty, ++lives).node());
     }
 
     EdgeNode edge(final String address) {
@@ -74,7 +74,7 @@
     }
 
     String leadingVault() {
-        return vaults.stream().filter(address -> ((VaultNode) nodes.get(address)).leads()).findFirst().orElse("");
+        return vaults.stream().filter(address -> ((StoreNode) nodes.get(address)).leads()).findFirst().orElse("");
     }
 
     /** A configuration of so many tenants and routes; true once it is acknowledged, within some simulated seconds. */
@@ -95,7 +95,7 @@
         for (int attempt = 0; attempt < 60 && !taken[0]; attempt++) {
             final String crux = cruxes.get(attempt % cruxes.size());
             final byte[] body = json.toString().getBytes(StandardCharsets.UTF_8);
-            world.host(crux).post(() -> ((CruxNode) nodes.get(crux)).desk().take(new Desk.Request("POST", "/-/config/replace",
+            world.host(crux).post(() -> ((ControlNode) nodes.get(crux)).desk().take(new OperatorApi.Request("POST", "/-/config/replace",
                 String.valueOf(version), body), answer -> taken[0] |= answer.status() == 200));
             world.runUntil(() -> taken[0], 300);
         }
--- a/src/test/java/yewjunction/capacity/Messages.java
+++ b/src/test/java/yewjunction/capacity/MessageCost.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /** What messages cost on their way: leader, followers, homes, edges, for one count of messages, edges and listeners. */
-final class Messages {
+final class MessageCost {
     /** simulated ms. */
     private static final long SETTLE_MS = 6_000, WATCH_MS = 8_000;
     private static final int VAULTS = 5, CRUXES = 3, BODY_BYTES = 100;
@@ -15,7 +15,7 @@
 
     /** False when not all that was published was acknowledged and delivered: then there are no figures. */
     boolean measure(final int perSecond, final int edgeCount, final int listeners) {
-        final Fleet fleet = new Fleet(perSecond + edgeCount + listeners, edgeCount, VAULTS, CRUXES);
+        final HollowFleet fleet = new HollowFleet(perSecond + edgeCount + listeners, edgeCount, VAULTS, CRUXES);
         fleet.world.loss = 0;
         fleet.world.runFor(1_500);
         if (!fleet.configure(3, 3) || !fleet.world.runUntil(() -> fleet.ready() == edgeCount, 30_000)) {
@@ -49,12 +49,12 @@
         final double seconds = WATCH_MS / 1_000.0;
         figures.put("all: ms of CPU a second, simulator included", (threads.getCurrentThreadCpuTime() - cpuBefore) / 1e6 / seconds);
         figures.put("all: KB allocated a second", (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / seconds);
-        figures.put("leader: bytes/s to each follower", fleet.meter.of(leader, "ledger.Append")[1] / seconds / (VAULTS - 1));
-        figures.put("leader: letters/s to each follower", fleet.meter.of(leader, "ledger.Append")[0] / seconds / (VAULTS - 1));
-        figures.put("leader: bytes/s of offers taken", fleet.meter.of(leader, "vault.Admit")[3] / seconds);
+        figures.put("leader: bytes/s to each follower", fleet.meter.of(leader, "raft.AppendEntries")[1] / seconds / (VAULTS - 1));
+        figures.put("leader: messages/s to each follower", fleet.meter.of(leader, "raft.AppendEntries")[0] / seconds / (VAULTS - 1));
+        figures.put("leader: bytes/s of offers taken", fleet.meter.of(leader, "store.AdmitRequest")[3] / seconds);
         double flow = 0;
         for (final String vault : fleet.vaults) {
-            flow += fleet.meter.of(vault, "herald.Flow")[1];
+            flow += fleet.meter.of(vault, "fanout.StreamBatch")[1];
         }
         figures.put("homes: bytes/s of the streams to all edges", flow / seconds);
         fleet.world.runFor(1_500);
--- a/src/test/java/yewjunction/base/EventNumbersTest.java
+++ b/src/test/java/yewjunction/common/EventNumbersTest.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import java.util.Arrays;
 import java.util.List;
@@ -15,7 +15,7 @@
 
     @Test
     void theNumbersAreThoseOfTheFirstRelease() {
-        assertEquals(new TreeSet<>(RELEASED), new TreeSet<>(Arrays.stream(Event.values()).map(Event::number).toList()));
-        assertEquals(RELEASED.size(), Event.values().length);
+        assertEquals(new TreeSet<>(RELEASED), new TreeSet<>(Arrays.stream(LogEvent.values()).map(LogEvent::number).toList()));
+        assertEquals(RELEASED.size(), LogEvent.values().length);
     }
 }
--- a/src/test/java/yewjunction/base/GoldenBytes.java
+++ b/src/test/java/yewjunction/common/GoldenBytes.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -58,7 +58,7 @@
     }
 
     /** Encodes each message, and checks that decoding and encoding it again gives the same bytes. */
-    public static Map<String, byte[]> encode(final Codec codec, final Map<String, Object> messages) {
+    public static Map<String, byte[]> encode(final MessageCodec codec, final Map<String, Object> messages) {
         final Map<String, byte[]> encoded = new LinkedHashMap<>();
         messages.forEach((name, message) -> {
             final byte[] bytes = codec.encode(message);
--- a/src/test/java/yewjunction/base/GoldenBytesTest.java
+++ b/src/test/java/yewjunction/common/GoldenBytesTest.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
@@ -19,8 +19,8 @@
 
     @Test
     void swappedFieldsOfOneTypeChangeTheBytes() {
-        final byte[] original = new Codec().know(1, Original.class).encode(new Original());
-        final byte[] swapped = new Codec().know(1, WithFieldsSwapped.class).encode(new WithFieldsSwapped());
+        final byte[] original = new MessageCodec().know(1, Original.class).encode(new Original());
+        final byte[] swapped = new MessageCodec().know(1, WithFieldsSwapped.class).encode(new WithFieldsSwapped());
         assertFalse(Arrays.equals(original, swapped));
     }
 }
--- a/src/test/java/yewjunction/base/QuestionsTest.java
+++ b/src/test/java/yewjunction/common/PendingRequestsTest.java
@@ -1,4 +1,4 @@
-package yewjunction.base;
+package yewjunction.common;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,12 +11,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class QuestionsTest {
+class PendingRequestsTest {
     /** Any answers in any order: only what is open, of whom it was asked, and once. */
     @Test
     void onlyTheFirstAnswerOfWhomWasAskedCounts() {
         final Random random = new Random(3);
-        final Questions<String, String> questions = new Questions<>(5);
+        final PendingRequests<String, String> questions = new PendingRequests<>(5);
         final Map<Long, String> open = new HashMap<>();
         final List<Long> numbers = new ArrayList<>();
         int counted = 0;
@@ -46,7 +46,7 @@
 
     @Test
     void whatIsOverIsGivenUpTogether() {
-        final Questions<String, Integer> questions = new Questions<>(5);
+        final PendingRequests<String, Integer> questions = new PendingRequests<>(5);
         final long first = questions.ask("p", 1);
         final long second = questions.ask("p", 2);
         assertEquals(List.of(1), questions.drop(about -> about < 2));
@@ -59,7 +59,7 @@
     void livesBeginApart() {
         final List<Long> firsts = new ArrayList<>();
         for (long life = 0; life < 1_000; life++) {
-            firsts.add(new Questions<String, String>(life).ask("p", ""));
+            firsts.add(new PendingRequests<String, String>(life).ask("p", ""));
         }
         firsts.sort(null);
         for (int at = 1; at < firsts.size(); at++) {
--- a/src/test/java/yewjunction/charter/PatchesTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationPatchesTest.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import com.typesafe.config.ConfigFactory;
 import com.typesafe.config.ConfigValueFactory;
@@ -17,7 +17,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class PatchesTest {
+class ConfigurationPatchesTest {
     /** A random configuration: what it means to whoever serves by it is in the two maps. */
     private static final class Draft {
         final Map<String, Map<String, Object>> routes = new TreeMap<>();
@@ -41,7 +41,7 @@
             }
         }
 
-        Charter charter(final Random random) {
+        Configuration charter(final Random random) {
             final List<Object> shuffled = new ArrayList<>(routes.values());
             java.util.Collections.shuffle(shuffled, random);
             final Map<String, Object> all = new LinkedHashMap<>();
@@ -50,7 +50,7 @@
             all.put("Svcs", List.of());
             all.put("Lims", Map.of("Subs", subs));
             all.put("Tenants", new ArrayList<>(tenants.values()));
-            return Charter.read(Charter.render(ConfigValueFactory.fromMap(all).toConfig()));
+            return Configuration.read(Configuration.render(ConfigValueFactory.fromMap(all).toConfig()));
         }
     }
 
@@ -62,16 +62,16 @@
         for (int i = 0; i < 40; i++) {
             draft.change(random);
         }
-        Charter core = draft.charter(random);
-        Charter edge = Charter.read(core.json());
+        Configuration core = draft.charter(random);
+        Configuration edge = Configuration.read(core.json());
         int patched = 0;
         for (int round = 0; round < 200; round++) {
             draft.change(random);
-            final Charter next = draft.charter(random);
-            final Deed deed = new Deed(Deed.CONFIG);
-            Patches.add(deed, core, next);
+            final Configuration next = draft.charter(random);
+            final ControlCommand deed = new ControlCommand(ControlCommand.CONFIG);
+            ConfigurationPatches.add(deed, core, next);
             assertTrue(deed.patch != null && deed.patch.length() < next.json().length(), deed.patch);
-            edge = Charter.of(edge.updated(Charter.parse(deed.patch)));
+            edge = Configuration.of(edge.updated(Configuration.parse(deed.patch)));
             assertEquals(next.digest(), edge.digest());
             assertEquals(next.version(), edge.version());
             assertEquals(next.subs(), edge.subs());
@@ -88,14 +88,14 @@
 
     @Test
     void whatAnUpdateCannotSayIsSentWhole() {
-        final Charter before = Charter.read("{\"Ver\":1,\"Lims\":{\"Subs\":5},\"Later\":3}");
+        final Configuration before = Configuration.read("{\"Ver\":1,\"Lims\":{\"Subs\":5},\"Later\":3}");
         for (final String after : List.of("{\"Ver\":2,\"Lims\":{\"Subs\":5},\"Later\":4}", "{\"Ver\":2,\"Lims\":{\"Subs\":5}}")) {
-            final Deed deed = new Deed(Deed.CONFIG);
-            Patches.add(deed, before, Charter.read(after));
+            final ControlCommand deed = new ControlCommand(ControlCommand.CONFIG);
+            ConfigurationPatches.add(deed, before, Configuration.read(after));
             assertNull(deed.patch, after);
         }
-        final Deed first = new Deed(Deed.CONFIG);
-        Patches.add(first, null, before);
+        final ControlCommand first = new ControlCommand(ControlCommand.CONFIG);
+        ConfigurationPatches.add(first, null, before);
         assertNull(first.patch);
     }
 
@@ -104,11 +104,11 @@
         final String route = "{\"Ver\":1,\"Routes\":[{\"Name\":\"r\",\"Pfx\":\"a.\",\"TimeoutMs\":5,\"After\":[\"s\",\"q\"]},"
             + "{\"Name\":\"s\",\"Pfx\":\"b.\",\"TimeoutMs\":5},{\"Name\":\"q\",\"Pfx\":\"c.\",\"TimeoutMs\":5}],"
             + "\"Tenants\":[{\"Name\":\"t\",\"Apikeys\":[\"k\",\"l\"],\"RatePerS\":3,\"BorrowMax\":4}]}";
-        final long digest = Charter.read(route).digest();
-        assertEquals(digest, Charter.read(route.replace("[\"s\",\"q\"]", "[\"q\",\"s\"]").replace("[\"k\",\"l\"]", "[\"l\",\"k\"]")).digest());
+        final long digest = Configuration.read(route).digest();
+        assertEquals(digest, Configuration.read(route.replace("[\"s\",\"q\"]", "[\"q\",\"s\"]").replace("[\"k\",\"l\"]", "[\"l\",\"k\"]")).digest());
         for (final String[] change : new String[][] {{"\"a.\"", "\"d.\""}, {"[\"s\",\"q\"]", "[\"s\"]"}, {"\"TimeoutMs\":5,", "\"TimeoutMs\":6,"},
             {"\"k\"", "\"m\""}, {"\"RatePerS\":3", "\"RatePerS\":4"}, {"\"BorrowMax\":4", "\"BorrowMax\":5"}, {"\"Ver\":1", "\"Ver\":2"}}) {
-            assertNotEquals(digest, Charter.read(route.replace(change[0], change[1])).digest(), change[0]);
+            assertNotEquals(digest, Configuration.read(route.replace(change[0], change[1])).digest(), change[0]);
         }
         assertTrue(ConfigFactory.parseString(route).hasPath("Routes"));
     }
--- a/src/test/java/yewjunction/charter/CharterTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationTest.java
@@ -1,10 +1,10 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import com.typesafe.config.Config;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class CharterTest {
+class ConfigurationTest {
     private static final String ROUTE = "{'Name':'r1','Host':'','Pfx':'a.','Type':'kept','TimeoutMs':1500,'LingerS':35.0,"
         + "'Public':false,'Unknown':[1,2]}";
     private static final String OTHER = "{'Name':'r2','Host':'','Pfx':'a.b.','Type':'kept','TimeoutMs':900,'LingerS':25.5,'Public':true}";
@@ -23,7 +23,7 @@
 
     @Test
     void theLongestPrefixWins() {
-        final Charter charter = Charter.read(json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
+        final Configuration charter = Configuration.read(json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
         assertEquals("r1", charter.space("a.x").name());
         assertEquals("r2", charter.space("a.b.x").name());
         assertEquals(25_500, charter.space("a.b.x").keepMs());
@@ -35,7 +35,7 @@
     @Test
     void allFieldsAreKeptAsSent() {
         final String sent = json(ROUTE, "");
-        assertEquals(Charter.parse(sent), Charter.parse(Charter.read(sent).json()));
+        assertEquals(Configuration.parse(sent), Configuration.parse(Configuration.read(sent).json()));
     }
 
     @ParameterizedTest
@@ -70,42 +70,42 @@
         "{'Ver':1,'Routes':[{'Name':'r','Pfx':'a','TimeoutMs':5,'After':null}]}|CONFIG_FIELD",
     })
     void whatIsInvalidIsNamed(final String json, final String code) {
-        assertEquals(code, assertThrows(Defect.class, () -> Charter.read(json.replace('\'', '"'))).code().name());
+        assertEquals(code, assertThrows(YewjunctionException.class, () -> Configuration.read(json.replace('\'', '"'))).code().name());
     }
 
     @Test
     void borrowingIsReadAndItsErrorsNameThePath() {
-        final Charter charter = Charter.read(json(ROUTE, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4,'BorrowMax':50},"
+        final Configuration charter = Configuration.read(json(ROUTE, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4,'BorrowMax':50},"
             + "{'Name':'u','RatePerS':3,'BorrowMax':7,'RepayShare':1}, {'Name':'v','RatePerS':3}"));
         assertEquals(50, charter.tenant("t").borrowMax());
         assertEquals(500_000, charter.tenant("t").repayPpm());
         assertEquals(1_000_000, charter.tenant("u").repayPpm());
         assertEquals(0, charter.tenant("v").borrowMax());
-        final Defect defect = assertThrows(Defect.class, () -> Charter.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':-1}")));
+        final YewjunctionException defect = assertThrows(YewjunctionException.class, () -> Configuration.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':-1}")));
         assertTrue(defect.getMessage().startsWith("Tenants.t.BorrowMax:"), defect.getMessage());
-        final Defect other = assertThrows(Defect.class, () -> Charter.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':1,'RepayShare':2}")));
+        final YewjunctionException other = assertThrows(YewjunctionException.class, () -> Configuration.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':1,'RepayShare':2}")));
         assertTrue(other.getMessage().startsWith("Tenants.t.RepayShare:"), other.getMessage());
     }
 
     @Test
     void declaredOrderIsReadAndARouteThatOthersNameCannotGo() {
         final String late = OTHER.replace("}", ",'After':['r1']}");
-        final Charter charter = Charter.read(json(ROUTE + "," + late, ""));
+        final Configuration charter = Configuration.read(json(ROUTE + "," + late, ""));
         assertTrue(charter.space("a.b.x").follows(charter.space("a.x")));
         assertFalse(charter.space("a.x").follows(charter.space("a.b.x")));
-        final Config update = Charter.parse("{\"Ver\":9,\"Del\":{\"Routes\":[\"r1\"]}}");
-        final Defect defect = assertThrows(Defect.class, () -> Charter.of(charter.updated(update)));
+        final Config update = Configuration.parse("{\"Ver\":9,\"Del\":{\"Routes\":[\"r1\"]}}");
+        final YewjunctionException defect = assertThrows(YewjunctionException.class, () -> Configuration.of(charter.updated(update)));
         assertTrue(defect.getMessage().startsWith("Routes.r2.After:"), defect.getMessage());
         // Each may name the other: one order across both.
-        Charter.read(json(ROUTE.replace("'Unknown'", "'After':['r2'],'Unknown'") + "," + late, ""));
+        Configuration.read(json(ROUTE.replace("'Unknown'", "'After':['r2'],'Unknown'") + "," + late, ""));
     }
 
     @Test
     void anUpdateReplacesAddsAndRemovesByName() {
-        final Charter charter = Charter.read(json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
+        final Configuration charter = Configuration.read(json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
         final String update = "{'Ver':9,'Upsert':{'Routes':[{'Name':'r1','Host':'','Pfx':'a.','TimeoutMs':7},"
             + "{'Name':'r3','Host':'','Pfx':'c.','TimeoutMs':8}]},'Del':{'Routes':['r2','never'],'Tenants':['t']}}";
-        final Charter updated = Charter.of(charter.updated(Charter.parse(update.replace('\'', '"'))));
+        final Configuration updated = Configuration.of(charter.updated(Configuration.parse(update.replace('\'', '"'))));
         assertEquals(9, updated.version());
         assertEquals(7, updated.space("a.b.x").timeoutMs());
         assertEquals(8, updated.space("c.").timeoutMs());
--- a/src/test/java/yewjunction/charter/CoreTurnCost.java
+++ b/src/test/java/yewjunction/control/ControlSnapshotCost.java
@@ -1,15 +1,15 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.lang.management.ManagementFactory;
 import java.util.Random;
 
 /** What building a core's snapshot costs its owner at the largest configuration: ms of a thread's processor. */
-final class CoreTurnCost {
-    private CoreTurnCost() {
+final class ControlSnapshotCost {
+    private ControlSnapshotCost() {
     }
 
     public static void main(final String[] words) {
-        final Core core = new Core(new Core.Watcher() {
+        final ControlStateMachine core = new ControlStateMachine(new ControlStateMachine.Listener() {
             @Override
             public void configChanged() {
             }
@@ -29,13 +29,13 @@
         final Random luck = new Random(1);
         final int bytes = Integer.parseInt(words[0]);
         for (int i = 1; i <= 520; i++) {
-            final Deed deed = new Deed();
-            deed.kind = Deed.CONFIG;
+            final ControlCommand deed = new ControlCommand();
+            deed.kind = ControlCommand.CONFIG;
             deed.base = i - 1;
             deed.version = i;
             deed.digest = Long.toHexString(luck.nextLong()).repeat(4);
             deed.json = i < 520 ? "{}" : "\"route\":\"a.b\",".repeat(bytes / 14);
-            core.apply(i, Core.bytes(deed));
+            core.apply(i, ControlStateMachine.bytes(deed));
         }
         final var threads = ManagementFactory.getThreadMXBean();
         for (int round = 0; round < 5; round++) {
--- a/src/test/java/yewjunction/charter/ControlStateFixture.java
+++ b/src/test/java/yewjunction/control/ControlStateFixture.java
@@ -1,9 +1,9 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import yewjunction.ledger.Machine;
+import yewjunction.raft.StateMachine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,8 +15,8 @@
     private ControlStateFixture() {
     }
 
-    static Core core() {
-        return new Core(new Core.Watcher() {
+    static ControlStateMachine core() {
+        return new ControlStateMachine(new ControlStateMachine.Listener() {
             @Override
             public void configChanged() {
                 // Only the state counts here.
@@ -40,7 +40,7 @@
     }
 
     /** A fresh state machine. */
-    public static Machine machine() {
+    public static StateMachine machine() {
         return core();
     }
 
@@ -48,44 +48,44 @@
     public static List<byte[]> commands() {
         final List<byte[]> commands = new ArrayList<>();
         commands.add(config(1, 0));
-        final Deed replica = new Deed(Deed.REPLICA);
+        final ControlCommand replica = new ControlCommand(ControlCommand.REPLICA);
         replica.address = "10.0.0.2:7000";
         replica.node = "edge-2";
         replica.life = 99;
-        commands.add(Core.bytes(replica));
+        commands.add(ControlStateMachine.bytes(replica));
         replica.address = "10.0.0.3:7000";
         replica.node = "edge-3";
         replica.life = 100;
-        commands.add(Core.bytes(replica));
-        final Deed vaults = new Deed(Deed.VAULTS);
+        commands.add(ControlStateMachine.bytes(replica));
+        final ControlCommand vaults = new ControlCommand(ControlCommand.VAULTS);
         vaults.identities = List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z");
         vaults.zones = List.of("za", "zb", "zc");
-        commands.add(Core.bytes(vaults));
-        final Deed gone = new Deed(Deed.REPLICA_GONE);
+        commands.add(ControlStateMachine.bytes(vaults));
+        final ControlCommand gone = new ControlCommand(ControlCommand.REPLICA_GONE);
         gone.name = 1;
-        commands.add(Core.bytes(gone));
-        final Deed retire = new Deed(Deed.RETIRE);
+        commands.add(ControlStateMachine.bytes(gone));
+        final ControlCommand retire = new ControlCommand(ControlCommand.RETIRE);
         retire.node = "store-4";
         retire.address = "10.0.0.4:7000";
-        commands.add(Core.bytes(retire));
-        final Deed retired = new Deed(Deed.RETIRED);
+        commands.add(ControlStateMachine.bytes(retire));
+        final ControlCommand retired = new ControlCommand(ControlCommand.RETIRED);
         retired.node = "store-4";
-        commands.add(Core.bytes(retired));
+        commands.add(ControlStateMachine.bytes(retired));
         commands.add(config(2, 1));
         return commands;
     }
 
     private static byte[] config(final long version, final long base) {
-        final Deed config = new Deed(Deed.CONFIG);
+        final ControlCommand config = new ControlCommand(ControlCommand.CONFIG);
         config.json = String.format(JSON, version);
         config.version = version;
         config.base = base;
         config.digest = "digest-" + version;
-        return Core.bytes(config);
+        return ControlStateMachine.bytes(config);
     }
 
     /** Applies the whole history, the first command at the index given. */
-    public static void apply(final Machine machine, final long firstIndex) {
+    public static void apply(final StateMachine machine, final long firstIndex) {
         long index = firstIndex;
         for (final byte[] command : commands()) {
             machine.apply(index++, command);
@@ -93,14 +93,14 @@
     }
 
     /** Every fact that the history leaves, when its first command stood at index 1. */
-    public static void assertComplete(final Machine machine) {
-        final Core core = (Core) machine;
+    public static void assertComplete(final StateMachine machine) {
+        final ControlStateMachine core = (ControlStateMachine) machine;
         assertEquals(2, core.version());
         assertEquals(String.format(JSON, 2), core.json());
         assertEquals(2, core.current().version());
         assertTrue(core.taken(1, "digest-1"));
         assertTrue(core.taken(2, "digest-2"));
-        final Facts facts = core.facts();
+        final ClusterState facts = core.facts();
         assertEquals(7, facts.number());
         assertEquals(2, facts.newestReplica());
         assertEquals(Set.of(2L), facts.liveReplicas());
--- a/src/test/java/yewjunction/charter/ControlWireFormatTest.java
+++ b/src/test/java/yewjunction/control/ControlWireFormatTest.java
@@ -1,16 +1,16 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Codec;
-import yewjunction.base.GoldenBytes;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.GoldenBytes;
 
 /** The bytes of every message about configuration and leases, and of every command and snapshot, are those of release 0.1.0. */
 class ControlWireFormatTest {
-    static Deed deed(final int kind) {
-        final Deed deed = new Deed(kind);
+    static ControlCommand deed(final int kind) {
+        final ControlCommand deed = new ControlCommand(kind);
         deed.json = "{\"Ver\":8}";
         deed.version = 8;
         deed.base = 7;
@@ -26,18 +26,18 @@
         return deed;
     }
 
-    private static Facts facts() {
-        final Facts facts = new Facts();
+    private static ClusterState facts() {
+        final ClusterState facts = new ClusterState();
         facts.number = 55;
         facts.newestReplica = 4;
-        final Facts.Replica replica = new Facts.Replica();
+        final ClusterState.Replica replica = new ClusterState.Replica();
         replica.name = 3;
         replica.address = "10.0.0.2:7000";
         replica.life = 99;
         facts.replicas.add(replica);
         facts.vaults = List.of("a:1#x", "b:2#y");
         facts.vaultZones = List.of("zone-a", "zone-b");
-        final Facts.Retiring retiring = new Facts.Retiring();
+        final ClusterState.Retirement retiring = new ClusterState.Retirement();
         retiring.node = "node-9";
         retiring.address = "10.0.0.9:7000";
         retiring.finished = true;
@@ -45,8 +45,8 @@
         return facts;
     }
 
-    private static Letters.Who who() {
-        final Letters.Who who = new Letters.Who();
+    private static LeaseMessages.ProcessReport who() {
+        final LeaseMessages.ProcessReport who = new LeaseMessages.ProcessReport();
         who.address = "10.0.0.1:7000";
         who.node = "node-1";
         who.zone = "zone-a";
@@ -60,7 +60,7 @@
         who.diskOwedMs = 250;
         who.memoryPct = 61;
         who.emptied = List.of("node-5", "node-6");
-        final Balance balance = new Balance();
+        final AccountBalance balance = new AccountBalance();
         balance.tenant = "t1";
         balance.index = 1_001;
         balance.borrowMax = 2_002;
@@ -70,7 +70,7 @@
         balance.borrowed = 6_006;
         balance.repaid = 7_007;
         who.balances.add(balance);
-        final Disorder disorder = new Disorder();
+        final OrderViolations disorder = new OrderViolations();
         disorder.topic = "orders.a";
         disorder.breaks = 2;
         disorder.gaps = 3;
@@ -80,39 +80,39 @@
 
     static Map<String, Object> messages() {
         final Map<String, Object> messages = new LinkedHashMap<>();
-        final Letters.Renew renew = new Letters.Renew();
+        final LeaseMessages.LeaseRequest renew = new LeaseMessages.LeaseRequest();
         renew.request = 11;
         renew.version = 12;
         renew.factsNumber = 13;
         renew.who = who();
         messages.put("50", renew);
-        final Letters.Lease lease = new Letters.Lease();
+        final LeaseMessages.LeaseResponse lease = new LeaseMessages.LeaseResponse();
         lease.held = true;
         lease.request = 21;
         lease.version = 22;
         lease.json = "{\"Ver\":22}";
         lease.facts = facts();
-        final News.Patch patch = new News.Patch();
+        final RecentChanges.VersionPatch patch = new RecentChanges.VersionPatch();
         patch.base = 20;
         patch.version = 22;
         patch.json = "{}";
         patch.digest = 4_321;
         lease.patches.add(patch);
-        final Facts.Change change = new Facts.Change();
+        final ClusterState.Change change = new ClusterState.Change();
         change.before = 54;
         change.index = 55;
-        change.deed = deed(Deed.RETIRE);
+        change.deed = deed(ControlCommand.RETIRE);
         lease.changes.add(change);
         messages.put("51", lease);
-        final Letters.Confirm confirm = new Letters.Confirm();
+        final LeaseMessages.ConfirmLeadershipRequest confirm = new LeaseMessages.ConfirmLeadershipRequest();
         confirm.number = 31;
         messages.put("52", confirm);
-        final Letters.Confirmed confirmed = new Letters.Confirmed();
+        final LeaseMessages.ConfirmLeadershipResponse confirmed = new LeaseMessages.ConfirmLeadershipResponse();
         confirmed.number = 32;
         confirmed.held = true;
         confirmed.commit = 33;
         messages.put("53", confirmed);
-        final Letters.Enlist enlist = new Letters.Enlist();
+        final LeaseMessages.RegisterRequest enlist = new LeaseMessages.RegisterRequest();
         enlist.who = who();
         messages.put("54", enlist);
         return messages;
@@ -120,18 +120,18 @@
 
     @Test
     void messagesKeepTheirBytes() {
-        final Codec codec = new Codec();
-        Letters.know(codec);
+        final MessageCodec codec = new MessageCodec();
+        LeaseMessages.know(codec);
         GoldenBytes.assertUnchanged("control.txt", GoldenBytes.encode(codec, messages()));
     }
 
     @Test
     void commandsAndSnapshotsKeepTheirBytes() {
         final Map<String, byte[]> examples = new LinkedHashMap<>();
-        for (int kind = Deed.CONFIG; kind <= Deed.RETIRED; kind++) {
-            examples.put("command-" + kind, Core.bytes(deed(kind)));
+        for (int kind = ControlCommand.CONFIG; kind <= ControlCommand.RETIRED; kind++) {
+            examples.put("command-" + kind, ControlStateMachine.bytes(deed(kind)));
         }
-        final Core core = ControlStateFixture.core();
+        final ControlStateMachine core = ControlStateFixture.core();
         ControlStateFixture.apply(core, 1);
         examples.put("snapshot", core.snapshot());
         GoldenBytes.assertUnchanged("control-state.txt", examples);
--- a/src/test/java/yewjunction/charter/ConfirmationsTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -1,4 +1,4 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -7,32 +7,32 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
-import yewjunction.charter.Letters.Confirm;
-import yewjunction.charter.Letters.Confirmed;
-import yewjunction.charter.Letters.Lease;
-import yewjunction.charter.Letters.Renew;
-import yewjunction.node.CruxNode;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
+import yewjunction.control.LeaseMessages.ConfirmLeadershipRequest;
+import yewjunction.control.LeaseMessages.ConfirmLeadershipResponse;
+import yewjunction.control.LeaseMessages.LeaseResponse;
+import yewjunction.control.LeaseMessages.LeaseRequest;
+import yewjunction.node.ControlNode;
 import yewjunction.settings.Settings;
-import yewjunction.sim.Host;
-import yewjunction.sim.Machines;
-import yewjunction.sim.World;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNodes;
+import yewjunction.simulation.SimulatedNetwork;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** A home grants leases only on the word of the leader that it asked, on the link on which it asked. */
-class ConfirmationsTest {
+class LeadershipConfirmationTest {
     private static final List<String> CRUXES = List.of("10.1.0.1", "10.2.0.1", "10.3.0.1");
-    private final Map<String, CruxNode> nodes = new TreeMap<>();
-    private final List<Confirm> asked = new ArrayList<>();
-    private final List<Lease> leases = new ArrayList<>();
-    private World world;
+    private final Map<String, ControlNode> nodes = new TreeMap<>();
+    private final List<ConfirmLeadershipRequest> asked = new ArrayList<>();
+    private final List<LeaseResponse> leases = new ArrayList<>();
+    private SimulatedNetwork world;
     private String leader;
     private String home;
-    private Post edge;
-    private Post stranger;
+    private PeerTransport edge;
+    private PeerTransport stranger;
     /** The leader's word names no question that was asked. */
     private boolean mute;
 
@@ -43,33 +43,33 @@
     /** Three cruxes with a configuration, and an edge that may ask any of them. */
     @BeforeEach
     void begin() {
-        world = new World(3);
+        world = new SimulatedNetwork(3);
         world.loss = 0;
         final List<String> seeds = CRUXES.stream().map(ip -> ip + ":8024").toList();
         for (final String ip : CRUXES) {
             final Settings settings = new Settings("node-" + ip, "crux", List.of("crux"), ip, "zone" + ip.charAt(3), ip + ":8022",
                 ip + ":8029", ip + ":8024", 7000, 7015, seeds, true, "/data", 1, 2, 5, 0.1, 20, 64);
-            final Host host = world.host(address(ip));
-            nodes.put(address(ip), (CruxNode) Machines.boot(host, settings, "crux", nodes.size() + 1).node());
+            final SimulatedHost host = world.host(address(ip));
+            nodes.put(address(ip), (ControlNode) SimulatedNodes.boot(host, settings, "crux", nodes.size() + 1).node());
             host.tampering = letter -> {
-                if (letter instanceof Confirm confirm) {
+                if (letter instanceof ConfirmLeadershipRequest confirm) {
                     leader = host.address;
-                    final Confirm copy = new Confirm();
+                    final ConfirmLeadershipRequest copy = new ConfirmLeadershipRequest();
                     copy.number = confirm.number;
                     asked.add(copy);
                     confirm.number = mute ? -1 : confirm.number;
                 }
             };
         }
-        final byte[] body = CharterTest.json("", "").getBytes(StandardCharsets.UTF_8);
+        final byte[] body = ConfigurationTest.json("", "").getBytes(StandardCharsets.UTF_8);
         final List<Integer> taken = new ArrayList<>();
         assertTrue(world.runUntil(() -> {
-            nodes.values().forEach(node -> node.desk().take(new Desk.Request("POST", "/-/config/replace", "0", body),
+            nodes.values().forEach(node -> node.desk().take(new OperatorApi.Request("POST", "/-/config/replace", "0", body),
                 answer -> taken.add(answer.status())));
             return taken.contains(200);
         }, 10_000));
         edge = world.host("10.9.0.1:1").boot();
-        edge.on(Lease.class, (link, lease) -> leases.addAll(lease.held ? List.of(lease) : List.of()));
+        edge.on(LeaseResponse.class, (link, lease) -> leases.addAll(lease.held ? List.of(lease) : List.of()));
         stranger = world.host("10.9.0.2:1").boot();
         // Whoever does not lead asks the leader.
         world.runFor(1_000);
@@ -81,12 +81,12 @@
         asked.clear();
     }
 
-    private Link renew(final String crux) {
-        final Renew renew = new Renew();
+    private PeerConnection renew(final String crux) {
+        final LeaseRequest renew = new LeaseRequest();
         renew.version = 7;
         renew.request = 99;
         renew.who.address = "10.9.0.1:1";
-        final Link link = edge.dial(crux);
+        final PeerConnection link = edge.dial(crux);
         link.send(renew);
         return link;
     }
@@ -104,7 +104,7 @@
         mute = true;
         renew(home);
         assertTrue(world.runUntil(() -> !asked.isEmpty(), 200));
-        final Confirmed confirmed = new Confirmed();
+        final ConfirmLeadershipResponse confirmed = new ConfirmLeadershipResponse();
         confirmed.number = asked.get(0).number;
         confirmed.held = true;
         stranger.dial(home).send(confirmed);
--- a/src/test/java/yewjunction/charter/LeaseAnswersTest.java
+++ b/src/test/java/yewjunction/control/LeaseResponsesTest.java
@@ -1,59 +1,59 @@
-package yewjunction.charter;
+package yewjunction.control;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewjunction.charter.Letters.Lease;
-import yewjunction.charter.Letters.Renew;
-import yewjunction.sim.Dialling;
-import yewjunction.sim.Host;
-import yewjunction.sim.World;
+import yewjunction.control.LeaseMessages.LeaseResponse;
+import yewjunction.control.LeaseMessages.LeaseRequest;
+import yewjunction.simulation.ScriptedTransport;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNetwork;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.base.Limits.LEASE_MS;
+import static yewjunction.common.Limits.LEASE_MS;
 
 /** A lease counts only as the answer to a question of this life, from the crux that it was asked of, and from when it was. */
-class LeaseAnswersTest {
+class LeaseResponsesTest {
     private final List<String> homes = new ArrayList<>(List.of("near:1", "far:1"));
-    private Dialling links;
-    private World world;
+    private ScriptedTransport links;
+    private SimulatedNetwork world;
     private long lives;
-    private Tenure tenure;
+    private LeaseClient tenure;
 
-    private static final class Silent implements Tenure.Watcher {
+    private static final class IgnoringListener implements LeaseClient.Listener {
         @Override
-        public void configChanged(final Charter charter) {
+        public void configChanged(final Configuration charter) {
         }
 
         @Override
-        public void factsChanged(final Facts facts) {
+        public void factsChanged(final ClusterState facts) {
         }
     }
 
-    private Dialling.Asked link(final String address) {
+    private ScriptedTransport.ScriptedConnection link(final String address) {
         return links.dial(address);
     }
 
     /** A life of an edge, which has asked once and knows the configuration already. */
     private void begin(final boolean drawn) {
-        links = new Dialling();
-        world = new World(1);
-        final Host host = world.host("edge:1");
+        links = new ScriptedTransport();
+        world = new SimulatedNetwork(1);
+        final SimulatedHost host = world.host("edge:1");
         host.boot();
         world.runFor(100_000);
-        tenure = new Tenure(host, links, () -> homes, new Silent()).named("edge:1", "edge", "zone", "tide", drawn ? ++lives : 1);
+        tenure = new LeaseClient(host, links, () -> homes, new IgnoringListener()).named("edge:1", "edge", "zone", "tide", drawn ? ++lives : 1);
         tenure.start();
-        final Lease news = new Lease();
+        final LeaseResponse news = new LeaseResponse();
         news.version = 7;
-        news.json = CharterTest.json("", "");
+        news.json = ConfigurationTest.json("", "");
         links.answer("near:1", news);
         assertFalse(tenure.held(), "news are no lease");
     }
 
-    private void grant(final String from, final Renew renew) {
-        final Lease lease = new Lease();
+    private void grant(final String from, final LeaseRequest renew) {
+        final LeaseResponse lease = new LeaseResponse();
         lease.held = true;
         lease.version = 7;
         lease.request = renew.request;
@@ -63,7 +63,7 @@
     @Test
     void itEndsSoLongAfterItsOwnQuestion() {
         begin(true);
-        final Renew first = link("near:1").newest();
+        final LeaseRequest first = link("near:1").newest();
         final long askedMs = world.nowMs();
         world.runFor(300);
         assertTrue(link("far:1").size() + link("near:1").size() > 1, "a newer question is open");
@@ -86,7 +86,7 @@
     @Test
     void whoseAnswerCameIsAskedNext() {
         begin(true);
-        final Renew first = link("near:1").newest();
+        final LeaseRequest first = link("near:1").newest();
         world.runUntil(() -> link("far:1").size() > 0, 1_000);
         final int askedFar = link("far:1").size();
         final int askedNear = link("near:1").size();
@@ -101,7 +101,7 @@
     /** An answer to the first life's question reaches the second one, as it were on a link that outlived the first. */
     private boolean heldByAnEarlierLifesLease(final boolean drawn) {
         begin(drawn);
-        final Renew earlier = link("near:1").newest();
+        final LeaseRequest earlier = link("near:1").newest();
         begin(drawn);
         assertEquals(1, link("near:1").size());
         grant("near:1", earlier);
--- a/src/test/java/yewjunction/charter/Naming.java
+++ b/src/test/java/yewjunction/control/StaleRegistration.java
@@ -1,14 +1,14 @@
-package yewjunction.charter;
+package yewjunction.control;
 
-import yewjunction.charter.Letters.Enlist;
+import yewjunction.control.LeaseMessages.RegisterRequest;
 
 /** Plants a fault: a letter that asks for a replica's name for a life of a process that is over. */
-public final class Naming {
-    private Naming() {
+public final class StaleRegistration {
+    private StaleRegistration() {
     }
 
     public static Object enlist(final String address, final long life) {
-        final Enlist enlist = new Enlist();
+        final RegisterRequest enlist = new RegisterRequest();
         enlist.who.address = address;
         enlist.who.node = "node-" + address;
         enlist.who.duty = "tide";
--- a/src/test/java/yewjunction/herald/HomeAnswersTest.java
+++ b/src/test/java/yewjunction/fanout/StreamResponsesTest.java
@@ -1,40 +1,40 @@
-package yewjunction.herald;
+package yewjunction.fanout;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Link;
-import yewjunction.herald.Letters.Attach;
-import yewjunction.herald.Letters.Flow;
-import yewjunction.herald.Letters.Taken;
-import yewjunction.herald.Letters.Welcome;
-import yewjunction.sim.Dialling;
-import yewjunction.sim.Host;
-import yewjunction.sim.World;
-import yewjunction.vault.Message;
-import yewjunction.weave.Weave;
+import yewjunction.common.PeerConnection;
+import yewjunction.fanout.FanoutMessages.AttachRequest;
+import yewjunction.fanout.FanoutMessages.StreamBatch;
+import yewjunction.fanout.FanoutMessages.ReplayResponse;
+import yewjunction.fanout.FanoutMessages.AttachResponse;
+import yewjunction.simulation.ScriptedTransport;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNetwork;
+import yewjunction.store.StoredMessage;
+import yewjunction.subscription.AddWinsSet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.base.Limits.HOME_SILENCE_MS;
+import static yewjunction.common.Limits.HOME_SILENCE_MS;
 
 /** What the link to a former home still brings counts for nothing: the link is the question, and ends with it. */
-class HomeAnswersTest {
-    private final Dialling links = new Dialling();
+class StreamResponsesTest {
+    private final ScriptedTransport links = new ScriptedTransport();
     private final List<String> told = new ArrayList<>();
-    private World world;
-    private Link former;
+    private SimulatedNetwork world;
+    private PeerConnection former;
 
-    private final class Telling implements Envoy.Watcher {
+    private final class RecordingListener implements StreamClient.Listener {
         @Override
-        public void message(final Message message) {
+        public void message(final StoredMessage message) {
             told.add("message " + message.topic);
         }
 
         @Override
-        public void taken(final long request, final boolean expired, final long position, final List<Message> behind, final boolean more) {
+        public void taken(final long request, final boolean expired, final long position, final List<StoredMessage> behind, final boolean more) {
             told.add("taken " + request);
         }
 
@@ -59,8 +59,8 @@
         }
     }
 
-    private void welcome(final Link on, final long start) {
-        final Welcome welcome = new Welcome();
+    private void welcome(final PeerConnection on, final long start) {
+        final AttachResponse welcome = new AttachResponse();
         welcome.accepted = true;
         welcome.start = start;
         links.answer(on, welcome);
@@ -69,32 +69,32 @@
     /** Attached to one home, which falls silent, and asked of the next one at the same address anew. */
     @BeforeEach
     void begin() {
-        world = new World(1);
-        final Host host = world.host("edge:1");
+        world = new SimulatedNetwork(1);
+        final SimulatedHost host = world.host("edge:1");
         host.boot();
-        final Weave weave = new Weave();
+        final AddWinsSet weave = new AddWinsSet();
         weave.self(1);
-        final Envoy envoy = new Envoy(host, links, weave, "edge", () -> List.of("vault:1"), new Telling(), () -> { });
+        final StreamClient envoy = new StreamClient(host, links, weave, "edge", () -> List.of("vault:1"), new RecordingListener(), () -> { });
         envoy.attach();
         former = links.dial("vault:1");
         welcome(former, 10);
         assertEquals(List.of("attached"), told);
         world.runFor(2 * HOME_SILENCE_MS);
         assertNotSame(former, links.dial("vault:1"));
-        assertTrue(links.dial("vault:1").newest() instanceof Attach);
+        assertTrue(links.dial("vault:1").newest() instanceof AttachRequest);
         told.clear();
     }
 
-    private void allOfIt(final Link on) {
+    private void allOfIt(final PeerConnection on) {
         welcome(on, 10);
-        final Taken taken = new Taken();
+        final ReplayResponse taken = new ReplayResponse();
         taken.request = 7;
         links.answer(on, taken);
-        final Flow flow = new Flow();
+        final StreamBatch flow = new StreamBatch();
         flow.from = 10;
         flow.upTo = 11;
         flow.leader = "leader:1";
-        final Message message = new Message();
+        final StoredMessage message = new StoredMessage();
         message.topic = "s.x";
         flow.messages.add(message);
         links.answer(on, flow);
@@ -115,10 +115,10 @@
 
     @Test
     void nothingIsTakenBeforeTheHomeHasSaidYes() {
-        final Taken taken = new Taken();
+        final ReplayResponse taken = new ReplayResponse();
         taken.request = 7;
         links.answer(links.dial("vault:1"), taken);
-        links.answer(links.dial("vault:1"), new Flow());
+        links.answer(links.dial("vault:1"), new StreamBatch());
         assertEquals(List.of(), told);
     }
 }
--- a/src/test/java/yewjunction/dock/VerdictsTest.java
+++ b/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
@@ -1,35 +1,35 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import yewjunction.charter.Charter.Space;
-import yewjunction.loom.Line;
-import yewjunction.loom.Outbox;
-import yewjunction.sim.Dialling;
-import yewjunction.sim.Host;
-import yewjunction.sim.World;
-import yewjunction.vault.Letters.Admit;
-import yewjunction.vault.Letters.Verdict;
+import yewjunction.control.Configuration.Route;
+import yewjunction.transport.ClientConnection;
+import yewjunction.transport.WriteBuffer;
+import yewjunction.simulation.ScriptedTransport;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNetwork;
+import yewjunction.store.AdmissionMessages.AdmitRequest;
+import yewjunction.store.AdmissionMessages.AdmitResponse;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static yewjunction.vault.Letters.ACCEPTED;
-import static yewjunction.vault.Letters.DENIED;
-import static yewjunction.vault.Letters.ELSEWHERE;
+import static yewjunction.store.AdmissionMessages.ACCEPTED;
+import static yewjunction.store.AdmissionMessages.DENIED;
+import static yewjunction.store.AdmissionMessages.ELSEWHERE;
 
 /** RETRY is said only on a denial of the newest offer; whatever was said of earlier ones may be overtaken. */
-class VerdictsTest {
-    private static final Space SPACE = new Space("orders", "", "s.", 1_500, 35_000, true, Set.of());
+class AdmitResponsesTest {
+    private static final Route SPACE = new Route("orders", "", "s.", 1_500, 35_000, true, Set.of());
     private static final String RETRIED = "REFUSE PUB s.x 5 RETRY\r\n", ACKED = "ACK s.x 5\r\n";
-    private final Outbox told = new Outbox(64);
-    private Dialling links;
-    private Shipping shipping;
-    private World world;
+    private final WriteBuffer told = new WriteBuffer(64);
+    private ScriptedTransport links;
+    private PublishForwarder shipping;
+    private SimulatedNetwork world;
     private long lives;
 
-    private final class Written implements Line {
+    private final class Written implements ClientConnection {
         @Override
-        public Outbox out() {
+        public WriteBuffer out() {
             return told;
         }
 
@@ -55,21 +55,21 @@
     }
 
     /** A life of an edge that has a message of a client on its way to the first leader. */
-    private Admit begin(final boolean drawn) {
-        links = new Dialling();
-        world = new World(1);
-        final Host host = world.host("edge:1");
+    private AdmitRequest begin(final boolean drawn) {
+        links = new ScriptedTransport();
+        world = new SimulatedNetwork(1);
+        final SimulatedHost host = world.host("edge:1");
         host.boot();
-        shipping = new Shipping(host, links, drawn ? ++lives : 1);
+        shipping = new PublishForwarder(host, links, drawn ? ++lives : 1);
         shipping.leaderIs("one:1");
-        final Berth berth = new Berth(null, new Written(), 0);
+        final ClientSession berth = new ClientSession(null, new Written(), 0);
         berth.client = "c";
         shipping.ship(berth, "s.x", 5, true, "", SPACE, new byte[0]);
         return links.dial("one:1").newest();
     }
 
-    private String afterVerdict(final String from, final Admit on, final int what) {
-        final Verdict verdict = new Verdict();
+    private String afterVerdict(final String from, final AdmitRequest on, final int what) {
+        final AdmitResponse verdict = new AdmitResponse();
         verdict.request = on.request;
         verdict.what = what;
         links.answer(from, verdict);
@@ -77,7 +77,7 @@
     }
 
     /** Denied by the first leader, accepted, perhaps, by the second, and now the first one leads again. */
-    private Admit offeredThrice() {
+    private AdmitRequest offeredThrice() {
         shipping.leaderIs("two:1");
         assertEquals(1, links.dial("two:1").size());
         shipping.leaderIs("one:1");
@@ -87,8 +87,8 @@
 
     @Test
     void aDenialOfAnEarlierOfferOnTheSameLinkBindsNobody() {
-        final Admit first = begin(true);
-        final Admit third = offeredThrice();
+        final AdmitRequest first = begin(true);
+        final AdmitRequest third = offeredThrice();
         assertEquals("", afterVerdict("one:1", first, DENIED));
         assertEquals(ACKED, afterVerdict("one:1", third, ACCEPTED));
     }
@@ -102,15 +102,15 @@
 
     @Test
     void anAcceptanceOfAnEarlierOfferIsAFact() {
-        final Admit first = begin(true);
-        final Admit third = offeredThrice();
+        final AdmitRequest first = begin(true);
+        final AdmitRequest third = offeredThrice();
         assertEquals(ACKED, afterVerdict("one:1", first, ACCEPTED));
         assertEquals("", afterVerdict("one:1", third, ACCEPTED), "told once");
     }
 
     @Test
     void anotherVaultsVerdictIsNone() {
-        final Admit first = begin(true);
+        final AdmitRequest first = begin(true);
         assertEquals("", afterVerdict("two:1", first, DENIED));
         assertEquals("", afterVerdict("two:1", first, ACCEPTED));
         assertEquals(RETRIED, afterVerdict("one:1", first, DENIED));
@@ -118,7 +118,7 @@
 
     @Test
     void thatAnEarlierOfferWentToNoLeaderTakesNothingBack() {
-        final Admit first = begin(true);
+        final AdmitRequest first = begin(true);
         offeredThrice();
         assertEquals("", afterVerdict("one:1", first, ELSEWHERE));
         // Taken back it would be offered again after a pause.
@@ -128,7 +128,7 @@
     }
 
     private String afterVerdictOnAnEarlierLife(final boolean drawn) {
-        final Admit earlier = begin(drawn);
+        final AdmitRequest earlier = begin(drawn);
         begin(drawn);
         return afterVerdict("one:1", earlier, DENIED);
     }
--- a/src/test/java/yewjunction/dock/WordsTest.java
+++ b/src/test/java/yewjunction/gateway/CommandParserTest.java
@@ -1,4 +1,4 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class WordsTest {
+class CommandParserTest {
     private static byte[] bytes(final String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
@@ -31,8 +31,8 @@
                 final byte[] all = bytes(new String(unread, StandardCharsets.ISO_8859_1) + stream.substring(sent, next));
                 sent = next;
                 int at = 0;
-                final Words words = new Words();
-                while (at < all.length && words.wrap(all, at, all.length) == Words.GOOD) {
+                final CommandParser words = new CommandParser();
+                while (at < all.length && words.wrap(all, at, all.length) == CommandParser.GOOD) {
                     read.add(words.text(0));
                     if (words.is("PUB")) {
                         assertEquals("abcdefghijklmnopqrst", new String(words.bodyBytes(), StandardCharsets.US_ASCII));
@@ -53,17 +53,17 @@
     })
     void whatIsWrongIsTold(final String text, final int state) {
         final byte[] bytes = bytes(text.replace("~", "\r\n"));
-        assertEquals(state, new Words().wrap(bytes, 0, bytes.length));
+        assertEquals(state, new CommandParser().wrap(bytes, 0, bytes.length));
     }
 
     @Test
     void aBareLineEndLosesTheStreamAndABodyOverTheLimitIsTooBig() {
-        assertEquals(Words.LOST, new Words().wrap(bytes("PING\n"), 0, 5));
+        assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("PING\n"), 0, 5));
         final byte[] large = bytes("PUB t 1 16385\r\n" + "x".repeat(16_385) + "\r\n");
-        final Words words = new Words();
-        assertEquals(Words.TOO_BIG, words.wrap(large, 0, large.length));
+        final CommandParser words = new CommandParser();
+        assertEquals(CommandParser.TOO_BIG, words.wrap(large, 0, large.length));
         assertEquals(large.length, words.end());
-        assertEquals(Words.LOST, new Words().wrap(bytes("X".repeat(5_000)), 0, 5_000));
+        assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
     }
 
     @Test
@@ -76,9 +76,9 @@
                 text.append(pieces[luck.nextInt(pieces.length)]);
             }
             final byte[] bytes = bytes(text.toString());
-            final Words words = new Words();
+            final CommandParser words = new CommandParser();
             final int state = words.wrap(bytes, 0, bytes.length);
-            assertTrue(state == Words.MORE || state == Words.LOST || state == Words.TOO_BIG || words.end() > 0 && words.end() <= bytes.length);
+            assertTrue(state == CommandParser.MORE || state == CommandParser.LOST || state == CommandParser.TOO_BIG || words.end() > 0 && words.end() <= bytes.length);
         }
     }
 }
--- a/src/test/java/yewjunction/dock/FilterTest.java
+++ b/src/test/java/yewjunction/gateway/FilterTest.java
@@ -1,4 +1,4 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
-import static yewjunction.base.Defect.Code.FILTER_BAD;
-import static yewjunction.base.Defect.Code.FILTER_TOOBIG;
+import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_BAD;
+import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_TOOBIG;
 
 class FilterTest {
     @ParameterizedTest
@@ -22,22 +22,22 @@
         "b,bb*,b*|bbb x|true", "x|' x leading space'|false",
     })
     void theKeyIsTheFirstWordAndPatternsAreKeysOrBeginnings(final String filter, final String body, final boolean wanted) {
-        assertEquals(wanted, Filter.read(filter).wants(Words.ascii(body)));
+        assertEquals(wanted, Filter.read(filter).wants(CommandParser.ascii(body)));
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"a,,b", "a,", ",", "a*b", "**", "a*,*b"})
     void aBadPatternIsToldApart(final String filter) {
-        assertEquals(FILTER_BAD, assertThrows(Defect.class, () -> Filter.read(filter)).code());
+        assertEquals(FILTER_BAD, assertThrows(YewjunctionException.class, () -> Filter.read(filter)).code());
     }
 
     @Test
     void aFilterIsBounded() {
         final String many = String.join(",", java.util.Collections.nCopies(64, "k"));
         Filter.read(many);
-        assertEquals(FILTER_TOOBIG, assertThrows(Defect.class, () -> Filter.read(many + ",k")).code());
+        assertEquals(FILTER_TOOBIG, assertThrows(YewjunctionException.class, () -> Filter.read(many + ",k")).code());
         Filter.read("k".repeat(1_024));
-        assertEquals(FILTER_TOOBIG, assertThrows(Defect.class, () -> Filter.read("k".repeat(1_025))).code());
+        assertEquals(FILTER_TOOBIG, assertThrows(YewjunctionException.class, () -> Filter.read("k".repeat(1_025))).code());
     }
 
     /** Against a reference that tries each pattern, over keys and patterns that share many beginnings. */
@@ -53,7 +53,7 @@
             final String key = word(luck);
             final boolean wanted = patterns.stream().anyMatch(pattern -> pattern.endsWith("*")
                 ? key.startsWith(pattern.substring(0, pattern.length() - 1)) : key.equals(pattern));
-            assertEquals(wanted, Filter.read(String.join(",", patterns)).wants(Words.ascii(key + " rest of the body")),
+            assertEquals(wanted, Filter.read(String.join(",", patterns)).wants(CommandParser.ascii(key + " rest of the body")),
                 key + " by " + patterns);
         }
     }
--- a/src/test/java/yewjunction/dock/GuardTest.java
+++ b/src/test/java/yewjunction/gateway/OrderingGuardTest.java
@@ -1,22 +1,22 @@
-package yewjunction.dock;
+package yewjunction.gateway;
 
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import yewjunction.charter.Charter.Space;
-import yewjunction.vault.Message;
+import yewjunction.control.Configuration.Route;
+import yewjunction.store.StoredMessage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-class GuardTest {
-    private static final Space ORDERS = new Space("orders", "", "o.", 1_000, 35_000, false, Set.of());
-    private static final Space DISPATCHES = new Space("dispatches", "", "d.", 1_000, 35_000, false, Set.of("orders"));
-    private final Guard guard = new Guard();
+class OrderingGuardTest {
+    private static final Route ORDERS = new Route("orders", "", "o.", 1_000, 35_000, false, Set.of());
+    private static final Route DISPATCHES = new Route("dispatches", "", "d.", 1_000, 35_000, false, Set.of("orders"));
+    private final OrderingGuard guard = new OrderingGuard();
 
-    private static Message message(final String topic, final long index, final String client, final long number) {
-        final Message message = new Message();
+    private static StoredMessage message(final String topic, final long index, final String client, final long number) {
+        final StoredMessage message = new StoredMessage();
         message.topic = topic;
         message.index = index;
         message.client = client;
--- a/src/test/java/yewjunction/roster/LateAnswersTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -1,32 +1,32 @@
-package yewjunction.roster;
+package yewjunction.membership;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.roster.Letters.Detour;
-import yewjunction.roster.Letters.Echo;
-import yewjunction.roster.Letters.Letter;
-import yewjunction.roster.Letters.Probe;
-import yewjunction.sim.Host;
-import yewjunction.sim.World;
+import yewjunction.membership.MembershipMessages.PingRequest;
+import yewjunction.membership.MembershipMessages.Ack;
+import yewjunction.membership.MembershipMessages.MembershipMessage;
+import yewjunction.membership.MembershipMessages.Ping;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNetwork;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** A dead peer is missed, whatever answers to other questions still come in. */
-class LateAnswersTest {
+class LateResponsesTest {
     private static final String ASKER = "a1:7", DEAD = "a2:7", OTHER = "a3:7";
-    private final List<Probe> probes = new ArrayList<>();
-    private final List<Detour> detours = new ArrayList<>();
-    private World world;
-    private Roster roster;
+    private final List<Ping> probes = new ArrayList<>();
+    private final List<PingRequest> detours = new ArrayList<>();
+    private SimulatedNetwork world;
+    private MembershipList roster;
     private long lives;
 
-    private static Peer peer(final String address) {
-        final Peer peer = new Peer();
+    private static Member peer(final String address) {
+        final Member peer = new Member();
         peer.life = 1;
         peer.address = address;
         peer.zone = "zone";
@@ -34,37 +34,37 @@
         return peer;
     }
 
-    private static <T extends Letter> T by(final String address, final T letter) {
+    private static <T extends MembershipMessage> T by(final String address, final T letter) {
         letter.self = peer(address);
         return letter;
     }
 
-    private static Echo echo(final String address, final long number) {
-        final Echo echo = by(address, new Echo());
+    private static Ack echo(final String address, final long number) {
+        final Ack echo = by(address, new Ack());
         echo.number = number;
         return echo;
     }
 
     /** A life of the asker, which has just heard from the others. */
     private void boot(final boolean drawn, final String... others) {
-        final Host host = world.host(ASKER);
+        final SimulatedHost host = world.host(ASKER);
         host.boot();
-        final Peer self = peer(ASKER);
+        final Member self = peer(ASKER);
         self.life = drawn ? ++lives : 1;
         probes.clear();
         detours.clear();
-        roster = new Roster(host, self, (address, letter) -> {
-            if (letter instanceof Probe probe && address.equals(DEAD)) {
+        roster = new MembershipList(host, self, (address, letter) -> {
+            if (letter instanceof Ping probe && address.equals(DEAD)) {
                 probes.add(probe);
-            } else if (letter instanceof Probe probe) {
+            } else if (letter instanceof Ping probe) {
                 world.after(5, () -> roster.take(address, echo(address, probe.number)));
-            } else if (letter instanceof Detour detour) {
+            } else if (letter instanceof PingRequest detour) {
                 detours.add(detour);
             }
         });
         roster.start(List.of());
         for (final String other : others) {
-            roster.take(other, by(other, new Echo()));
+            roster.take(other, by(other, new Ack()));
         }
     }
 
@@ -74,14 +74,14 @@
 
     /** The first life's probes are answered late, all of them and again and again, while the second one probes. */
     private boolean missedInTheSecondLife(final long seed, final boolean drawn) {
-        world = new World(seed);
+        world = new SimulatedNetwork(seed);
         boot(drawn, DEAD);
         world.every(1, () -> List.copyOf(probes).forEach(probe -> roster.take(DEAD, echo(DEAD, probe.number))));
         world.runFor(20_000);
         assertTrue(probes.size() > 15 && !missed(), probes.size() + " probes");
         final List<Long> firstLife = probes.stream().map(probe -> probe.number).toList();
         world.host(ASKER).kill();
-        final World second = new World(seed + 1_000);
+        final SimulatedNetwork second = new SimulatedNetwork(seed + 1_000);
         world = second;
         boot(drawn, DEAD);
         second.every(100, () -> firstLife.forEach(number -> roster.take(DEAD, echo(DEAD, number))));
@@ -103,7 +103,7 @@
 
     /** All that the dead peer is asked another one answers in time, under that name. */
     private boolean missedWhileAnotherAnswers(final long seed, final String name) {
-        world = new World(seed);
+        world = new SimulatedNetwork(seed);
         boot(true, DEAD, OTHER);
         world.every(20, () -> {
             probes.forEach(probe -> roster.take(OTHER, echo(name, probe.number)));
@@ -126,7 +126,7 @@
 
     @Test
     void aSecondOpinionCountsOnlyFromWhomItWasAsked() {
-        world = new World(7);
+        world = new SimulatedNetwork(7);
         boot(true, DEAD, OTHER);
         world.every(20, () -> detours.forEach(detour -> roster.take(OTHER, echo(OTHER, detour.number))));
         world.runFor(15_000);
--- a/src/test/java/yewjunction/roster/RosterSimTest.java
+++ b/src/test/java/yewjunction/membership/MembershipSimulationTest.java
@@ -1,33 +1,33 @@
-package yewjunction.roster;
+package yewjunction.membership;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import yewjunction.sim.Host;
-import yewjunction.sim.World;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNetwork;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Who knows whom, under kills, restarts, losses and a cut between two. */
-class RosterSimTest {
-    private final Map<String, Roster> rosters = new TreeMap<>();
+class MembershipSimulationTest {
+    private final Map<String, MembershipList> rosters = new TreeMap<>();
     private final List<String> explained = new ArrayList<>();
-    private World world;
+    private SimulatedNetwork world;
     private long lives;
 
     private void boot(final String address) {
-        final Host host = world.host(address);
+        final SimulatedHost host = world.host(address);
         host.boot();
-        final Peer self = new Peer();
+        final Member self = new Member();
         self.address = address;
         self.node = "node-" + address;
         self.zone = "zone" + address.charAt(1);
         self.duty = "tide";
         self.life = ++lives;
-        final Roster roster = new Roster(host, self, host::datagram);
+        final MembershipList roster = new MembershipList(host, self, host::datagram);
         roster.planned(peer -> {
             explained.add(peer.node);
             return "work";
@@ -38,7 +38,7 @@
     }
 
     private void begin(final long seed) {
-        world = new World(seed);
+        world = new SimulatedNetwork(seed);
         for (final String address : List.of("a1:7", "b1:7", "c1:7", "a2:7", "b2:7", "c2:7", "d2:7", "e2:7")) {
             boot(address);
         }
--- a/src/test/java/yewjunction/ledger/RecordTest.java
+++ b/src/test/java/yewjunction/raft/LogRecordTest.java
@@ -1,11 +1,11 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.io.ByteArrayOutputStream;
 import java.util.Arrays;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Defect;
-import yewjunction.sim.SimDisk;
+import yewjunction.common.YewjunctionException;
+import yewjunction.simulation.SimulatedDisk;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,11 +13,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class RecordTest {
+class LogRecordTest {
     private static byte[] file(final int count, final boolean synced) {
         final ByteArrayOutputStream file = new ByteArrayOutputStream();
         for (int i = 0; i < count; i++) {
-            file.writeBytes(Record.wrapBody(3, ("body " + i).getBytes(), synced ? file.size() : 0));
+            file.writeBytes(LogRecord.wrapBody(3, ("body " + i).getBytes(), synced ? file.size() : 0));
         }
         return file.toByteArray();
     }
@@ -27,7 +27,7 @@
         final byte[] whole = file(5, true);
         final int oneLength = whole.length / 5;
         for (int length = 0; length <= whole.length; length++) {
-            final Record.Reading reading = Record.read(Arrays.copyOf(whole, length));
+            final LogRecord.ScanResult reading = LogRecord.read(Arrays.copyOf(whole, length));
             assertEquals(length / oneLength, reading.pieces().size(), "length " + length);
             assertEquals(length / oneLength * oneLength, reading.goodBytes());
             assertFalse(reading.damaged());
@@ -40,7 +40,7 @@
         for (int attempt = 0; attempt < 200; attempt++) {
             final byte[] bytes = file(6, true);
             bytes[luck.nextInt(bytes.length / 6 * 4)] ^= 1 << luck.nextInt(8);
-            assertTrue(Record.read(bytes).damaged(), "attempt " + attempt);
+            assertTrue(LogRecord.read(bytes).damaged(), "attempt " + attempt);
         }
     }
 
@@ -49,7 +49,7 @@
         final byte[] bytes = file(6, false);
         final int oneLength = bytes.length / 6;
         Arrays.fill(bytes, 3 * oneLength, 4 * oneLength, (byte) 0);
-        final Record.Reading reading = Record.read(bytes);
+        final LogRecord.ScanResult reading = LogRecord.read(bytes);
         assertFalse(reading.damaged());
         assertEquals(3, reading.pieces().size());
         assertArrayEquals("body 2".getBytes(), reading.pieces().get(2).body());
@@ -57,19 +57,19 @@
 
     @Test
     void aDamagedFileIsNotOpened() {
-        final SimDisk disk = new SimDisk();
+        final SimulatedDisk disk = new SimulatedDisk();
         final byte[] bytes = file(6, true);
         disk.replace("x", bytes);
         disk.damage("x", 20);
-        final Shelf shelf = new Shelf(disk, (blocking, afterwards) -> blocking.run(), "x");
-        assertEquals(Defect.Code.LEDGER_DAMAGED, assertThrows(Defect.class, shelf::open).code());
+        final AppendOnlyFile shelf = new AppendOnlyFile(disk, (blocking, afterwards) -> blocking.run(), "x");
+        assertEquals(YewjunctionException.ErrorCode.LEDGER_DAMAGED, assertThrows(YewjunctionException.class, shelf::open).code());
     }
 
     @Test
     void aRewriteStandsForAllBeforeItAndKeepsWhatComesAfter() {
-        final SimDisk disk = new SimDisk();
+        final SimulatedDisk disk = new SimulatedDisk();
         final java.util.ArrayDeque<Runnable> work = new java.util.ArrayDeque<>();
-        final Shelf shelf = new Shelf(disk, (blocking, afterwards) -> work.add(() -> {
+        final AppendOnlyFile shelf = new AppendOnlyFile(disk, (blocking, afterwards) -> work.add(() -> {
             blocking.run();
             afterwards.run();
         }), "x");
@@ -77,13 +77,13 @@
         final int[] synced = new int[1];
         shelf.append(1, new byte[] {1}, () -> synced[0]++);
         shelf.append(1, new byte[] {2}, () -> synced[0]++);
-        shelf.rewrite(java.util.List.of(new Record.Piece(1, new byte[] {9})), () -> synced[0]++);
+        shelf.rewrite(java.util.List.of(new LogRecord.Content(1, new byte[] {9})), () -> synced[0]++);
         shelf.append(1, new byte[] {3}, () -> synced[0]++);
         while (!work.isEmpty()) {
             work.poll().run();
         }
         assertEquals(4, synced[0]);
-        final Shelf again = new Shelf(disk, (blocking, afterwards) -> { }, "x");
+        final AppendOnlyFile again = new AppendOnlyFile(disk, (blocking, afterwards) -> { }, "x");
         assertEquals(java.util.List.of(9, 3), again.open().stream().map(piece -> (int) piece.body()[0]).toList());
     }
 }
--- a/src/test/java/yewjunction/ledger/ModelBudget.java
+++ b/src/test/java/yewjunction/raft/ModelBudget.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** How often a schedule may still do what is not the plain course of things. */
 final class ModelBudget {
--- a/src/test/java/yewjunction/ledger/ModelCheck.java
+++ b/src/test/java/yewjunction/raft/ModelCheck.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
--- a/src/test/java/yewjunction/ledger/ModelCheckTest.java
+++ b/src/test/java/yewjunction/raft/ModelCheckTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.io.OutputStream;
 import java.io.PrintStream;
--- a/src/test/java/yewjunction/ledger/ModelDigest.java
+++ b/src/test/java/yewjunction/raft/ModelDigest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.io.ByteArrayOutputStream;
 import java.lang.reflect.Field;
@@ -52,7 +52,7 @@
                 }
             }
         }
-        for (final ModelPost.Wire wire : world.wires) {
+        for (final ModelTransport.Connection wire : world.wires) {
             hash = mix(hash, link(wire.dialler));
             hash = mix(mix(hash, link(wire.taker)), wire.whole ? 1 : 2);
         }
@@ -61,7 +61,7 @@
         return mix(hash, Arrays.hashCode(world.budget.left));
     }
 
-    private long link(final ModelPost.End end) {
+    private long link(final ModelTransport.End end) {
         long hash = mix(mix(end.owner.number, end.far().owner.number), (end == end.wire.dialler ? 1 : 2) + (end.open ? 0 : 4));
         for (final byte[] letter : end.inbound) {
             hash = mix(hash, value(letter));
@@ -79,7 +79,7 @@
         if (object instanceof String || object instanceof Number || object instanceof Boolean) {
             return mix(5, object.hashCode());
         }
-        if (object instanceof ModelPost.End end) {
+        if (object instanceof ModelTransport.End end) {
             return link(end);
         }
         if (object instanceof ByteArrayOutputStream bytes) {
@@ -115,15 +115,15 @@
 
     /** Those that own tables are read once; all else is small and read wherever it stands. */
     private static boolean owner(final Object object) {
-        return object instanceof Ledger || object instanceof Archive || object instanceof Shelf || object instanceof Log
-            || object instanceof ModelHost.Tale || OWNERS.computeIfAbsent(object.getClass(), kind -> !kind.isHidden()
-            && Arrays.stream(kind.getDeclaredFields()).anyMatch(field -> field.getType() == Ledger.class));
+        return object instanceof RaftNode || object instanceof RaftStorage || object instanceof AppendOnlyFile || object instanceof RaftLog
+            || object instanceof ModelHost.RecordingStateMachine || OWNERS.computeIfAbsent(object.getClass(), kind -> !kind.isHidden()
+            && Arrays.stream(kind.getDeclaredFields()).anyMatch(field -> field.getType() == RaftNode.class));
     }
 
     private long fields(final Object object) {
         // The world around is digested by itself.
-        if (object instanceof ModelHost || object instanceof ModelPost || object instanceof ModelDisk || object instanceof ModelWorld
-            || object instanceof ModelMonitor || object instanceof Seating || object instanceof Enum) {
+        if (object instanceof ModelHost || object instanceof ModelTransport || object instanceof ModelDisk || object instanceof ModelWorld
+            || object instanceof ModelMonitor || object instanceof VoterPlacement || object instanceof Enum) {
             return object instanceof Enum<?> one ? one.ordinal() : 19;
         }
         if (owner(object) && met.putIfAbsent(object, true) != null) {
--- a/src/test/java/yewjunction/ledger/ModelFault.java
+++ b/src/test/java/yewjunction/raft/ModelFault.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** Faults planted around the real code, to show that the check finds them. */
 enum ModelFault {
--- a/src/test/java/yewjunction/ledger/ModelFinding.java
+++ b/src/test/java/yewjunction/raft/ModelFinding.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** A schedule that breaks an invariant, by itself or only afterwards, when all is healed. */
 record ModelFinding(ModelSetup setup, ModelFault fault, String schedule, boolean afterwards, String violation) {
--- a/src/test/java/yewjunction/ledger/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.Random;
 import java.util.TreeMap;
-import yewjunction.base.Pulse;
+import yewjunction.common.AgentContext;
 
 /** One member's machine: a clock of its own, timers, a disk, and the ledger that runs here. */
-final class ModelHost implements Pulse {
+final class ModelHost implements AgentContext {
     /** ms; how late a frozen process finds its timers: beyond every patience but that for forgetting a member. */
     private static final long FROZEN_MS = 2_600;
-    private static final Random LEAST = new Least();
+    private static final Random LEAST = new ConstantRandom();
     private static final Comparator<Timer> ORDER = Comparator.comparingLong(Timer::atMs).thenComparingLong(Timer::order);
     final ModelWorld world;
     final int number;
     final String address;
     ModelDisk disk;
-    Ledger ledger;
-    ModelPost post;
-    Tale tale;
+    RaftNode ledger;
+    ModelTransport post;
+    RecordingStateMachine tale;
     /** How often this machine has had an empty disk. */
     int wipes;
     private int drawn;
@@ -40,7 +40,7 @@
     }
 
     /** Always the least: how timers of different members follow one another is the scheduler's choice anyway. */
-    private static final class Least extends Random {
+    private static final class ConstantRandom extends Random {
         @Override
         public int nextInt(final int bound) {
             return 0;
@@ -48,7 +48,7 @@
     }
 
     /** A machine that only remembers. */
-    static final class Tale implements Machine {
+    static final class RecordingStateMachine implements StateMachine {
         final TreeMap<Long, Long> told = new TreeMap<>();
         long restoredTo;
 
@@ -90,11 +90,11 @@
         if (world.fault == ModelFault.VOTE_FORGOTTEN && disk.read("") != null) {
             forgetVotes();
         }
-        post = new ModelPost(this);
-        tale = new Tale();
-        ledger = new Ledger(7, this, post, disk, this::work, "ledger", tale);
+        post = new ModelTransport(this);
+        tale = new RecordingStateMachine();
+        ledger = new RaftNode(7, this, post, disk, this::work, "ledger", tale);
         ledger.listen();
-        ledger.electorate().seat(new Seating(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
+        ledger.electorate().seat(new VoterPlacement(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
         if (ledger.identity() == null) {
             final boolean oldName = founder || world.fault == ModelFault.OLD_NAME_AFTER_WIPE && number < world.setup.voters();
             ledger.name(address + "#" + (oldName ? "f" : "d" + drawn++));
@@ -121,10 +121,10 @@
 
     private void forgetVotes() {
         final ByteArrayOutputStream kept = new ByteArrayOutputStream();
-        for (final Record.Piece piece : Record.read(disk.read("")).pieces()) {
+        for (final LogRecord.Content piece : LogRecord.read(disk.read("")).pieces()) {
             // Kind 2 is a vote: the term stays, as it would in a file that was written without the name.
             final byte[] body = piece.kind() == 2 ? java.util.Arrays.copyOf(piece.body(), 8) : piece.body();
-            kept.writeBytes(Record.wrapBody(piece.kind(), body, 0));
+            kept.writeBytes(LogRecord.wrapBody(piece.kind(), body, 0));
         }
         disk.replace("", kept.toByteArray());
     }
--- a/src/test/java/yewjunction/ledger/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -44,8 +44,8 @@
         seen.remove(host);
     }
 
-    private static long valueOf(final Entry entry) {
-        return entry.kind == Entry.DATA ? ByteBuffer.wrap(entry.data).getLong() : java.util.Arrays.hashCode(entry.data);
+    private static long valueOf(final LogEntry entry) {
+        return entry.kind == LogEntry.DATA ? ByteBuffer.wrap(entry.data).getLong() : java.util.Arrays.hashCode(entry.data);
     }
 
     /** After each turn of a member. */
@@ -56,7 +56,7 @@
         if (!host.up()) {
             return;
         }
-        final Ledger ledger = host.ledger;
+        final RaftNode ledger = host.ledger;
         // Applied index, restored index, term led.
         final long[] last = seen.computeIfAbsent(host, key -> new long[3]);
         if (host.tale.restoredTo > last[1]) {
@@ -88,18 +88,18 @@
     }
 
     private boolean diskGone(final String voter) {
-        final ModelHost host = world.at(Ledger.address(voter));
+        final ModelHost host = world.at(RaftNode.address(voter));
         return host.wipes > 0 && !voter.equals(onDisk(host).identity);
     }
 
     private void same(final ModelHost host, final long index, final Committed committed, final long value) {
-        if (committed == null || committed.kind != Entry.DATA || committed.value != value) {
+        if (committed == null || committed.kind != LogEntry.DATA || committed.value != value) {
             violated("agreement: " + host.address + " holds " + value + " at " + index + ", committed was " + committed);
         }
     }
 
     /** True when nobody had applied it before. */
-    private boolean applied(final ModelHost host, final long index, final Entry entry) {
+    private boolean applied(final ModelHost host, final long index, final LogEntry entry) {
         final Committed known = history.get(index);
         if (known == null) {
             final long inTerm = host.ledger.archive.term;
@@ -116,7 +116,7 @@
 
     /** Whoever leads holds all that earlier terms committed. */
     private void complete(final ModelHost host) {
-        final Ledger ledger = host.ledger;
+        final RaftNode ledger = host.ledger;
         history.forEach((index, committed) -> {
             final boolean held = index <= ledger.log.baseIndex() || ledger.log.termAt(index) == committed.term;
             if (committed.inTerm < ledger.archive.term && !held) {
@@ -127,11 +127,11 @@
     }
 
     /** What is committed lies on a majority of the voters' disks as a loss of power would leave them. */
-    private void durable(final Ledger ledger, final long index, final long term) {
+    private void durable(final RaftNode ledger, final long index, final long term) {
         final List<String> voters = ledger.voters();
         int held = 0;
         for (final String voter : voters) {
-            final Archive archive = onDisk(world.at(Ledger.address(voter)));
+            final RaftStorage archive = onDisk(world.at(RaftNode.address(voter)));
             // A disk that was lost after it had taken the entry counts as one of the losses that are borne.
             held += diskGone(voter) || voter.equals(archive.identity) && holds(archive, index, term) ? 1 : 0;
         }
@@ -140,16 +140,16 @@
         }
     }
 
-    private static boolean holds(final Archive archive, final long index, final long term) {
+    private static boolean holds(final RaftStorage archive, final long index, final long term) {
         return archive.log.baseIndex() >= index || archive.log.termAt(index) == term;
     }
 
-    private static Archive onDisk(final ModelHost host) {
+    private static RaftStorage onDisk(final ModelHost host) {
         final ModelDisk copy = new ModelDisk(false);
         if (host.disk.durable() != null) {
             copy.replace("", host.disk.durable());
         }
-        return new Archive(new Shelf(copy, null, ""));
+        return new RaftStorage(new AppendOnlyFile(copy, null, ""));
     }
 
     void acknowledged(final long index, final long value) {
@@ -186,19 +186,19 @@
         return Math.max(seats, disks) <= world.setup.tolerates();
     }
 
-    private boolean whole(final Archive archive, final ModelHost host) {
+    private boolean whole(final RaftStorage archive, final ModelHost host) {
         return host.wipes == 0 || history.isEmpty() || holds(archive, history.lastKey(), history.lastEntry().getValue().term);
     }
 
     /** It votes by all disks that know any voters, and holds what was committed if it ever lost that. */
     private boolean good(final ModelHost host) {
-        final Archive archive = onDisk(host);
+        final RaftStorage archive = onDisk(host);
         if (archive.identity == null) {
             return false;
         }
         boolean votes = newestVoters.isEmpty() || newestVoters.contains(archive.identity);
         for (final ModelHost other : world.hosts) {
-            final Log log = onDisk(other).log;
+            final RaftLog log = onDisk(other).log;
             final List<String> voters = log.votersAt(log.lastIndex());
             votes &= voters.isEmpty() || voters.contains(archive.identity);
             // One that is being voted out is lost already, whatever the disks say yet.
@@ -210,7 +210,7 @@
     boolean seatsFilled() {
         final ModelHost leader = world.hosts.stream().filter(host -> host.ledger.leads()).findFirst().orElse(null);
         return leader != null && leader.ledger.voters().size() == world.setup.seats() && leader.ledger.voters().stream()
-            .allMatch(voter -> voter.equals(world.at(Ledger.address(voter)).ledger.identity()));
+            .allMatch(voter -> voter.equals(world.at(RaftNode.address(voter)).ledger.identity()));
     }
 
     List<String> standing() {
--- a/src/test/java/yewjunction/ledger/ModelPlain.java
+++ b/src/test/java/yewjunction/raft/ModelRecovery.java
@@ -1,10 +1,10 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
 /** The world without a scheduler: letters arrive, disks work, and clocks run alike. */
-final class ModelPlain {
+final class ModelRecovery {
     /** ms; a leader is there, a proposal is acknowledged and all seats are filled within this once all is well again. */
     private static final int GOES_ON_MS = 20_000;
     /** ms; from one proposal to the next. */
@@ -12,7 +12,7 @@
     private final ModelWorld world;
     private int atMs;
 
-    ModelPlain(final ModelWorld world) {
+    ModelRecovery(final ModelWorld world) {
         this.world = world;
     }
 
@@ -27,8 +27,8 @@
     /** What is under way by now arrives; answers to it do not. */
     private boolean deliver() {
         boolean any = false;
-        for (final ModelPost.Wire wire : List.copyOf(world.wires)) {
-            for (final ModelPost.End end : List.of(wire.taker, wire.dialler)) {
+        for (final ModelTransport.Connection wire : List.copyOf(world.wires)) {
+            for (final ModelTransport.End end : List.of(wire.taker, wire.dialler)) {
                 for (int count = end.inbound.size(); count > 0 && !end.inbound.isEmpty(); count--) {
                     end.deliver();
                     world.monitor.look(end.owner);
@@ -36,7 +36,7 @@
                 }
             }
         }
-        world.wires.removeIf(ModelPost.Wire::over);
+        world.wires.removeIf(ModelTransport.Connection::over);
         return any;
     }
 
--- a/src/test/java/yewjunction/ledger/ModelStates.java
+++ b/src/test/java/yewjunction/raft/ModelStates.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** The digests of all states met so far, in stripes that several threads may add to. */
 final class ModelStates {
--- a/src/test/java/yewjunction/ledger/ModelPost.java
+++ b/src/test/java/yewjunction/raft/ModelTransport.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,34 +7,34 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import yewjunction.base.Codec;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
 
 /** Links whose letters, encoded as on the wire, wait until the scheduler delivers them or breaks the link. */
-final class ModelPost implements Post {
-    private static final ThreadLocal<Codec> CODECS = ThreadLocal.withInitial(() -> {
-        final Codec codec = new Codec();
-        Letters.know(codec);
+final class ModelTransport implements PeerTransport {
+    private static final ThreadLocal<MessageCodec> CODECS = ThreadLocal.withInitial(() -> {
+        final MessageCodec codec = new MessageCodec();
+        RaftMessages.know(codec);
         return codec;
     });
     /** In the place of a letter: the link is gone. */
     static final byte[] CLOSE = new byte[0];
     private final ModelHost host;
-    private final Map<Class<?>, BiConsumer<Link, Object>> handlers = new HashMap<>();
-    private final List<Consumer<Link>> closers = new ArrayList<>();
+    private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
+    private final List<Consumer<PeerConnection>> closers = new ArrayList<>();
 
-    ModelPost(final ModelHost host) {
+    ModelTransport(final ModelHost host) {
         this.host = host;
     }
 
     /** One dialled connection, both directions of it. */
-    static final class Wire {
+    static final class Connection {
         final End dialler;
         final End taker;
         boolean whole = true;
 
-        Wire(final ModelHost from, final ModelHost to) {
+        Connection(final ModelHost from, final ModelHost to) {
             dialler = new End(this, from, to.address);
             taker = new End(this, to, from.address);
         }
@@ -56,15 +56,15 @@
     }
 
     /** One side of a link. */
-    static final class End implements Link {
-        final Wire wire;
+    static final class End implements PeerConnection {
+        final Connection wire;
         final ModelHost owner;
         private final String remote;
         /** What is on its way to this side. */
         final ArrayDeque<byte[]> inbound = new ArrayDeque<>();
         boolean open = true;
 
-        End(final Wire wire, final ModelHost owner, final String remote) {
+        End(final Connection wire, final ModelHost owner, final String remote) {
             this.wire = wire;
             this.owner = owner;
             this.remote = remote;
@@ -120,7 +120,7 @@
     }
 
     private void take(final End end, final Object letter) {
-        if (host.world.fault == ModelFault.ROUND_MADE_UP && letter instanceof Letters.AppendAnswer answer) {
+        if (host.world.fault == ModelFault.ROUND_MADE_UP && letter instanceof RaftMessages.AppendEntriesResponse answer) {
             answer.round += 1;
         }
         handlers.get(letter.getClass()).accept(end, letter);
@@ -128,7 +128,7 @@
 
     /** The process is gone: what it sent may still arrive, what is on its way to it does not. */
     void died() {
-        for (final Wire wire : host.world.wires) {
+        for (final Connection wire : host.world.wires) {
             final End own = wire.dialler.owner == host ? wire.dialler : wire.taker.owner == host ? wire.taker : null;
             if (own != null && own.open) {
                 own.open = false;
@@ -139,18 +139,18 @@
                 wire.whole = false;
             }
         }
-        host.world.wires.removeIf(Wire::over);
+        host.world.wires.removeIf(Connection::over);
     }
 
     @Override
-    public Link dial(final String address) {
-        for (final Wire wire : host.world.wires) {
+    public PeerConnection dial(final String address) {
+        for (final Connection wire : host.world.wires) {
             if (wire.dialler.owner == host && wire.dialler.open && wire.taker.owner.address.equals(address)) {
                 return wire.dialler;
             }
         }
         final ModelHost target = host.world.at(address);
-        final Wire wire = new Wire(host, target);
+        final Connection wire = new Connection(host, target);
         host.world.wires.add(wire);
         if (!target.up()) {
             wire.whole = false;
@@ -161,12 +161,12 @@
     }
 
     @Override
-    public <T> void on(final Class<T> kind, final BiConsumer<Link, T> handler) {
+    public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
         handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
     }
 
     @Override
-    public void onClose(final Consumer<Link> handler) {
+    public void onClose(final Consumer<PeerConnection> handler) {
         closers.add(handler);
     }
 }
--- a/src/test/java/yewjunction/ledger/ModelViolation.java
+++ b/src/test/java/yewjunction/raft/ModelViolation.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 /** An invariant that does not hold; the text begins with which. */
 final class ModelViolation extends RuntimeException {
--- a/src/test/java/yewjunction/ledger/ModelWalks.java
+++ b/src/test/java/yewjunction/raft/ModelWalks.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.Random;
 
@@ -33,7 +33,7 @@
     private void count(final ModelWorld world) {
         terms += world.monitor.leaders.size();
         acknowledged += world.monitor.acknowledgements();
-        voterChanges += world.monitor.history.values().stream().filter(one -> one.kind() == Entry.VOTERS).count();
+        voterChanges += world.monitor.history.values().stream().filter(one -> one.kind() == LogEntry.VOTERS).count();
         wipes += world.hosts.stream().mapToInt(host -> host.wipes).sum();
     }
 
--- a/src/test/java/yewjunction/ledger/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -1,20 +1,20 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.function.Supplier;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
-import static yewjunction.ledger.ModelStep.of;
+import static yewjunction.raft.ModelStep.of;
 
 /** The members of one group and everything between them; moves only by the scheduler's steps. */
 final class ModelWorld {
     final ModelSetup setup;
     final ModelFault fault;
     final List<ModelHost> hosts = new ArrayList<>();
-    final List<ModelPost.Wire> wires = new ArrayList<>();
+    final List<ModelTransport.Connection> wires = new ArrayList<>();
     final ModelMonitor monitor = new ModelMonitor(this);
     ModelBudget budget;
     /** Letters so far, whether they arrive or not. */
@@ -52,7 +52,7 @@
     /** All that may happen next. */
     String enabled() {
         final StringBuilder steps = new StringBuilder();
-        for (final ModelPost.Wire wire : wires) {
+        for (final ModelTransport.Connection wire : wires) {
             final int from = wire.dialler.owner.number;
             final int to = wire.taker.owner.number;
             if (!wire.taker.inbound.isEmpty()) {
@@ -100,9 +100,9 @@
     }
 
     /** Which of several links between the same two, dialled by the same one: an end may not know yet that it is dead. */
-    private int place(final ModelPost.Wire wire) {
+    private int place(final ModelTransport.Connection wire) {
         int place = 0;
-        for (final ModelPost.Wire other : wires) {
+        for (final ModelTransport.Connection other : wires) {
             if (other == wire) {
                 return place;
             }
@@ -111,9 +111,9 @@
         throw new IllegalStateException("no such link");
     }
 
-    private ModelPost.Wire wire(final int dialler, final int taker, final int place) {
+    private ModelTransport.Connection wire(final int dialler, final int taker, final int place) {
         int at = 0;
-        for (final ModelPost.Wire wire : wires) {
+        for (final ModelTransport.Connection wire : wires) {
             if (wire.dialler.owner.number == dialler && wire.taker.owner.number == taker && at++ == place) {
                 return wire;
             }
@@ -125,7 +125,7 @@
         final ModelHost host = hosts.get(ModelStep.member(step));
         budget.spend(ModelStep.kind(step));
         final ModelHost acted = guarded(ModelStep.text(step), () -> turn(step, host));
-        wires.removeIf(ModelPost.Wire::over);
+        wires.removeIf(ModelTransport.Connection::over);
         monitor.look(acted);
     }
 
@@ -133,7 +133,7 @@
     private static <T> T guarded(final String what, final Supplier<T> turn) {
         try {
             return turn.get();
-        } catch (final IllegalStateException | IndexOutOfBoundsException | NullPointerException | Defect defect) {
+        } catch (final IllegalStateException | IndexOutOfBoundsException | NullPointerException | YewjunctionException defect) {
             throw new ModelViolation("the code's own invariant: " + what + ": " + defect);
         }
     }
@@ -145,7 +145,7 @@
         }
     }
 
-    private static void deliver(final ModelPost.End end, final char step) {
+    private static void deliver(final ModelTransport.End end, final char step) {
         possible(!end.inbound.isEmpty(), step);
         end.deliver();
     }
@@ -184,7 +184,7 @@
                 host.runCommands();
             }
             case ModelStep.LEAVE -> host.leave();
-            default -> new ModelPlain(this).drain();
+            default -> new ModelRecovery(this).drain();
         }
         return acted;
     }
@@ -214,7 +214,7 @@
         hosts.stream().filter(host -> host.leaving && host.up()).forEach(host -> host.stop(ModelDisk.LOST));
         hosts.stream().filter(host -> !host.up()).forEach(this::boot);
         guarded("in plain time", () -> {
-            new ModelPlain(this).goesOn();
+            new ModelRecovery(this).goesOn();
             return null;
         });
     }
--- a/src/test/java/yewjunction/ledger/LedgerSim.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -8,24 +8,24 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import yewjunction.sim.Host;
-import yewjunction.sim.SimPost;
-import yewjunction.sim.World;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedTransport;
+import yewjunction.simulation.SimulatedNetwork;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Three members on simulated machines, a steady load, and what must hold at every moment. */
-class LedgerSim {
+class RaftSimulation {
     static final List<String> SPARES = List.of("a:2", "a:3", "b:2", "d:1", "d:2");
     final List<String> addresses = List.of("a:1", "b:1", "c:1");
-    final Map<String, Ledger> ledgers = new TreeMap<>();
-    final Map<String, Tale> tales = new HashMap<>();
+    final Map<String, RaftNode> ledgers = new TreeMap<>();
+    final Map<String, RecordingStateMachine> tales = new HashMap<>();
     /** What any member applied at an index, over the whole run. */
     private final Map<Long, Long> history = new TreeMap<>();
     final Set<Long> acknowledged = new HashSet<>();
     private final Map<Long, String> leaders = new HashMap<>();
-    World world;
+    SimulatedNetwork world;
     /** Addresses that are to hold no vote. */
     final Map<String, Boolean> leaving = new TreeMap<>();
     /** The planted fault: addresses that nobody asks who leads, as if only a former leader were known. */
@@ -42,7 +42,7 @@
     private int drawn;
 
     /** A machine that only remembers. */
-    final class Tale implements Machine {
+    final class RecordingStateMachine implements StateMachine {
         final TreeMap<Long, Long> told = new TreeMap<>();
         private long last;
 
@@ -82,13 +82,13 @@
     }
 
     void boot(final String address, final boolean founder) {
-        final Host host = world.host(address);
-        final SimPost post = host.boot();
+        final SimulatedHost host = world.host(address);
+        final SimulatedTransport post = host.boot();
         host.tampering = tampering;
-        final Tale tale = new Tale();
-        final Ledger ledger = new Ledger(7, host, post, host.disk, host.clerk(), "ledger", tale);
+        final RecordingStateMachine tale = new RecordingStateMachine();
+        final RaftNode ledger = new RaftNode(7, host, post, host.disk, host.clerk(), "ledger", tale);
         ledger.listen();
-        ledger.electorate().seat(new Seating(3, leaving::keySet, one -> one.substring(0, 1)));
+        ledger.electorate().seat(new VoterPlacement(3, leaving::keySet, one -> one.substring(0, 1)));
         if (ledger.identity() == null) {
             ledger.name(address + "#" + (founder ? "founder" : "drawn" + drawn++));
             if (founder) {
@@ -103,12 +103,12 @@
     }
 
     void begin(final long seed) {
-        world = new World(seed);
+        world = new SimulatedNetwork(seed);
         addresses.forEach(address -> boot(address, true));
         world.every(7, () -> {
             final List<String> all = List.copyOf(ledgers.keySet());
-            final Ledger ledger = ledgers.get(all.get(world.luck.nextInt(all.size())));
-            if (!quiet && world.host(Ledger.address(ledger.identity())).up() && ledger.leads()) {
+            final RaftNode ledger = ledgers.get(all.get(world.luck.nextInt(all.size())));
+            if (!quiet && world.host(RaftNode.address(ledger.identity())).up() && ledger.leads()) {
                 final long value = ++proposed;
                 ledger.propose(ByteBuffer.allocate(8).putLong(value).array(), done -> {
                     if (done) {
@@ -116,8 +116,8 @@
                     }
                 });
             }
-            for (final Ledger one : ledgers.values()) {
-                if (one.leadsTerm() && world.host(Ledger.address(one.identity())).up()) {
+            for (final RaftNode one : ledgers.values()) {
+                if (one.leadsTerm() && world.host(RaftNode.address(one.identity())).up()) {
                     final String known = leaders.putIfAbsent(one.archive.term, one.identity());
                     assertTrue(known == null || known.equals(one.identity()), "two leaders in term " + one.archive.term);
                 }
@@ -133,8 +133,8 @@
         world.runFor(3_000);
     }
 
-    Ledger leader() {
-        return ledgers.values().stream().filter(one -> world.host(Ledger.address(one.identity())).up() && one.leads())
+    RaftNode leader() {
+        return ledgers.values().stream().filter(one -> world.host(RaftNode.address(one.identity())).up() && one.leads())
             .findFirst().orElse(null);
     }
 
--- a/src/test/java/yewjunction/ledger/LedgerSimTest.java
+++ b/src/test/java/yewjunction/raft/RaftSimulationTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.sim.Host;
+import yewjunction.simulation.SimulatedHost;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Three members under random kills, losses of power, wiped disks, cuts and hand-overs. */
-class LedgerSimTest extends LedgerSim {
+class RaftSimulationTest extends RaftSimulation {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
     void nothingAcknowledgedIsLostUnderOneLossAtATime(final long seed) {
@@ -56,9 +56,9 @@
     void aWipedMemberNeverVotesUnderItsOldName() {
         begin(42);
         assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-        final String victim = Ledger.address(leader().identity());
+        final String victim = RaftNode.address(leader().identity());
         // The leader loses its disk while one other loses power: one disk alone holds the newest entries for sure.
-        final Host wiped = world.host(victim);
+        final SimulatedHost wiped = world.host(victim);
         wiped.powerOff();
         wiped.wipe();
         final String other = addresses.stream().filter(one -> !one.equals(victim)).findFirst().orElseThrow();
@@ -78,7 +78,7 @@
         begin(5);
         assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
         world.loss = 0;
-        final Ledger old = leader();
+        final RaftNode old = leader();
         final long startMs = world.nowMs();
         old.electorate().handOver(() -> { });
         assertTrue(world.runUntil(() -> leader() != null && leader() != old, 2_000));
@@ -90,9 +90,9 @@
         begin(11);
         assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
         world.loss = 0;
-        final Ledger old = leader();
+        final RaftNode old = leader();
         final long startMs = world.nowMs();
-        world.host(Ledger.address(old.identity())).kill();
+        world.host(RaftNode.address(old.identity())).kill();
         assertTrue(world.runUntil(() -> leader() != null, 5_000));
         assertTrue(world.nowMs() - startMs < 450, "took " + (world.nowMs() - startMs) + " ms");
     }
@@ -102,10 +102,10 @@
         begin(12);
         assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
         world.loss = 0;
-        final String slow = Ledger.address(leader().identity());
+        final String slow = RaftNode.address(leader().identity());
         // Every piece to or from this machine takes far longer than a beat.
         world.drag(slow, 150);
-        assertTrue(world.runUntil(() -> leader() != null && !Ledger.address(leader().identity()).equals(slow), 10_000));
+        assertTrue(world.runUntil(() -> leader() != null && !RaftNode.address(leader().identity()).equals(slow), 10_000));
         final String next = leader().identity();
         world.runFor(8_000);
         assertEquals(next, leader().identity());
--- a/src/test/java/yewjunction/ledger/RoundsTest.java
+++ b/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.ledger.Letters.Append;
-import yewjunction.ledger.Letters.AppendAnswer;
+import yewjunction.raft.RaftMessages.AppendEntriesRequest;
+import yewjunction.raft.RaftMessages.AppendEntriesResponse;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,32 +16,32 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Who leads is confirmed only by answers to questions of this very leadership that were asked after. */
-class RoundsTest extends LedgerSim {
-    private final Map<String, Append> appends = new HashMap<>();
-    private final List<AppendAnswer> answers = new ArrayList<>();
+class ReadIndexRequestsTest extends RaftSimulation {
+    private final Map<String, AppendEntriesRequest> appends = new HashMap<>();
+    private final List<AppendEntriesResponse> answers = new ArrayList<>();
 
-    private Ledger lead(final String address) {
+    private RaftNode lead(final String address) {
         assertTrue(world.runUntil(() -> {
-            if (leader() != null && !Ledger.address(leader().identity()).equals(address)) {
+            if (leader() != null && !RaftNode.address(leader().identity()).equals(address)) {
                 leader().electorate().handOver(() -> { });
             }
-            return leader() != null && Ledger.address(leader().identity()).equals(address);
+            return leader() != null && RaftNode.address(leader().identity()).equals(address);
         }, 60_000), address + " never led");
         return leader();
     }
 
     /** One that led, lost the lead, and leads again, in the same life; what its followers heard and said is kept. */
-    private Ledger again(final long seed) {
+    private RaftNode again(final long seed) {
         begin(seed);
         world.loss = 0;
-        final Ledger first = lead("a:1");
+        final RaftNode first = lead("a:1");
         world.host("a:1").tampering = letter -> {
-            if (letter instanceof AppendAnswer answer) {
+            if (letter instanceof AppendEntriesResponse answer) {
                 answers.add(answer);
             }
         };
         List.of("b:1", "c:1").forEach(address -> world.host(address).tampering = letter -> {
-            if (letter instanceof Append append && append.round > 0) {
+            if (letter instanceof AppendEntriesRequest append && append.round > 0) {
                 appends.put(address, append);
             }
         });
@@ -56,8 +56,8 @@
         return first;
     }
 
-    private void late(final Ledger leader, final String from, final long round) {
-        final AppendAnswer answer = new AppendAnswer();
+    private void late(final RaftNode leader, final String from, final long round) {
+        final AppendEntriesResponse answer = new AppendEntriesResponse();
         answer.from = ledgers.get(from).identity();
         answer.term = leader.archive.term;
         answer.accepted = true;
@@ -66,13 +66,13 @@
     }
 
     /** Asks, and lets in only late answers to appends, as many as there were: what then is said of the lead. */
-    private List<Boolean> saidAfterLateAnswers(final Ledger leader, final long ahead) {
+    private List<Boolean> saidAfterLateAnswers(final RaftNode leader, final long ahead) {
         final List<Boolean> said = new ArrayList<>();
         world.cut("a:1", "b:1");
         world.cut("a:1", "c:1");
         leader.confirm(said::add);
-        for (final AppendAnswer answer : answers) {
-            late(leader, Ledger.address(answer.from), answer.round + ahead);
+        for (final AppendEntriesResponse answer : answers) {
+            late(leader, RaftNode.address(answer.from), answer.round + ahead);
         }
         return List.copyOf(said);
     }
@@ -94,19 +94,19 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aRoundIsRepeatedInItsOwnTermOnly(final long seed) {
-        final Ledger leader = again(seed);
-        final List<AppendAnswer> told = new ArrayList<>();
+        final RaftNode leader = again(seed);
+        final List<AppendEntriesResponse> told = new ArrayList<>();
         world.host("a:1").tampering = letter -> {
-            if (letter instanceof AppendAnswer answer) {
+            if (letter instanceof AppendEntriesResponse answer) {
                 told.add(answer);
             }
         };
-        final Append old = appends.get("c:1");
+        final AppendEntriesRequest old = appends.get("c:1");
         old.from = leader.identity();
         old.to = 0;
         ledgers.get("c:1").following.append(ledgers.get("c:1").post.dial("a:1"), old);
         world.runFor(50);
-        final List<AppendAnswer> refusals = told.stream().filter(answer -> !answer.accepted).toList();
+        final List<AppendEntriesResponse> refusals = told.stream().filter(answer -> !answer.accepted).toList();
         assertFalse(refusals.isEmpty());
         refusals.forEach(answer -> {
             assertEquals(leader.archive.term, answer.term);
--- a/src/test/java/yewjunction/ledger/SnapshotPiecesTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotChunksTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import org.junit.jupiter.api.Test;
 
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Pieces are put together only with pieces of the same snapshot, and nothing that is here already is given up for one. */
-class SnapshotPiecesTest extends SnapshotSim {
+class SnapshotChunksTest extends SnapshotSimulation {
     /** A second snapshot of the same index, since nothing is proposed, and with other bytes: the clock is in it. */
     private boolean twoOfOneIndex() {
         beginNarrow(9, 3 << 20, 0);
@@ -32,10 +32,10 @@
         // As it was: only the index tells them apart.
         final long[] number = new long[1];
         tampering = letter -> {
-            if (letter instanceof Letters.Image image) {
+            if (letter instanceof RaftMessages.InstallSnapshotRequest image) {
                 number[0] = Math.max(number[0], image.number);
                 image.number = 1;
-            } else if (letter instanceof Letters.ImageAnswer answer) {
+            } else if (letter instanceof RaftMessages.InstallSnapshotResponse answer) {
                 answer.number = number[0];
             }
         };
@@ -46,19 +46,19 @@
     void whatLiesBehindTheSnapshotStaysWithWhoeverHasIt() {
         begin(10);
         assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-        final Ledger follower = ledgers.values().stream().filter(one -> !one.leadsTerm()).findFirst().orElseThrow();
+        final RaftNode follower = ledgers.values().stream().filter(one -> !one.leadsTerm()).findFirst().orElseThrow();
         assertTrue(world.runUntil(() -> follower.log.lastIndex() > follower.commit() + 1, 10_000));
         final long last = follower.log.lastIndex();
-        final Letters.Image image = new Letters.Image();
+        final RaftMessages.InstallSnapshotRequest image = new RaftMessages.InstallSnapshotRequest();
         image.from = leader().identity();
         image.term = leader().archive.term;
         image.lastIndex = follower.commit() + 1;
         image.lastTerm = follower.log.termAt(image.lastIndex);
         image.number = 1;
         // All of it in one piece: to be installed, were the entries not here.
-        image.piece = tales.get(Ledger.address(leader().identity())).snapshot();
+        image.piece = tales.get(RaftNode.address(leader().identity())).snapshot();
         image.length = image.piece.length;
-        follower.following.image(follower.post.dial(Ledger.address(image.from)), image);
+        follower.following.image(follower.post.dial(RaftNode.address(image.from)), image);
         assertEquals(last, follower.log.lastIndex(), "entries that may have been acknowledged are gone");
         assertEquals(image.lastIndex, follower.commit());
     }
--- a/src/test/java/yewjunction/ledger/SnapshotSim.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulation.java
@@ -1,11 +1,11 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.nio.ByteBuffer;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Members with large states behind narrow links. */
-class SnapshotSim extends LedgerSim {
+class SnapshotSimulation extends RaftSimulation {
     /** Bytes a second of a link of 2 Mbit/s. */
     static final long NARROW = 250_000;
     private long loaded;
--- a/src/test/java/yewjunction/ledger/SnapshotSimTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -8,11 +8,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.base.Limits.LEDGER_BYTES;
-import static yewjunction.base.Limits.LEDGER_TAIL_ENTRIES;
+import static yewjunction.common.Limits.LEDGER_BYTES;
+import static yewjunction.common.Limits.LEDGER_TAIL_ENTRIES;
 
 /** Members far behind, links that are narrow, and a load that goes on: a snapshot once begun is finished. */
-class SnapshotSimTest extends SnapshotSim {
+class SnapshotSimulationTest extends SnapshotSimulation {
     private static final List<String> LATE = List.of("d:1", "e:1");
 
     private boolean caughtUp(final String address) {
@@ -55,12 +55,12 @@
         rewrittenMeanwhile(2);
         assertTrue(world.runUntil(() -> leader() != null && leader().log.baseIndex() > 0, 60_000), "never rewritten");
         assertFalse(caughtUp("d:1"), "caught up before the log was cut");
-        final Ledger cutting = leader();
+        final RaftNode cutting = leader();
         assertTrue(cutting.applied() - cutting.log.baseIndex() > LEDGER_TAIL_ENTRIES, "no more than the usual tail is kept");
         assertTrue(world.runUntil(() -> caughtUp("d:1"), 120_000), "not caught up");
         // What was kept lies in the rewritten file, too.
         final long base = cutting.log.baseIndex();
-        final String address = Ledger.address(cutting.identity());
+        final String address = RaftNode.address(cutting.identity());
         world.host(address).powerOff();
         boot(address, false);
         assertEquals(base, ledgers.get(address).log.baseIndex());
@@ -78,7 +78,7 @@
     }
 
     /** A member that holds a part of its snapshot. */
-    private Ledger halfWay(final long seed) {
+    private RaftNode halfWay(final long seed) {
         beginNarrow(seed, 3 << 20, 0);
         boot("d:1", false);
         world.runFor(8_000);
@@ -119,15 +119,15 @@
 
     @Test
     void aSenderThatDiesIsFollowedByOneThatBeginsAnew() {
-        final Ledger sender = halfWay(5);
+        final RaftNode sender = halfWay(5);
         final int built = snapshots;
-        world.host(Ledger.address(sender.identity())).kill();
+        world.host(RaftNode.address(sender.identity())).kill();
         finishes(built + 1);
     }
 
     @Test
     void aReceiverWhoseDiskIsLostIsAnotherOne() {
-        final Ledger sender = halfWay(6);
+        final RaftNode sender = halfWay(6);
         final int built = snapshots;
         final String before = ledgers.get("d:1").identity();
         world.host("d:1").powerOff();
@@ -181,7 +181,7 @@
         begin(12);
         assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
         world.loss = 0;
-        final String away = addresses.stream().filter(one -> !one.equals(Ledger.address(leader().identity()))).findFirst().orElseThrow();
+        final String away = addresses.stream().filter(one -> !one.equals(RaftNode.address(leader().identity()))).findFirst().orElseThrow();
         addresses.forEach(one -> world.cut(away, one));
         for (int i = 0; i < 3_000; i++) {
             propose(2_000);
--- a/src/test/java/yewjunction/ledger/TurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -8,19 +8,19 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.Callable;
-import yewjunction.base.Pulse;
+import yewjunction.common.AgentContext;
 import yewjunction.settings.Settings;
-import yewjunction.sim.World;
-import yewjunction.vault.Cellar;
-import yewjunction.vault.Message;
+import yewjunction.simulation.SimulatedNetwork;
+import yewjunction.store.MessageStore;
+import yewjunction.store.StoredMessage;
 
-import static yewjunction.base.ControlLimits.CATCH_UP_BYTES;
+import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
 
 /** Prints what the owner's turn costs in which a vault's snapshot is built and its file is rewritten: ms of a thread's processor. */
-final class TurnCost {
-    private static final Schema<Message> MESSAGES = RuntimeSchema.getSchema(Message.class);
+final class SnapshotTurnCost {
+    private static final Schema<StoredMessage> MESSAGES = RuntimeSchema.getSchema(StoredMessage.class);
 
-    private TurnCost() {
+    private SnapshotTurnCost() {
     }
 
     private static <T> T timed(final String what, final Callable<T> step) throws Exception {
@@ -36,13 +36,13 @@
     public static void main(final String[] words) throws Exception {
         final int messages = Integer.parseInt(words[0]);
         final int bodyBytes = Integer.parseInt(words[1]);
-        final World world = new World(1);
-        final Pulse pulse = world.host("10.1.1.1:7000");
+        final SimulatedNetwork world = new SimulatedNetwork(1);
+        final AgentContext pulse = world.host("10.1.1.1:7000");
         final Settings settings = new Settings("n", "vault", List.of("vault"), "10.1.1.1", "z", "10.1.1.1:8022", "10.1.1.1:8029",
             "10.1.1.1:8024", 7000, 7015, List.of(), true, "/data", 1, 2, 5, 0.1, 20, 260);
-        final Cellar cellar = new Cellar(pulse, new Cellar.Watcher() {
+        final MessageStore cellar = new MessageStore(pulse, new MessageStore.Listener() {
             @Override
-            public boolean admittedHere(final Message message) {
+            public boolean admittedHere(final StoredMessage message) {
                 return true;
             }
 
@@ -55,7 +55,7 @@
             }
         }, settings);
         final byte[][] snapshot = new byte[1][];
-        final Machine machine = new Machine() {
+        final StateMachine machine = new StateMachine() {
             @Override
             public void apply(final long index, final byte[] data) {
                 cellar.apply(index, data);
@@ -78,7 +78,7 @@
         };
         final Random luck = new Random(1);
         for (int i = 1; i <= messages; i++) {
-            final Message message = new Message();
+            final StoredMessage message = new StoredMessage();
             message.topic = "topic-" + i % 400;
             message.client = "client-" + i % 300;
             message.number = i;
@@ -89,7 +89,7 @@
         }
         for (int round = 0; round < 5; round++) {
             // The disk's own time is another thread's: left out.
-            final Ledger ledger = new Ledger(1, pulse, null, new PassingDisk(), (blocking, afterwards) -> afterwards.run(), "x" + round, machine);
+            final RaftNode ledger = new RaftNode(1, pulse, null, new InMemoryDisk(), (blocking, afterwards) -> afterwards.run(), "x" + round, machine);
             ledger.name("a:1#x");
             // Founding writes the state as a rewrite does: a snapshot and a whole file.
             timed("turn in all", () -> {
@@ -99,7 +99,7 @@
             System.out.println("snapshot bytes " + snapshot[0].length);
             // What is kept at most for a member that catches up is written again with it.
             for (int i = 1; i <= CATCH_UP_BYTES / (bodyBytes + 60); i++) {
-                ledger.archive.append(List.of(new Entry(i, 1, Entry.DATA, new byte[bodyBytes + 60])), () -> { });
+                ledger.archive.append(List.of(new LogEntry(i, 1, LogEntry.DATA, new byte[bodyBytes + 60])), () -> { });
             }
             timed("kept tail of " + ledger.log.lastIndex(), () -> {
                 ledger.archive.rewrite(0, new byte[0], () -> { });
--- a/src/test/java/yewjunction/ledger/StoredDataFixture.java
+++ b/src/test/java/yewjunction/raft/StoredDataFixture.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,8 +6,8 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Arrays;
 import java.util.List;
-import yewjunction.charter.ControlStateFixture;
-import yewjunction.vault.StoreStateFixture;
+import yewjunction.control.ControlStateFixture;
+import yewjunction.store.StoreStateFixture;
 
 /**
  * Writes the data folders of a control node and of a store node: an identity, votes, entries, a cut, a file rewritten with a
@@ -31,8 +31,8 @@
         write(folder.resolve("store"), "messages", StoreStateFixture.machine(), StoreStateFixture.commands());
     }
 
-    private static void write(final Path folder, final String name, final Machine machine, final List<byte[]> commands) throws IOException {
-        final Archive archive = open(folder, name);
+    private static void write(final Path folder, final String name, final StateMachine machine, final List<byte[]> commands) throws IOException {
+        final RaftStorage archive = open(folder, name);
         archive.saveIdentity(IDENTITY, () -> { });
         archive.saveVote(3, "10.0.0.5:7000#y", () -> { });
         archive.log.reset(0, 0, FIRST_VOTERS);
@@ -40,27 +40,27 @@
         long index = 0;
         final int inSnapshot = commands.size() / 2;
         for (final byte[] command : commands.subList(0, inSnapshot)) {
-            archive.append(List.of(new Entry(++index, 3, Entry.DATA, command)), () -> { });
+            archive.append(List.of(new LogEntry(++index, 3, LogEntry.DATA, command)), () -> { });
             machine.apply(index, command);
         }
         archive.saveVote(4, IDENTITY, () -> { });
-        archive.append(List.of(new Entry(index + 1, 3, Entry.DATA, new byte[] {1})), () -> { });
+        archive.append(List.of(new LogEntry(index + 1, 3, LogEntry.DATA, new byte[] {1})), () -> { });
         archive.cutFrom(index + 1);
         archive.log.dropTo(index - 1);
         archive.rewrite(index, machine.snapshot(), () -> { });
         for (final byte[] command : commands.subList(inSnapshot, commands.size())) {
-            archive.append(List.of(new Entry(++index, 4, Entry.DATA, command)), () -> { });
+            archive.append(List.of(new LogEntry(++index, 4, LogEntry.DATA, command)), () -> { });
         }
-        archive.append(List.of(new Entry(++index, 4, Entry.VOTERS, Archive.votersData(LAST_VOTERS))), () -> { });
-        archive.append(List.of(new Entry(++index, 5, Entry.NOTHING, new byte[0])), () -> { });
+        archive.append(List.of(new LogEntry(++index, 4, LogEntry.VOTERS, RaftStorage.votersData(LAST_VOTERS))), () -> { });
+        archive.append(List.of(new LogEntry(++index, 5, LogEntry.NOTHING, new byte[0])), () -> { });
         final Path file = folder.resolve(name);
         final long length = Files.size(file);
-        final byte[] torn = Record.wrapBody(3, new byte[] {1, 2, 3}, length);
+        final byte[] torn = LogRecord.wrapBody(3, new byte[] {1, 2, 3}, length);
         Files.write(file, Arrays.copyOf(torn, TORN_BYTES), StandardOpenOption.APPEND);
     }
 
-    static Archive open(final Path folder, final String name) {
-        return new Archive(new Shelf(new LocalDisk(folder), (blocking, afterwards) -> {
+    static RaftStorage open(final Path folder, final String name) {
+        return new RaftStorage(new AppendOnlyFile(new LocalDisk(folder), (blocking, afterwards) -> {
             blocking.run();
             afterwards.run();
         }, name));
--- a/src/test/java/yewjunction/ledger/StoredDataTest.java
+++ b/src/test/java/yewjunction/raft/StoredDataTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewjunction.charter.ControlStateFixture;
-import yewjunction.vault.StoreStateFixture;
+import yewjunction.control.ControlStateFixture;
+import yewjunction.store.StoreStateFixture;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,22 +19,22 @@
     @TempDir
     Path folder;
 
-    private void opens(final String node, final String name, final Machine machine, final List<byte[]> commands,
-            final Consumer<Machine> complete) throws IOException {
+    private void opens(final String node, final String name, final StateMachine machine, final List<byte[]> commands,
+            final Consumer<StateMachine> complete) throws IOException {
         final Path file = folder.resolve(name);
         Files.copy(Path.of("src/test/resources/stored-data", node, name), file);
         final long written = Files.size(file);
-        final Health health = Health.look(folder).get(0);
+        final StorageInspection health = StorageInspection.look(folder).get(0);
         assertFalse(health.damaged());
         assertEquals(written - StoredDataFixture.TORN_BYTES, health.goodBytes());
 
-        final Archive archive = StoredDataFixture.open(folder, name);
+        final RaftStorage archive = StoredDataFixture.open(folder, name);
         assertEquals(written - StoredDataFixture.TORN_BYTES, Files.size(file));
         assertEquals(StoredDataFixture.IDENTITY, archive.identity);
         assertEquals(4, archive.term);
         assertEquals(StoredDataFixture.IDENTITY, archive.votedFor);
         final int inSnapshot = commands.size() / 2;
-        final Log log = archive.log;
+        final RaftLog log = archive.log;
         assertEquals(inSnapshot, archive.stateIndex());
         assertEquals(inSnapshot - 1, log.baseIndex());
         assertEquals(3, log.termAt(log.baseIndex()));
@@ -42,13 +42,13 @@
         assertEquals(5, log.lastTerm());
         assertEquals(StoredDataFixture.FIRST_VOTERS, log.votersAt(commands.size()));
         assertEquals(StoredDataFixture.LAST_VOTERS, log.votersAt(log.lastIndex()));
-        assertEquals(Entry.VOTERS, log.get(commands.size() + 1).kind);
-        assertEquals(Entry.NOTHING, log.get(commands.size() + 2).kind);
+        assertEquals(LogEntry.VOTERS, log.get(commands.size() + 1).kind);
+        assertEquals(LogEntry.NOTHING, log.get(commands.size() + 2).kind);
 
         machine.restore(archive.stateIndex(), archive.takeState());
         for (int index = inSnapshot + 1; index <= commands.size(); index++) {
-            final Entry entry = log.get(index);
-            assertEquals(Entry.DATA, entry.kind);
+            final LogEntry entry = log.get(index);
+            assertEquals(LogEntry.DATA, entry.kind);
             assertEquals(4, entry.term);
             assertArrayEquals(commands.get(index - 1), entry.data);
             machine.apply(index, entry.data);
--- a/src/test/java/yewjunction/ledger/SeatingSimTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Three seats and more machines than that: who sits in them when machines go for good, fall silent or stall. */
-class SeatingSimTest extends LedgerSim {
+class VoterPlacementSimulationTest extends RaftSimulation {
     private void beginWith(final long seed, final String... spares) {
         begin(seed);
         assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
@@ -20,7 +20,7 @@
     }
 
     private List<String> voters() {
-        return leader() == null ? List.of() : leader().voters().stream().map(Ledger::address).sorted().toList();
+        return leader() == null ? List.of() : leader().voters().stream().map(RaftNode::address).sorted().toList();
     }
 
     private void awaitProgress(final long more, final long withinMs) {
@@ -66,7 +66,7 @@
     @Test
     void oneThatLostItsSeatWhileItWasCutOffLearnsOfItAndWaitsAsASpare() {
         beginWith(7, "d:1");
-        final String away = addresses.stream().filter(one -> !one.equals(Ledger.address(leader().identity()))).findFirst().orElseThrow();
+        final String away = addresses.stream().filter(one -> !one.equals(RaftNode.address(leader().identity()))).findFirst().orElseThrow();
         ledgers.keySet().forEach(other -> world.cut(away, other));
         assertTrue(world.runUntil(() -> voters().contains("d:1"), 5_000));
         // Long enough for the leader to forget it altogether.
@@ -85,9 +85,9 @@
     @Test
     void aVoterWhoseDiskStallsGivesItsSeatToASpareAndALeaderHandsOverFirst() {
         beginWith(8, "d:1");
-        final String stalled = Ledger.address(leader().identity());
+        final String stalled = RaftNode.address(leader().identity());
         world.host(stalled).syncMicros = 60_000_000;
-        assertTrue(world.runUntil(() -> leader() != null && !Ledger.address(leader().identity()).equals(stalled), 4_000));
+        assertTrue(world.runUntil(() -> leader() != null && !RaftNode.address(leader().identity()).equals(stalled), 4_000));
         assertTrue(world.runUntil(() -> !voters().contains(stalled) && voters().contains("d:1"), 8_000), "voters " + voters());
         // From here on somebody leads all the time, and what is offered is acknowledged.
         final long offeredBefore = proposed;
@@ -112,8 +112,8 @@
         // The new machine first, then the old one's orderly stop.
         boot("d:9", false);
         world.runFor(2_000);
-        final String gone = leads ? Ledger.address(leader().identity()) : addresses.stream()
-            .filter(one -> !one.equals(Ledger.address(leader().identity()))).findFirst().orElseThrow();
+        final String gone = leads ? RaftNode.address(leader().identity()) : addresses.stream()
+            .filter(one -> !one.equals(RaftNode.address(leader().identity()))).findFirst().orElseThrow();
         final boolean[] ended = new boolean[1];
         ledgers.get(gone).membership().leave(() -> {
             ended[0] = true;
@@ -136,7 +136,7 @@
         awaitProgress(50, 5_000);
         final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
         world.runFor(100);
-        assertTrue(tales.get(Ledger.address(leader().identity())).told.values().containsAll(owed), "an acknowledged entry is gone");
+        assertTrue(tales.get(RaftNode.address(leader().identity())).told.values().containsAll(owed), "an acknowledged entry is gone");
     }
 
     /** Planted: what a member says of its end is not heard, so its seat passes only once it has been silent. */
@@ -144,9 +144,9 @@
     void aSeatThatPassesOnlyAfterSilenceIsSeen() {
         int late = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            final SeatingSimTest one = new SeatingSimTest();
+            final VoterPlacementSimulationTest one = new VoterPlacementSimulationTest();
             one.tampering = letter -> {
-                if (letter instanceof Letters.Join join) {
+                if (letter instanceof RaftMessages.JoinRequest join) {
                     join.leaves = null;
                 }
             };
@@ -158,7 +158,7 @@
     @Test
     void aMemberThatStopsWithNobodyToTakeItsSeatEndsAtOnce() {
         beginWith(2);
-        final String gone = addresses.stream().filter(one -> !one.equals(Ledger.address(leader().identity()))).findFirst().orElseThrow();
+        final String gone = addresses.stream().filter(one -> !one.equals(RaftNode.address(leader().identity()))).findFirst().orElseThrow();
         final boolean[] ended = new boolean[1];
         ledgers.get(gone).membership().leave(() -> ended[0] = true);
         world.runFor(1);
@@ -171,7 +171,7 @@
     void aSpareThatKnowsOnlyTheFormerLeaderIsSeenToStayOutside() {
         forgotten.addAll(addresses);
         beginWith(1, "d:9");
-        final String gone = Ledger.address(leader().identity());
+        final String gone = RaftNode.address(leader().identity());
         world.host(gone).powerOff();
         assertTrue(!world.runUntil(() -> voters().contains("d:9"), 6_000), "the planted fault does not show");
         forgotten.clear();
@@ -184,7 +184,7 @@
     void nobodyIsVotedOutByAChangeThatCanNeverBeCommitted(final int awayMs) {
         beginWith(awayMs, "d:1");
         world.loss = 0;
-        final List<String> others = addresses.stream().filter(one -> !one.equals(Ledger.address(leader().identity()))).toList();
+        final List<String> others = addresses.stream().filter(one -> !one.equals(RaftNode.address(leader().identity()))).toList();
         ledgers.keySet().forEach(other -> world.cut(others.get(0), other));
         world.runFor(awayMs);
         world.host(others.get(1)).powerOff();
@@ -192,7 +192,7 @@
         world.runFor(100);
         world.join();
         awaitProgress(50, 12_000);
-        assertTrue(tales.get(Ledger.address(leader().identity())).told.values().containsAll(acknowledged), "an acknowledged entry is gone");
+        assertTrue(tales.get(RaftNode.address(leader().identity())).told.values().containsAll(acknowledged), "an acknowledged entry is gone");
     }
 
     @Test
@@ -203,10 +203,10 @@
         assertTrue(ledgers.get("d:1").membership().behindMs() < 100, "behind while all is well");
         // It hears how far the others are, but not the entries.
         world.host("d:1").tampering = letter -> {
-            if (letter instanceof Letters.Append append) {
+            if (letter instanceof RaftMessages.AppendEntriesRequest append) {
                 append.entries.clear();
                 append.relay = null;
-            } else if (letter instanceof Letters.Fetched fetched) {
+            } else if (letter instanceof RaftMessages.FetchResponse fetched) {
                 fetched.entries.clear();
             }
         };
--- a/src/test/java/yewjunction/ledger/RelaySimTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
@@ -1,4 +1,4 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Members without a vote learn from their zone, whoever of it fails. */
-class RelaySimTest extends LedgerSim {
+class ZoneRelaySimulationTest extends RaftSimulation {
     private String relay(final String address) {
         return leader().leading.standings.get(ledgers.get(address).identity()).relay;
     }
@@ -43,7 +43,7 @@
     @Test
     void whoeverServesAZoneMayGo() {
         beginWithSpares(2);
-        final String served = Ledger.address(leader().identity()).equals("a:1") ? "b:1" : "a:1";
+        final String served = RaftNode.address(leader().identity()).equals("a:1") ? "b:1" : "a:1";
         world.host(served).powerOff();
         allLearn("without " + served);
         boot(served, false);
@@ -65,8 +65,8 @@
         int caught = 0;
         for (final long seed : new long[] {26, 74, 77, 98, 104, 105, 108}) {
             try {
-                new RelaySimTest().history(seed, letter -> {
-                    if (letter instanceof Letters.Fetched fetched) {
+                new ZoneRelaySimulationTest().history(seed, letter -> {
+                    if (letter instanceof RaftMessages.FetchResponse fetched) {
                         fetched.term = 0;
                     }
                 });
--- a/src/test/java/yewjunction/ledger/RelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -1,12 +1,12 @@
-package yewjunction.ledger;
+package yewjunction.raft;
 
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import yewjunction.ledger.Letters.Append;
-import yewjunction.ledger.Letters.Fetched;
+import yewjunction.raft.RaftMessages.AppendEntriesRequest;
+import yewjunction.raft.RaftMessages.FetchResponse;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -14,29 +14,29 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** A member that learns of a term by entries that were handed on takes nothing more from the leader of an earlier one. */
-class RelayTermsTest extends LedgerSim {
+class ZoneRelayTermsTest extends RaftSimulation {
     /** What stands behind the end, after an entry of the next term was handed on, and then a former leader's append came. */
     private long termAfterALateAppend(final boolean named) {
         beginWithSpares(1);
-        final Ledger spare = ledgers.get("b:2");
+        final RaftNode spare = ledgers.get("b:2");
         final String former = leader().identity();
         final long term = spare.archive.term;
         final long prevIndex = spare.log.lastIndex();
         final long prevTerm = spare.log.lastTerm();
         assertNotNull(spare.leader());
-        final Fetched handedOn = new Fetched();
+        final FetchResponse handedOn = new FetchResponse();
         handedOn.term = named ? term + 1 : 0;
         handedOn.prevIndex = prevIndex;
         handedOn.prevTerm = prevTerm;
-        handedOn.entries = List.of(new Entry(prevIndex + 1, term + 1, Entry.NOTHING, new byte[0]));
+        handedOn.entries = List.of(new LogEntry(prevIndex + 1, term + 1, LogEntry.NOTHING, new byte[0]));
         spare.relay.taken(handedOn);
         assertEquals(prevIndex + 1, spare.commit());
-        final Append late = new Append();
+        final AppendEntriesRequest late = new AppendEntriesRequest();
         late.from = former;
         late.term = term;
         late.prevIndex = prevIndex;
         late.prevTerm = prevTerm;
-        late.entries = List.of(new Entry(prevIndex + 1, term, Entry.NOTHING, new byte[0]));
+        late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NOTHING, new byte[0]));
         spare.following.append(spare.post.dial("a:1"), late);
         return spare.log.termAt(prevIndex + 1) - term;
     }
--- a/src/test/java/yewjunction/app/WorkerTest.java
+++ b/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,19 +9,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Defect;
-import yewjunction.base.Pulse;
-import yewjunction.ledger.Clerk;
+import yewjunction.common.YewjunctionException;
+import yewjunction.common.AgentContext;
+import yewjunction.raft.TaskExecutor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** The disk thread: whoever gave it work hears of it, or the process ends. */
-class WorkerTest {
+class BlockingTaskExecutorTest {
     private final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
     private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
-    private final Pulse pulse = new Pulse() {
+    private final AgentContext pulse = new AgentContext() {
         @Override
         public long nowMs() {
             return 0;
@@ -48,8 +48,8 @@
     }
 
     /** The invariant: work that was given is answered, or the process ends; it is never silently forgotten. */
-    private boolean answeredOrEnded(final Clerk clerk) throws InterruptedException {
-        clerk.work(WorkerTest::fail, () -> { });
+    private boolean answeredOrEnded(final TaskExecutor clerk) throws InterruptedException {
+        clerk.work(BlockingTaskExecutorTest::fail, () -> { });
         // The one thread takes things in order: once this is answered, the one before has had its turn.
         clerk.work(() -> { }, () -> codes.add(-1));
         final Runnable answer = posted.poll(10, TimeUnit.SECONDS);
@@ -59,7 +59,7 @@
 
     @Test
     void anErrorEndsTheProcess() throws InterruptedException {
-        assertTrue(answeredOrEnded(new Worker(pulse, codes::add)));
+        assertTrue(answeredOrEnded(new BlockingTaskExecutor(pulse, codes::add)));
         assertEquals(Main.EXIT_DISK, codes.poll());
     }
 
@@ -84,9 +84,9 @@
 
     @Test
     void aFailedSyncEndsTheProcessAndNobodyIsToldThatItWorked() throws InterruptedException {
-        final Worker worker = new Worker(pulse, codes::add);
+        final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
         worker.work(() -> {
-            throw new Defect(Defect.Code.LEDGER_DISK, "sync failed");
+            throw new YewjunctionException(YewjunctionException.ErrorCode.LEDGER_DISK, "sync failed");
         }, () -> { });
         assertEquals(Main.EXIT_DISK, codes.poll(10, TimeUnit.SECONDS));
         assertNull(posted.poll());
@@ -94,12 +94,12 @@
 
     @Test
     void afterAFullDiskTheVerySameIsWrittenAndTheOrderStays() throws InterruptedException {
-        final Worker worker = new Worker(pulse, codes::add);
+        final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
         final List<String> written = new ArrayList<>();
         final int[] tries = new int[1];
         worker.work(() -> {
             if (tries[0]++ < 2) {
-                throw new Defect(Defect.Code.LEDGER_FULL, "no room");
+                throw new YewjunctionException(YewjunctionException.ErrorCode.LEDGER_FULL, "no room");
             }
             written.add("one");
         }, () -> written.add("one answered"));
--- a/src/test/java/yewjunction/app/DoctorTest.java
+++ b/src/test/java/yewjunction/server/DoctorTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import com.sun.net.httpserver.HttpServer;
 import com.typesafe.config.ConfigFactory;
@@ -80,7 +80,7 @@
         final PrintStream print = new PrintStream(out, true);
         assertEquals(Main.EXIT_OK, Rehearsal.raise(folder, print).play(), out.toString());
         final String settings = folder.resolve("tide.yaml").toString();
-        assertEquals(Main.EXIT_OK, Examination.run(settings, folder.resolve("vault1").toString(), null, false, print, print), out.toString());
+        assertEquals(Main.EXIT_OK, Diagnosis.run(settings, folder.resolve("vault1").toString(), null, false, print, print), out.toString());
         assertTrue(out.toString().endsWith("healthy\n"), out.toString());
     }
 
@@ -161,7 +161,7 @@
         Files.writeString(folder.resolve("now.ics"), "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nUID:1\r\n"
             + "DTSTART:20000101T000000Z\r\nDTEND:20000101T235959Z\r\nRRULE:FREQ=DAILY\r\nSUMMARY:new kernel on e1\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n");
         Files.writeString(folder.resolve("bad.ics"), "nothing of the kind");
-        final var findings = new Doctor(settings(List.of(seed)), null).planned(yewjunction.window.Windows.read(folder)).examine();
+        final var findings = new Doctor(settings(List.of(seed)), null).planned(yewjunction.maintenance.MaintenanceWindows.read(folder)).examine();
         assertTrue(findings.stream().anyMatch(one -> one.code() == Code.SIBLING_SUSPECT && one.planned().equals("new kernel on e1")));
         assertTrue(findings.stream().anyMatch(one -> one.code() == Code.CALENDAR_BAD && one.seen().contains("bad.ics")));
     }
@@ -182,9 +182,9 @@
         final PrintStream print = new PrintStream(out, true);
         final Path file = Files.writeString(folder.resolve("s.yaml"), "Nodename: n\nRole: r\nServes: []\nIp: 127.0.0.1\nAz: z\n"
             + "PortRange: [7000, 7015]\nSeeds: ['" + closedAddress() + "']\n");
-        assertEquals(1, Examination.run(file.toString(), null, null, true, print, print));
+        assertEquals(1, Diagnosis.run(file.toString(), null, null, true, print, print));
         assertEquals("SEED_SILENT", ConfigFactory.parseString("{\"All\":" + out + "}").getConfigList("All").get(0).getString("Code"));
-        assertEquals(2, Examination.run(folder.resolve("none").toString(), null, null, false, print, print));
-        assertEquals(2, Examination.run(file.toString(), folder.resolve("none").toString(), null, false, print, print));
+        assertEquals(2, Diagnosis.run(folder.resolve("none").toString(), null, null, false, print, print));
+        assertEquals(2, Diagnosis.run(file.toString(), folder.resolve("none").toString(), null, false, print, print));
     }
 }
--- a/src/test/java/yewjunction/app/CatalogueTest.java
+++ b/src/test/java/yewjunction/server/EventCatalogueTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -7,12 +7,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Event;
+import yewjunction.common.LogEvent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /** The operators' catalogue names exactly the events there are, under their numbers. */
-class CatalogueTest {
+class EventCatalogueTest {
     @Test
     void everyEventStandsInTheCatalogueAndNoOther() throws Exception {
         final Map<Integer, String> documented = new TreeMap<>();
@@ -28,7 +28,7 @@
             }
         }
         final Map<Integer, String> existing = new TreeMap<>();
-        for (final Event event : Event.values()) {
+        for (final LogEvent event : LogEvent.values()) {
             existing.put(event.number(), event.name());
         }
         assertEquals(existing, documented);
