--- a/src/test/java/yewjunction/app/WebTest.java
+++ b/src/test/java/yewjunction/server/HttpEndpointTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -19,26 +19,26 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Pulse;
-import yewjunction.charter.Desk;
+import yewjunction.common.AgentContext;
+import yewjunction.control.OperatorApi;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.base.Limits.CONFIG_BYTES;
+import static yewjunction.common.Limits.CONFIG_BYTES;
 
 /** The operator's door: calls that wait for a majority hold up no others. */
-class WebTest {
+class HttpEndpointTest {
     private static final int CALLS = 40;
     private final ExecutorService owner = Executors.newSingleThreadExecutor();
     private final HttpClient client = HttpClient.newHttpClient();
     private final LinkedBlockingQueue<Runnable> alarms = new LinkedBlockingQueue<>();
-    private final List<Consumer<Desk.Answer>> held = new ArrayList<>();
+    private final List<Consumer<OperatorApi.Response>> held = new ArrayList<>();
     private CountDownLatch waiting = new CountDownLatch(CALLS);
     private HttpServer server;
 
     /** Time passes when the test says so. */
-    private final Pulse pulse = new Pulse() {
+    private final AgentContext pulse = new AgentContext() {
         @Override
         public long nowMs() {
             return 0;
@@ -67,14 +67,14 @@
     }
 
     /** Holds what is to be held; else tells what it was asked. */
-    private void take(final Desk.Request request, final Consumer<Desk.Answer> answer) {
+    private void take(final OperatorApi.Request request, final Consumer<OperatorApi.Response> answer) {
         if (request.path().equals("/hold")) {
             held.add(answer);
             waiting.countDown();
         } else if (request.path().equals("/break")) {
             throw new IllegalStateException("planted");
         } else {
-            answer.accept(new Desk.Answer(200, "[" + request.base() + "]" + request.body().length, null));
+            answer.accept(new OperatorApi.Response(200, "[" + request.base() + "]" + request.body().length, null));
         }
     }
 
@@ -96,11 +96,11 @@
 
     @Test
     void callsThatWaitHoldUpNoOthers() throws Exception {
-        server = Web.operator("127.0.0.1:0", pulse, this::take);
+        server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
         final List<CompletableFuture<HttpResponse<String>>> calls = hold(CALLS);
         assertTrue(waiting.await(20, TimeUnit.SECONDS), waiting.getCount() + " calls never came to the owner");
         assertEquals("[null]0", ask(to("/look")));
-        owner.submit(() -> held.forEach(answer -> answer.accept(new Desk.Answer(200, "held", null)))).get();
+        owner.submit(() -> held.forEach(answer -> answer.accept(new OperatorApi.Response(200, "held", null)))).get();
         for (final CompletableFuture<HttpResponse<String>> call : calls) {
             assertEquals("held", call.get(20, TimeUnit.SECONDS).body());
         }
@@ -131,14 +131,14 @@
 
     @Test
     void aCallWithoutAnAnswerEndsWhenItsTimeIsOver() throws Exception {
-        server = Web.operator("127.0.0.1:0", pulse, this::take);
+        server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
         waiting = new CountDownLatch(1);
         final CompletableFuture<HttpResponse<String>> call = hold(1).get(0);
         assertTrue(waiting.await(20, TimeUnit.SECONDS));
         alarms.take().run();
         assertEquals(503, call.get(20, TimeUnit.SECONDS).statusCode());
         // An answer that comes after that goes nowhere, and the next call is served.
-        owner.submit(() -> held.get(0).accept(new Desk.Answer(200, "late", null))).get();
+        owner.submit(() -> held.get(0).accept(new OperatorApi.Response(200, "late", null))).get();
         assertEquals("[null]0", ask(to("/look")));
         assertEquals(503, client.send(to("/break").build(), HttpResponse.BodyHandlers.ofString()).statusCode());
         assertEquals("[null]0", ask(to("/look")));
@@ -146,7 +146,7 @@
 
     @Test
     void theOwnerSeesAHeaderAsOftenAsItCame() throws Exception {
-        server = Web.operator("127.0.0.1:0", pulse, this::take);
+        server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
         assertEquals("[5]0", ask(to("/look").header("base-version", "5")));
         assertEquals("[5, 5]0", ask(to("/look").header("Base-Version", "5").header("Base-Version", "5")));
         assertEquals("[5, 6]0", ask(to("/look").header("Base-Version", "5").header("base-version", "6")));
@@ -156,9 +156,9 @@
 
     @Test
     void theReaderComesBackAlsoFromADefect() throws Exception {
-        server = Web.operator("127.0.0.1:0", pulse, this::take);
+        server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
         final CountDownLatch back = new CountDownLatch(2);
-        final var reader = Web.reader(pulse);
+        final var reader = HttpEndpoint.reader(pulse);
         reader.work(() -> {
             throw new IllegalStateException("planted");
         }, back::countDown);
@@ -169,7 +169,7 @@
     /** A caller that was cut off half way holds a thread, and later looks are answered all the same. */
     @Test
     void halfARequestHoldsUpNoLaterLook() throws Exception {
-        server = Web.readiness("127.0.0.1:0", () -> true);
+        server = HttpEndpoint.readiness("127.0.0.1:0", () -> true);
         final int port = server.getAddress().getPort();
         try (java.net.Socket half = new java.net.Socket("127.0.0.1", port)) {
             half.getOutputStream().write("GET /-/re".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
--- a/src/test/java/yewjunction/app/RehearsalTest.java
+++ b/src/test/java/yewjunction/server/RehearsalTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
--- a/src/test/java/yewjunction/app/ProcessTest.java
+++ b/src/test/java/yewjunction/server/ServerProcessTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -16,27 +16,27 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** How a process starts and ends on real threads. */
-class ProcessTest {
+class ServerProcessTest {
     /** Stays: whoever ends a process ends its JVM, and here the threads go on writing. */
     private static Path folder() throws Exception {
         return Files.createTempDirectory(Path.of("target"), "process");
     }
 
-    private static Process crux(final Path folder, final int controlPort) throws Exception {
+    private static ServerProcess crux(final Path folder, final int controlPort) throws Exception {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.9"))) {
             final int port = Math.min(probe.getLocalPort(), 65_000);
             final Path file = Files.writeString(folder.resolve("crux.yaml"), "Nodename: n\nRole: ctl\nServes: [ctl]\nIp: 127.0.0.9\nAz: z\n"
                 + "Listen: {Ctl: '127.0.0.9:" + controlPort + "'}\nPortRange: [" + port + ", " + (port + 3) + "]\nSeeds: ['127.0.0.9:"
                 + controlPort + "']\nBootstrap: true\nDatadir: " + folder.resolve("data") + "\n");
-            final SettingsFile settingsFile = new SettingsFile(file);
-            return new Process(settingsFile, settingsFile.load(), Process.Duty.CRUX);
+            final SettingsReloader settingsFile = new SettingsReloader(file);
+            return new ServerProcess(settingsFile, settingsFile.load(), ServerProcess.NodeRole.CRUX);
         }
     }
 
     @Test
     void aProcessThatCannotOpenItsDoorEnds() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.9"))) {
-            final Process process = crux(folder(), taken.getLocalPort());
+            final ServerProcess process = crux(folder(), taken.getLocalPort());
             assertThrows(UncheckedIOException.class, () -> assertTimeoutPreemptively(Duration.ofSeconds(20), process::run));
         }
     }
@@ -47,12 +47,12 @@
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.9"))) {
             port = probe.getLocalPort();
         }
-        final Signals signals = new Signals();
-        signals.came(Signals.Kind.REREAD);
-        signals.came(Signals.Kind.STOP);
-        signals.came(Signals.Kind.STOP);
+        final SignalHandlers signals = new SignalHandlers();
+        signals.came(SignalHandlers.Kind.REREAD);
+        signals.came(SignalHandlers.Kind.STOP);
+        signals.came(SignalHandlers.Kind.STOP);
         final Path folder = folder();
-        final Process process = crux(folder, port).signalled(signals);
+        final ServerProcess process = crux(folder, port).signalled(signals);
         assertEquals(Main.EXIT_OK, assertTimeoutPreemptively(Duration.ofSeconds(20), process::run));
         // It had started before it stopped: what it is called stands on its disk.
         assertTrue(Files.size(folder.resolve("data").resolve("charter")) > 0);
@@ -61,9 +61,9 @@
     @Test
     void anErrorOfTheOwnersTurnEndsTheProcessAndAnExceptionDoesNot() {
         final List<Integer> codes = new ArrayList<>();
-        Process.broken(new java.io.IOException("the selector"), codes::add);
+        ServerProcess.broken(new java.io.IOException("the selector"), codes::add);
         assertEquals(List.of(), codes);
-        Process.broken(new OutOfMemoryError(), codes::add);
+        ServerProcess.broken(new OutOfMemoryError(), codes::add);
         assertEquals(List.of(Main.EXIT_DEFECT), codes);
     }
 }
--- a/src/test/java/yewjunction/app/SettingsFileTest.java
+++ b/src/test/java/yewjunction/server/SettingsReloaderTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Whoever writes the settings file may be at it while it is read: what stands in the end is read in the end. */
-class SettingsFileTest {
+class SettingsReloaderTest {
     private static final String WHOLE = "Nodename: n\nRole: r\nServes: [edge]\nIp: 10.0.0.1\nAz: z\nListen: {Fe: '10.0.0.1:8022', "
         + "Ready: '10.0.0.1:8029'}\nPortRange: [7000, 7015]\nSeeds: ['10.0.0.2:8024', '10.0.0.3:8024']\n";
     private static final FileTime TICK = FileTime.fromMillis(1_700_000_000_000L);
@@ -32,11 +32,11 @@
     }
 
     /** Reads as often as the process would, and tells what it knows then. */
-    private String seedsAfter(final SettingsFile file, final int looks) {
+    private String seedsAfter(final SettingsReloader file, final int looks) {
         return seedsAfter(file, file::due, looks);
     }
 
-    private static String seedsAfter(final SettingsFile file, final BooleanSupplier due, final int looks) {
+    private static String seedsAfter(final SettingsReloader file, final BooleanSupplier due, final int looks) {
         String known = "";
         for (int look = 0; look < looks; look++) {
             if (due.getAsBoolean()) {
@@ -48,7 +48,7 @@
 
     @Test
     void whatIsFinishedWithinTheSameTickIsRead() throws IOException {
-        final SettingsFile file = new SettingsFile(folder.resolve("settings.yaml"));
+        final SettingsReloader file = new SettingsReloader(folder.resolve("settings.yaml"));
         write(WHOLE);
         file.load();
         assertFalse(file.due());
@@ -65,7 +65,7 @@
     @Test
     void aFileJudgedByItsTimeAloneShows() throws IOException {
         final Path path = folder.resolve("settings.yaml");
-        final SettingsFile file = new SettingsFile(path);
+        final SettingsReloader file = new SettingsReloader(path);
         write(WHOLE);
         final FileTime read = Files.getLastModifiedTime(path);
         file.load();
@@ -84,20 +84,20 @@
 
     @Test
     void aHalfWrittenFileIsRefusedAndReadOnceItIsWhole() throws IOException {
-        final SettingsFile file = new SettingsFile(folder.resolve("settings.yaml"));
+        final SettingsReloader file = new SettingsReloader(folder.resolve("settings.yaml"));
         write(WHOLE);
         file.load();
         // SIGHUP while the writer is at it.
         write(WHOLE.substring(0, WHOLE.indexOf("PortRange")));
         file.lookAgain();
-        assertThrows(Defect.class, file::load);
+        assertThrows(YewjunctionException.class, file::load);
         write(later("10.0.0.6:8024"));
         assertTrue(seedsAfter(file, 3).contains("10.0.0.6:8024"));
     }
 
     @Test
     void whatIsWrittenWhileTheProcessStartsShowsAtTheNextLook() throws IOException {
-        final SettingsFile file = new SettingsFile(folder.resolve("settings.yaml"));
+        final SettingsReloader file = new SettingsReloader(folder.resolve("settings.yaml"));
         write(WHOLE);
         file.load();
         Files.writeString(folder.resolve("settings.yaml"), later("10.0.0.7:8024"));
@@ -106,7 +106,7 @@
 
     @Test
     void aFileThatIsGoneIsNoChange() throws IOException {
-        final SettingsFile file = new SettingsFile(folder.resolve("settings.yaml"));
+        final SettingsReloader file = new SettingsReloader(folder.resolve("settings.yaml"));
         write(WHOLE);
         file.load();
         Files.delete(folder.resolve("settings.yaml"));
--- a/src/test/java/yewjunction/app/SignalsTest.java
+++ b/src/test/java/yewjunction/server/SignalHandlersTest.java
@@ -1,4 +1,4 @@
-package yewjunction.app;
+package yewjunction.server;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,15 +12,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
-import static yewjunction.app.Signals.Kind.REREAD;
-import static yewjunction.app.Signals.Kind.STOP;
+import static yewjunction.server.SignalHandlers.Kind.REREAD;
+import static yewjunction.server.SignalHandlers.Kind.STOP;
 
 /** A signal that comes while the process is put together, or while it takes them, arrives once. */
-public class SignalsTest {
+public class SignalHandlersTest {
     @Test
     void earlyOnesComeFirstAndInTheirOrder() {
-        final Signals signals = new Signals();
-        final List<Signals.Kind> taken = new ArrayList<>();
+        final SignalHandlers signals = new SignalHandlers();
+        final List<SignalHandlers.Kind> taken = new ArrayList<>();
         signals.came(REREAD);
         signals.came(STOP);
         signals.deliver(taken::add);
@@ -30,15 +30,15 @@
 
     /** Signals and the process that begins to take them, switched at any point. */
     public static class Start {
-        private final Signals signals;
+        private final SignalHandlers signals;
         private final AtomicInteger came = new AtomicInteger();
         private final AtomicInteger taken = new AtomicInteger();
 
         public Start() {
-            this(new Signals());
+            this(new SignalHandlers());
         }
 
-        Start(final Signals signals) {
+        Start(final SignalHandlers signals) {
             this.signals = signals;
         }
 
@@ -67,7 +67,7 @@
     /** Planted: looks whether somebody takes them, and keeps the signal only after that. */
     public static class Careless extends Start {
         public Careless() {
-            super(new Signals() {
+            super(new SignalHandlers() {
                 private final AtomicInteger kept = new AtomicInteger();
                 private volatile boolean started;
 
--- a/src/test/java/yewjunction/settings/SettingsTest.java
+++ b/src/test/java/yewjunction/settings/SettingsTest.java
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewjunction.base.Defect;
+import yewjunction.common.YewjunctionException;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -48,13 +48,13 @@
         "Listen: {|Listen: [{|Listen",
     })
     void aBadFieldIsNamed(final String good, final String bad, final String field) {
-        final Defect defect = assertThrows(Defect.class, () -> Settings.read(GOOD.replace(good, bad)));
-        assertTrue(defect.getMessage().startsWith(field) || defect.code() == Defect.Code.SETTINGS_UNREADABLE, defect.getMessage());
+        final YewjunctionException defect = assertThrows(YewjunctionException.class, () -> Settings.read(GOOD.replace(good, bad)));
+        assertTrue(defect.getMessage().startsWith(field) || defect.code() == YewjunctionException.ErrorCode.SETTINGS_UNREADABLE, defect.getMessage());
     }
 
     @Test
     void whatIsNoYamlIsUnreadable() {
-        assertEquals(Defect.Code.SETTINGS_UNREADABLE, assertThrows(Defect.class, () -> Settings.read("a: [")).code());
-        assertEquals(Defect.Code.SETTINGS_UNREADABLE, assertThrows(Defect.class, () -> Settings.read("just words")).code());
+        assertEquals(YewjunctionException.ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("a: [")).code());
+        assertEquals(YewjunctionException.ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("just words")).code());
     }
 }
--- a/src/test/java/yewjunction/sim/Dialling.java
+++ b/src/test/java/yewjunction/simulation/ScriptedTransport.java
@@ -1,4 +1,4 @@
-package yewjunction.sim;
+package yewjunction.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,21 +6,21 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
 
 /** Links that keep what is sent on them; the test itself answers, in any order and from anyone. */
-public final class Dialling implements Post {
-    private final Map<String, Asked> links = new HashMap<>();
-    private final Map<Class<?>, BiConsumer<Link, Object>> handlers = new HashMap<>();
+public final class ScriptedTransport implements PeerTransport {
+    private final Map<String, ScriptedConnection> links = new HashMap<>();
+    private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
 
     /** A link, with what was sent on it. */
-    public static final class Asked implements Link {
+    public static final class ScriptedConnection implements PeerConnection {
         private final String remote;
         private final List<Object> letters = new ArrayList<>();
         private boolean open = true;
 
-        Asked(final String remote) {
+        ScriptedConnection(final String remote) {
             this.remote = remote;
         }
 
@@ -55,17 +55,17 @@
     }
 
     @Override
-    public Asked dial(final String address) {
-        return links.compute(address, (key, known) -> known == null || !known.open ? new Asked(address) : known);
+    public ScriptedConnection dial(final String address) {
+        return links.compute(address, (key, known) -> known == null || !known.open ? new ScriptedConnection(address) : known);
     }
 
     @Override
-    public <T> void on(final Class<T> kind, final BiConsumer<Link, T> handler) {
+    public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
         handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
     }
 
     @Override
-    public void onClose(final Consumer<Link> handler) {
+    public void onClose(final Consumer<PeerConnection> handler) {
         // Only the owner itself closes these links.
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** On that very link, also on one that was closed: as it were still being read. */
-    public void answer(final Link on, final Object letter) {
+    public void answer(final PeerConnection on, final Object letter) {
         handlers.get(letter.getClass()).accept(on, letter);
     }
 }
--- a/src/test/java/yewjunction/sim/SimDisk.java
+++ b/src/test/java/yewjunction/simulation/SimulatedDisk.java
@@ -1,4 +1,4 @@
-package yewjunction.sim;
+package yewjunction.simulation;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import yewjunction.ledger.Disk;
+import yewjunction.raft.Disk;
 
 /** Files with what was synced and what was only written: at a loss of power the latter is present, missing or torn. */
-public final class SimDisk implements Disk {
+public final class SimulatedDisk implements Disk {
     private final Map<String, Bytes> synced = new HashMap<>();
     private final Map<String, List<byte[]>> written = new HashMap<>();
 
--- a/src/test/java/yewjunction/sim/Host.java
+++ b/src/test/java/yewjunction/simulation/SimulatedHost.java
@@ -1,19 +1,19 @@
-package yewjunction.sim;
+package yewjunction.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import yewjunction.base.Codec;
-import yewjunction.base.Pulse;
-import yewjunction.ledger.Clerk;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.AgentContext;
+import yewjunction.raft.TaskExecutor;
 
 /** One process's place: it may be up, killed or dark; its disk outlives it unless it is wiped. */
-public final class Host implements Pulse {
-    public final World world;
+public final class SimulatedHost implements AgentContext {
+    public final SimulatedNetwork world;
     public final String address;
-    public SimDisk disk = new SimDisk();
+    public SimulatedDisk disk = new SimulatedDisk();
     public long syncMicros = 2_000;
-    SimPost post;
+    SimulatedTransport post;
     /** Sees each letter before it is taken, and may plant a fault in it. */
     public java.util.function.Consumer<Object> tampering = letter -> { };
     private java.util.function.BiConsumer<String, Object> datagrams = (from, letter) -> { };
@@ -25,13 +25,13 @@
     private final List<Runnable> heldUp = new ArrayList<>();
     private int life;
 
-    Host(final World world, final String address) {
+    SimulatedHost(final SimulatedNetwork world, final String address) {
         this.world = world;
         this.address = address;
     }
 
     /** A process starts here. */
-    public SimPost boot() {
+    public SimulatedTransport boot() {
         if (up) {
             throw new IllegalStateException(address + " is up already");
         }
@@ -39,7 +39,7 @@
         dark = false;
         thaw();
         life++;
-        post = new SimPost(this);
+        post = new SimulatedTransport(this);
         return post;
     }
 
@@ -76,7 +76,7 @@
     }
 
     public void wipe() {
-        disk = new SimDisk();
+        disk = new SimulatedDisk();
     }
 
     /** Does nothing from now on, though its links stay up and take what comes. */
@@ -140,9 +140,9 @@
     }
 
     /** Blocking work takes the disk's time; a process that dies meanwhile may or may not have done it. */
-    public Clerk clerk() {
+    public TaskExecutor clerk() {
         final int ofLife = life;
-        final SimDisk ofDisk = disk;
+        final SimulatedDisk ofDisk = disk;
         final List<Runnable> waiting = new ArrayList<>();
         return (blocking, afterwards) -> {
             waiting.add(() -> world.afterMicros(syncMicros + 1_000 * Math.max(0, diskStalledUntilMs - world.nowMs()), () -> guarded(ofLife, () -> {
@@ -166,12 +166,12 @@
     }
 
     public void datagram(final String to, final Object letter) {
-        final Codec codec = post.codec;
+        final MessageCodec codec = post.codec;
         final byte[] bytes = codec.encode(letter);
         if (world.meter != null) {
             world.meter.sent(address, to, letter, bytes.length);
         }
-        final Host target = world.known(to);
+        final SimulatedHost target = world.known(to);
         if (target == null || world.luck.nextDouble() < world.loss || world.parted(address, to)) {
             return;
         }
--- a/src/test/java/yewjunction/sim/World.java
+++ b/src/test/java/yewjunction/simulation/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package yewjunction.sim;
+package yewjunction.simulation;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -11,10 +11,10 @@
 import java.util.function.BooleanSupplier;
 
 /** Simulated time, machines and network; one seed drives all of it. */
-public final class World {
+public final class SimulatedNetwork {
     public final Random luck;
-    private final PriorityQueue<Happening> queue = new PriorityQueue<>();
-    private final Map<String, Host> hosts = new TreeMap<>();
+    private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
+    private final Map<String, SimulatedHost> hosts = new TreeMap<>();
     private final Set<String> cuts = new HashSet<>();
     private long nowMicros;
     private long order;
@@ -26,17 +26,17 @@
     /** Share of datagrams lost, and of TCP pieces that need to be sent again. */
     public double loss = 0.01;
     /** Counts all letters; null for nobody. */
-    public Meter meter;
+    public TrafficMeter meter;
 
-    private record Happening(long atMicros, long order, Runnable task) implements Comparable<Happening> {
+    private record ScheduledEvent(long atMicros, long order, Runnable task) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(final Happening other) {
+        public int compareTo(final ScheduledEvent other) {
             final int byTime = Long.compare(atMicros, other.atMicros);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    public World(final long seed) {
+    public SimulatedNetwork(final long seed) {
         luck = new Random(seed);
     }
 
@@ -49,7 +49,7 @@
     }
 
     public void afterMicros(final long delayMicros, final Runnable task) {
-        queue.add(new Happening(nowMicros + Math.max(0, delayMicros), order++, task));
+        queue.add(new ScheduledEvent(nowMicros + Math.max(0, delayMicros), order++, task));
     }
 
     public void after(final long delayMs, final Runnable task) {
@@ -63,15 +63,15 @@
         });
     }
 
-    public Host host(final String address) {
-        return hosts.computeIfAbsent(address, key -> new Host(this, key));
+    public SimulatedHost host(final String address) {
+        return hosts.computeIfAbsent(address, key -> new SimulatedHost(this, key));
     }
 
-    Host known(final String address) {
+    SimulatedHost known(final String address) {
         return hosts.get(address);
     }
 
-    public List<Host> hosts() {
+    public List<SimulatedHost> hosts() {
         return new ArrayList<>(hosts.values());
     }
 
@@ -96,7 +96,7 @@
     }
 
     private void step() {
-        final Happening next = queue.poll();
+        final ScheduledEvent next = queue.poll();
         nowMicros = next.atMicros;
         next.task.run();
     }
--- a/src/test/java/yewjunction/sim/SimPost.java
+++ b/src/test/java/yewjunction/simulation/SimulatedTransport.java
@@ -1,4 +1,4 @@
-package yewjunction.sim;
+package yewjunction.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,36 +6,36 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import yewjunction.base.Codec;
-import yewjunction.base.Link;
-import yewjunction.base.Post;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.PeerConnection;
+import yewjunction.common.PeerTransport;
 
-import static yewjunction.base.Limits.DIAL_MS;
-import static yewjunction.base.Limits.LINK_SILENCE_MS;
+import static yewjunction.common.Limits.DIAL_MS;
+import static yewjunction.common.Limits.LINK_SILENCE_MS;
 
 /** Links over the simulated network; every letter is encoded and decoded as on the wire. */
-public final class SimPost implements Post {
-    final Codec codec = new Codec();
-    private final Host host;
+public final class SimulatedTransport implements PeerTransport {
+    final MessageCodec codec = new MessageCodec();
+    private final SimulatedHost host;
     private final int life;
     private final Map<String, End> dialled = new HashMap<>();
     private final List<End> ends = new ArrayList<>();
-    private final Map<Class<?>, BiConsumer<Link, Object>> handlers = new HashMap<>();
-    private final List<Consumer<Link>> closers = new ArrayList<>();
+    private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
+    private final List<Consumer<PeerConnection>> closers = new ArrayList<>();
 
-    SimPost(final Host host) {
+    SimulatedTransport(final SimulatedHost host) {
         this.host = host;
         life = host.life();
-        yewjunction.ledger.Letters.know(codec);
-        yewjunction.roster.Letters.know(codec);
-        yewjunction.charter.Letters.know(codec);
-        yewjunction.vault.Letters.know(codec);
-        yewjunction.herald.Letters.know(codec);
+        yewjunction.raft.RaftMessages.know(codec);
+        yewjunction.membership.MembershipMessages.know(codec);
+        yewjunction.control.LeaseMessages.know(codec);
+        yewjunction.store.AdmissionMessages.know(codec);
+        yewjunction.fanout.FanoutMessages.know(codec);
     }
 
     /** One side of a link. */
-    private static final class End implements Link {
-        private final SimPost owner;
+    private static final class End implements PeerConnection {
+        private final SimulatedTransport owner;
         private final String remote;
         private End far;
         private boolean open = true;
@@ -45,7 +45,7 @@
         private long heldMs;
         private long lastArrivalMicros;
 
-        End(final SimPost owner, final String remote) {
+        End(final SimulatedTransport owner, final String remote) {
             this.owner = owner;
             this.remote = remote;
             owner.ends.add(this);
@@ -69,7 +69,7 @@
         }
 
         private void carry(final byte[] bytes) {
-            final World world = owner.host.world;
+            final SimulatedNetwork world = owner.host.world;
             final End target = far;
             if (!heldUp.isEmpty() || world.parted(owner.host.address, target.owner.host.address)) {
                 heldUp.add(bytes);
@@ -90,7 +90,7 @@
 
         /** Held up by a cut: sent again and again as TCP does, in order, until the silence ends the link on both sides. */
         private void tryAgain() {
-            final World world = owner.host.world;
+            final SimulatedNetwork world = owner.host.world;
             if (!open || heldUp.isEmpty()) {
                 return;
             }
@@ -106,8 +106,8 @@
             }
         }
 
-        void connect(final Host targetHost) {
-            final World world = owner.host.world;
+        void connect(final SimulatedHost targetHost) {
+            final SimulatedNetwork world = owner.host.world;
             world.after(DIAL_MS, () -> {
                 if (!connected) {
                     close();
@@ -144,7 +144,7 @@
 
         /** Through a cut no word of the end comes: the far side notices the silence. */
         private void tellFar() {
-            final World world = owner.host.world;
+            final SimulatedNetwork world = owner.host.world;
             world.afterMicros(world.parted(owner.host.address, remote) ? 1_000 * LINK_SILENCE_MS : world.delayMicros(), far::end);
         }
 
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public Link dial(final String address) {
+    public PeerConnection dial(final String address) {
         End end = dialled.get(address);
         if (end == null || !end.open) {
             end = new End(this, address);
@@ -181,12 +181,12 @@
     }
 
     @Override
-    public <T> void on(final Class<T> kind, final BiConsumer<Link, T> handler) {
+    public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
         handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
     }
 
     @Override
-    public void onClose(final Consumer<Link> handler) {
+    public void onClose(final Consumer<PeerConnection> handler) {
         closers.add(handler);
     }
 
@@ -196,7 +196,7 @@
         if (host.world.meter != null) {
             host.world.meter.taken(host.address, letter, bytes.length);
         }
-        final BiConsumer<Link, Object> handler = handlers.get(letter.getClass());
+        final BiConsumer<PeerConnection, Object> handler = handlers.get(letter.getClass());
         if (handler != null) {
             handler.accept(end, letter);
         }
--- a/src/test/java/yewjunction/sim/Meter.java
+++ b/src/test/java/yewjunction/simulation/TrafficMeter.java
@@ -1,11 +1,11 @@
-package yewjunction.sim;
+package yewjunction.simulation;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** Counts what processes say to one another: letters and their bytes, without the headers of the network below. */
-public final class Meter {
+public final class TrafficMeter {
     /** By process, then by kind of letter: count and bytes sent, count and bytes taken. */
     private final Map<String, Map<String, long[]>> rows = new HashMap<>();
 
@@ -16,7 +16,7 @@
         add(from, letter, 0, bytes);
         // Addresses are 10.ZONE.x.y.
         if (!from.substring(0, from.indexOf('.', 3)).equals(to.substring(0, to.indexOf('.', 3)))) {
-            final long[] row = across.computeIfAbsent(letter.getClass().getName().replaceAll(".*\\.(\\w+)\\.Letters\\$", "$1."), key -> new long[2]);
+            final long[] row = across.computeIfAbsent(letter.getClass().getName().replaceAll(".*\\.(\\w+)\\.\\w+\\$", "$1."), key -> new long[2]);
             row[0]++;
             row[1] += bytes;
         }
--- a/src/test/java/yewjunction/vault/AccountTest.java
+++ b/src/test/java/yewjunction/store/BorrowingAccountTest.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -10,21 +10,21 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class AccountTest {
-    private static Account account(final long rate, final long depth, final long borrowMax, final long repayPpm) {
-        final Terms terms = new Terms();
+class BorrowingAccountTest {
+    private static BorrowingAccount account(final long rate, final long depth, final long borrowMax, final long repayPpm) {
+        final BorrowingTerms terms = new BorrowingTerms();
         terms.tenant = "t";
         terms.rate = rate;
         terms.depth = depth;
         terms.borrowMax = borrowMax;
         terms.repayPpm = repayPpm;
-        final Account account = new Account();
+        final BorrowingAccount account = new BorrowingAccount();
         account.agree(terms);
         return account;
     }
 
-    private static String state(final Account account) {
-        return BorrowReference.told(account.balance());
+    private static String state(final BorrowingAccount account) {
+        return ReferenceAccounts.told(account.balance());
     }
 
     /** A leader looks at an account far more often than the log touches it: both must reckon the same. */
@@ -32,8 +32,8 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void itDoesNotMatterInHowManyStepsTimePasses(final long seed) {
         final Random random = new Random(seed);
-        final Account seldom = account(1 + random.nextInt(90_000), 5_000, 40_000, 1 + random.nextInt(1_000_000));
-        final Account often = seldom.copy();
+        final BorrowingAccount seldom = account(1 + random.nextInt(90_000), 5_000, 40_000, 1 + random.nextInt(1_000_000));
+        final BorrowingAccount often = seldom.copy();
         long nowMs = 0;
         int charged = 0;
         for (int round = 0; round < 3_000; round++) {
@@ -56,7 +56,7 @@
 
     @Test
     void halfOfTheRateRepaysAndTheRestGoesOn() {
-        final Account account = account(10_000, 10_000, 5_000, 500_000);
+        final BorrowingAccount account = account(10_000, 10_000, 5_000, 500_000);
         for (int i = 0; i < 5; i++) {
             account.charge(0);
         }
@@ -74,7 +74,7 @@
     /** A share so small that no step repays a whole thousandth by itself. */
     @Test
     void aSmallShareRepaysAllTheSame() {
-        final Account account = account(1_000, 1_000, 1_000, 1);
+        final BorrowingAccount account = account(1_000, 1_000, 1_000, 1);
         account.charge(0);
         for (long nowMs = 1; nowMs <= 10_000_000; nowMs += 7) {
             account.refill(nowMs);
@@ -86,11 +86,11 @@
 
     @Test
     void aLowerLimitLeavesTheDebtAndAllowsNoMore() {
-        final Account account = account(1_000, 10_000, 8_000, 500_000);
+        final BorrowingAccount account = account(1_000, 10_000, 8_000, 500_000);
         for (int i = 0; i < 6; i++) {
             account.charge(0);
         }
-        final Terms lower = account.terms.copy();
+        final BorrowingTerms lower = account.terms.copy();
         lower.borrowMax = 2_000;
         account.agree(lower);
         assertEquals(6_000, account.debt);
@@ -108,7 +108,7 @@
     /** Years at the highest rate there may be: nothing overflows. */
     @Test
     void aLongTimeAtAHighRateStaysInRange() {
-        final Account account = account(1_000_000_000_000L, 1_000_000, 1_000_000_000_000L, 999_999);
+        final BorrowingAccount account = account(1_000_000_000_000L, 1_000_000, 1_000_000_000_000L, 999_999);
         account.charge(0);
         account.refill(40_000_000_000L);
         assertEquals(1_000_000, account.tokens);
--- a/src/test/java/yewjunction/vault/BorrowReference.java
+++ b/src/test/java/yewjunction/store/ReferenceAccounts.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import io.protostuff.ProtostuffIOUtil;
 import io.protostuff.Schema;
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import yewjunction.charter.Balance;
+import yewjunction.control.AccountBalance;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,8 +15,8 @@
  * An independent reckoning of all accounts from the committed history alone: millisecond by millisecond, in exact
  * fractions, with none of the system's own arithmetic.
  */
-public final class BorrowReference {
-    private static final Schema<Message> MESSAGES = RuntimeSchema.getSchema(Message.class);
+public final class ReferenceAccounts {
+    private static final Schema<StoredMessage> MESSAGES = RuntimeSchema.getSchema(StoredMessage.class);
     /** A thousandth of a message, in the finest grain there is: a thousandth of it grows at a time, a millionth is shared. */
     private static final BigInteger GRAIN = BigInteger.valueOf(1_000L * 1_000_000L);
     private final Map<String, Known> known = new TreeMap<>();
@@ -28,7 +28,7 @@
     public final Map<String, Integer> timesBorrowed = new TreeMap<>();
 
     private static final class Known {
-        Terms terms;
+        BorrowingTerms terms;
         BigInteger grown = BigInteger.ZERO;
         BigInteger shared = BigInteger.ZERO;
         long tokens;
@@ -73,7 +73,7 @@
     /** Takes the entries in the log's order. */
     public void replay(final Map<Long, byte[]> entries) {
         new TreeMap<>(entries).forEach((index, data) -> {
-            final Message message = MESSAGES.newMessage();
+            final StoredMessage message = MESSAGES.newMessage();
             ProtostuffIOUtil.mergeFrom(data, message, MESSAGES);
             if (message.change != null) {
                 known.values().forEach(one -> one.pass(message.stampMs));
@@ -89,8 +89,8 @@
         });
     }
 
-    private void agree(final Message message) {
-        for (final Terms terms : message.change.terms) {
+    private void agree(final StoredMessage message) {
+        for (final BorrowingTerms terms : message.change.terms) {
             final Known one = known.computeIfAbsent(terms.tenant, key -> {
                 final Known fresh = new Known();
                 fresh.tokens = terms.firstTokens;
@@ -104,7 +104,7 @@
             && message.change.terms.stream().noneMatch(terms -> terms.tenant.equals(one.getKey())));
     }
 
-    private void charge(final Message message) {
+    private void charge(final StoredMessage message) {
         final Known one = known.get(message.tenant);
         one.pass(message.stampMs);
         charges++;
@@ -129,7 +129,7 @@
         return states.get(tenant + " " + index);
     }
 
-    public static String told(final Balance balance) {
+    public static String told(final AccountBalance balance) {
         return balance.tokens + " " + balance.debt + " " + balance.borrowed + " " + balance.repaid;
     }
 }
--- a/src/test/java/yewjunction/vault/StoreStateFixture.java
+++ b/src/test/java/yewjunction/store/StoreStateFixture.java
@@ -1,10 +1,10 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import yewjunction.base.Pulse;
-import yewjunction.ledger.Machine;
+import yewjunction.common.AgentContext;
+import yewjunction.raft.StateMachine;
 import yewjunction.settings.Settings;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
@@ -18,7 +18,7 @@
     }
 
     /** Stands still, so that what is built on it always has the same bytes. */
-    private static final class StoppedClock implements Pulse {
+    private static final class StoppedClock implements AgentContext {
         @Override
         public long nowMs() {
             return 5_000;
@@ -40,12 +40,12 @@
         }
     }
 
-    static Cellar store() {
+    static MessageStore store() {
         final Settings settings = new Settings("n", "store", List.of("store"), "10.0.0.1", "z", "", "", "", 7000, 7015, List.of(), false,
             "", 1, 2, 5, 0.1, 20, 0);
-        return new Cellar(new StoppedClock(), new Cellar.Watcher() {
+        return new MessageStore(new StoppedClock(), new MessageStore.Listener() {
             @Override
-            public boolean admittedHere(final Message message) {
+            public boolean admittedHere(final StoredMessage message) {
                 return false;
             }
 
@@ -62,18 +62,18 @@
     }
 
     /** A fresh state machine. */
-    public static Machine machine() {
+    public static StateMachine machine() {
         return store();
     }
 
     /** The entries of the history: a tenant's terms, a message it borrows for, and messages of two others. */
     public static List<byte[]> commands() {
         final List<byte[]> commands = new ArrayList<>();
-        final Message terms = new Message();
+        final StoredMessage terms = new StoredMessage();
         terms.stampMs = 1_000L;
-        terms.change = new Terms.Change();
+        terms.change = new BorrowingTerms.TermsChange();
         terms.change.version = 3;
-        final Terms one = new Terms();
+        final BorrowingTerms one = new BorrowingTerms();
         one.tenant = "t1";
         one.rate = 1_500;
         one.depth = 9_000;
@@ -81,7 +81,7 @@
         one.repayPpm = 333_333;
         one.firstTokens = 400;
         terms.change.terms.add(one);
-        commands.add(Cellar.bytes(terms));
+        commands.add(MessageStore.bytes(terms));
         commands.add(sent("orders.a", "c1", 1, "t1", 1_007L, "first"));
         commands.add(sent("orders.a", "c1", 2, "", null, "second"));
         commands.add(sent("orders.b", "c2", 9, "t1", 1_014L, "third"));
@@ -90,18 +90,18 @@
 
     private static byte[] sent(final String topic, final String client, final long number, final String tenant, final Long stampMs,
             final String body) {
-        final Message message = new Message();
+        final StoredMessage message = new StoredMessage();
         message.topic = topic;
         message.client = client;
         message.number = number;
         message.tenant = tenant;
         message.stampMs = stampMs;
         message.body = body.getBytes(UTF_8);
-        return Cellar.bytes(message);
+        return MessageStore.bytes(message);
     }
 
     /** Applies the whole history, the first entry at the index given. */
-    public static void apply(final Machine machine, final long firstIndex) {
+    public static void apply(final StateMachine machine, final long firstIndex) {
         long index = firstIndex;
         for (final byte[] command : commands()) {
             machine.apply(index++, command);
@@ -109,8 +109,8 @@
     }
 
     /** Every fact that the history leaves, when its first entry stood at index 1. */
-    public static void assertComplete(final Machine machine) {
-        final Cellar store = (Cellar) machine;
+    public static void assertComplete(final StateMachine machine) {
+        final MessageStore store = (MessageStore) machine;
         assertEquals(List.of(2L, 3L), store.behind("orders.a", 0).stream().map(message -> message.index).toList());
         assertEquals("first", new String(store.behind("orders.a", 0).get(0).body, UTF_8));
         assertEquals("second", new String(store.behind("orders.a", 2).get(0).body, UTF_8));
@@ -123,7 +123,7 @@
         assertFalse(store.numbers.accepted("c2", "orders.b", 8));
         assertEquals(9, store.numbers.highest("c2", "orders.b"));
         assertEquals(1, store.balances().size());
-        final yewjunction.charter.Balance balance = store.balances().get(0);
+        final yewjunction.control.AccountBalance balance = store.balances().get(0);
         assertEquals("t1", balance.tenant);
         assertEquals(4, balance.index);
         assertEquals(7_000, balance.borrowMax);
--- a/src/test/java/yewjunction/vault/StoreWireFormatTest.java
+++ b/src/test/java/yewjunction/store/StoreWireFormatTest.java
@@ -1,15 +1,15 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Codec;
-import yewjunction.base.GoldenBytes;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.GoldenBytes;
 
 /** The bytes of the messages about admission, of stored messages and of the store's snapshot are those of release 0.1.0. */
 class StoreWireFormatTest {
-    private static Terms terms() {
-        final Terms terms = new Terms();
+    private static BorrowingTerms terms() {
+        final BorrowingTerms terms = new BorrowingTerms();
         terms.tenant = "t1";
         terms.rate = 1_500;
         terms.depth = 9_000;
@@ -19,8 +19,8 @@
         return terms;
     }
 
-    static Message message(final int salt) {
-        final Message message = new Message();
+    static StoredMessage message(final int salt) {
+        final StoredMessage message = new StoredMessage();
         message.index = 100L + salt;
         message.topic = "topic." + salt;
         message.client = "client-" + salt;
@@ -28,7 +28,7 @@
         message.body = new byte[] {(byte) salt, 1, 2};
         message.tenant("t1");
         message.stampMs = 300L + salt;
-        message.change = new Terms.Change();
+        message.change = new BorrowingTerms.TermsChange();
         message.change.version = 400L + salt;
         message.change.terms.add(terms());
         return message;
@@ -37,25 +37,25 @@
     @Test
     void messagesKeepTheirBytes() {
         final Map<String, Object> messages = new LinkedHashMap<>();
-        final Letters.Admit admit = new Letters.Admit();
+        final AdmissionMessages.AdmitRequest admit = new AdmissionMessages.AdmitRequest();
         admit.request = 1;
         admit.message = message(2);
         admit.revoked = true;
         messages.put("70", admit);
-        final Letters.Verdict verdict = new Letters.Verdict();
+        final AdmissionMessages.AdmitResponse verdict = new AdmissionMessages.AdmitResponse();
         verdict.request = 3;
-        verdict.what = Letters.ELSEWHERE;
+        verdict.what = AdmissionMessages.ELSEWHERE;
         messages.put("71", verdict);
-        final Codec codec = new Codec();
-        Letters.know(codec);
+        final MessageCodec codec = new MessageCodec();
+        AdmissionMessages.know(codec);
         GoldenBytes.assertUnchanged("store.txt", GoldenBytes.encode(codec, messages));
     }
 
     @Test
     void storedMessagesAndSnapshotsKeepTheirBytes() {
         final Map<String, byte[]> examples = new LinkedHashMap<>();
-        examples.put("message", Cellar.bytes(message(3)));
-        final Cellar store = StoreStateFixture.store();
+        examples.put("message", MessageStore.bytes(message(3)));
+        final MessageStore store = StoreStateFixture.store();
         StoreStateFixture.apply(store, 1);
         examples.put("snapshot", store.snapshot());
         GoldenBytes.assertUnchanged("store-state.txt", examples);
--- a/src/test/java/yewjunction/vault/QuotasTest.java
+++ b/src/test/java/yewjunction/store/TenantRateLimiterTest.java
@@ -1,4 +1,4 @@
-package yewjunction.vault;
+package yewjunction.store;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,19 +6,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.charter.Charter;
+import yewjunction.control.Configuration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class QuotasTest {
-    private static final Charter CHARTER = Charter.read(
+class TenantRateLimiterTest {
+    private static final Configuration CHARTER = Configuration.read(
         "{\"Ver\":1,\"Tenants\":[{\"Name\":\"t\",\"Apikeys\":[\"k\"],\"RatePerS\":30,\"Burst\":30}]}");
     private static final double MOST = (30 * 5 + 30) * 1.1 + 20;
 
-    private static Quotas quotas(final long nowMs) {
-        final Quotas quotas = new Quotas(5, 0.1, 20, nowMs);
+    private static TenantRateLimiter quotas(final long nowMs) {
+        final TenantRateLimiter quotas = new TenantRateLimiter(5, 0.1, 20, nowMs);
         quotas.charter(CHARTER);
         return quotas;
     }
@@ -29,8 +29,8 @@
     void noWindowHoldsMoreThanTheRuleAllows(final long seed) {
         final Random luck = new Random(seed);
         final List<Long> taken = new ArrayList<>();
-        Quotas leader = quotas(0);
-        Quotas follower = quotas(0);
+        TenantRateLimiter leader = quotas(0);
+        TenantRateLimiter follower = quotas(0);
         long changedMs = 0;
         for (long nowMs = 20_000; nowMs < 60_000; nowMs += 2) {
             if (leader.take("t", nowMs)) {
@@ -40,7 +40,7 @@
             // One change a window: more unsettle the core for far longer.
             if (nowMs - changedMs > 5_500 && luck.nextInt(1_000) == 0) {
                 changedMs = nowMs;
-                final Quotas old = leader;
+                final TenantRateLimiter old = leader;
                 leader = follower;
                 follower = luck.nextBoolean() ? old : quotas(nowMs);
                 if (luck.nextInt(3) == 0) {
@@ -60,14 +60,14 @@
 
     @Test
     void aMessageWithoutTenantIsFreeAndOneOfAGoneTenantIsDenied() {
-        final Quotas quotas = quotas(0);
+        final TenantRateLimiter quotas = quotas(0);
         assertTrue(quotas.take("", 1));
         assertFalse(quotas.take("gone", 1));
     }
 
     @Test
     void aTenantBelowItsLimitIsNeverDeniedEvenRightAfterAStart() {
-        final Quotas quotas = quotas(0);
+        final TenantRateLimiter quotas = quotas(0);
         int denied = 0;
         for (long nowMs = 10; nowMs < 20_000; nowMs += 40) {
             denied += quotas.take("t", nowMs) ? 0 : 1;
--- a/src/test/java/yewjunction/weave/WeaveTest.java
+++ b/src/test/java/yewjunction/subscription/AddWinsSetTest.java
@@ -1,4 +1,4 @@
-package yewjunction.weave;
+package yewjunction.subscription;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,12 +17,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** The set against a reference that keeps whole histories: an element is there when some add was seen by no remove. */
-class WeaveTest {
+class AddWinsSetTest {
     private static final List<String> TOPICS = List.of("t1", "t2", "t3");
     private static final List<String> CLIENTS = List.of("c1", "c2");
 
     /** One operation and all that its replica had seen before it. */
-    private record Deed(boolean add, String topic, String client, Set<Deed> seen) {
+    private record Operation(boolean add, String topic, String client, Set<Operation> seen) {
         @Override
         public boolean equals(final Object other) {
             return this == other;
@@ -34,12 +34,12 @@
         }
     }
 
-    private record Copy(byte[] state, Set<Deed> history) {
+    private record Copy(byte[] state, Set<Operation> history) {
     }
 
     private static final class Pair {
-        final Weave weave = new Weave();
-        final Set<Deed> history = new HashSet<>();
+        final AddWinsSet weave = new AddWinsSet();
+        final Set<Operation> history = new HashSet<>();
 
         Pair(final long name) {
             weave.self(name);
@@ -51,11 +51,11 @@
             } else {
                 weave.remove(topic, client);
             }
-            history.add(new Deed(add, topic, client, Set.copyOf(history)));
+            history.add(new Operation(add, topic, client, Set.copyOf(history)));
         }
 
         boolean expected(final String topic, final String client) {
-            for (final Deed add : history) {
+            for (final Operation add : history) {
                 if (add.add && add.topic.equals(topic) && add.client.equals(client)
                     && history.stream().noneMatch(remove -> !remove.add && remove.topic.equals(topic)
                         && remove.client.equals(client) && remove.seen.contains(add))) {
@@ -121,8 +121,8 @@
 
     @Test
     void receivingIsIdempotentAndCommutes() {
-        final Weave one = new Weave();
-        final Weave other = new Weave();
+        final AddWinsSet one = new AddWinsSet();
+        final AddWinsSet other = new AddWinsSet();
         one.self(1);
         other.self(2);
         one.add("t", "a");
@@ -132,10 +132,10 @@
         one.add("t", "a");
         final byte[] ofOne = one.state();
         final byte[] ofOther = other.state();
-        final Weave first = new Weave();
+        final AddWinsSet first = new AddWinsSet();
         first.receive(ofOne);
         first.receive(ofOther);
-        final Weave second = new Weave();
+        final AddWinsSet second = new AddWinsSet();
         second.receive(ofOther);
         second.receive(ofOne);
         second.receive(ofOther);
@@ -154,7 +154,7 @@
 
     @Test
     void aRemovedInstanceDoesNotComeBackWithAnOldState() {
-        final Weave one = new Weave();
+        final AddWinsSet one = new AddWinsSet();
         one.self(1);
         one.add("t", "a");
         final byte[] old = one.state();
@@ -166,10 +166,10 @@
 
     @Test
     void aRetiredReplicaIsForgottenAndItsLateStatesAreIgnored() {
-        final Weave gone = new Weave();
+        final AddWinsSet gone = new AddWinsSet();
         gone.self(1);
         gone.add("t", "a");
-        final Weave reader = new Weave();
+        final AddWinsSet reader = new AddWinsSet();
         reader.receive(gone.state());
         assertTrue(reader.reaches("t", 1));
         reader.replicas(2, Set.of(2L));
@@ -178,7 +178,7 @@
         assertFalse(reader.reaches("t", 1));
         assertEquals(0, reader.observed(1));
         // A name above the newest known one is new, not retired.
-        final Weave fresh = new Weave();
+        final AddWinsSet fresh = new AddWinsSet();
         fresh.self(3);
         fresh.add("t", "b");
         reader.receive(fresh.state());
@@ -187,12 +187,12 @@
 
     @Test
     void absentClientsAreNotCountedButStaySubscribed() {
-        final Weave edge = new Weave();
+        final AddWinsSet edge = new AddWinsSet();
         edge.self(1);
         edge.add("t", "a");
         edge.add("t", "b");
         edge.absent("a", true);
-        final Weave other = new Weave();
+        final AddWinsSet other = new AddWinsSet();
         other.self(2);
         other.receive(edge.state());
         assertEquals(1, other.count("t", replica -> true));
@@ -205,14 +205,14 @@
 
     @Test
     void packingKeepsAllOfAState() {
-        final Weave edge = new Weave();
+        final AddWinsSet edge = new AddWinsSet();
         edge.self(7);
         final Map<String, Long> instances = new HashMap<>();
         for (int i = 0; i < 300; i++) {
             instances.put("topic." + i % 40 + " client" + i, edge.add("topic." + i % 40, "client" + i));
         }
         edge.absent("client7", true);
-        final Weave copy = new Weave();
+        final AddWinsSet copy = new AddWinsSet();
         copy.receive(edge.state());
         instances.forEach((element, instance) -> assertEquals(instance,
             copy.instance(element.split(" ")[0], element.split(" ")[1], 7)));
--- a/src/test/java/yewjunction/system/BorrowingSimTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -8,17 +8,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.charter.Balance;
-import yewjunction.charter.Desk;
-import yewjunction.ledger.Histories;
-import yewjunction.node.VaultNode;
-import yewjunction.vault.BorrowReference;
+import yewjunction.control.AccountBalance;
+import yewjunction.control.OperatorApi;
+import yewjunction.raft.LogReader;
+import yewjunction.node.StoreNode;
+import yewjunction.store.ReferenceAccounts;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** A tenant in a rush borrows ahead through all edges while the vaults fail: one debt, repaid once. */
-class BorrowingSimTest extends Day {
+class BorrowingSimulationTest extends SystemSimulation {
     private static final int RATE = 20;
     private static final int BORROW_MAX = 150;
     /** What each vault held, by tenant and entry, whenever it was looked at. */
@@ -27,21 +27,21 @@
     private int looks;
 
     private static String borrower(final int borrowMax, final double share) {
-        return Town.tenant("rush", "key", RATE).replace("\"Burst\":", "\"BorrowMax\":" + borrowMax + ",\"RepayShare\":" + share + ",\"Burst\":");
+        return SimulatedCluster.tenant("rush", "key", RATE).replace("\"Burst\":", "\"BorrowMax\":" + borrowMax + ",\"RepayShare\":" + share + ",\"Burst\":");
     }
 
     private static String tenants(final int borrowMax, final double share) {
-        return borrower(borrowMax, share) + "," + Town.tenant("calm", "other", 1_000);
+        return borrower(borrowMax, share) + "," + SimulatedCluster.tenant("calm", "other", 1_000);
     }
 
     private void begin(final long seed, final boolean anyRush) {
         quiet = false;
         rush = false;
         open(seed, tenants(BORROW_MAX, 0.5));
-        final List<Customer> rushing = new ArrayList<>();
+        final List<SimulatedClient> rushing = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             final boolean calm = i % 2 == 0;
-            final Customer customer = new Customer(town, judge, (calm ? "calm" : "rush") + i, "zone" + (1 + i % 3), calm ? "other" : "key");
+            final SimulatedClient customer = new SimulatedClient(town, judge, (calm ? "calm" : "rush") + i, "zone" + (1 + i % 3), calm ? "other" : "key");
             customer.subscribe(calm ? "s.calm" : "s.rush");
             if (!calm) {
                 rushing.add(customer);
@@ -56,7 +56,7 @@
         if (anyRush) {
             town.world.every(8, () -> {
                 // Many times its rate, through every edge that its clients happen to be at.
-                final Customer customer = rushing.get(town.world.luck.nextInt(rushing.size()));
+                final SimulatedClient customer = rushing.get(town.world.luck.nextInt(rushing.size()));
                 if (rush && customer.open.size() < 8) {
                     customer.publish("s.rush");
                 }
@@ -68,8 +68,8 @@
     private void look() {
         for (final String vault : town.all("vault")) {
             if (town.world.host(vault).up()) {
-                for (final Balance balance : ((VaultNode) town.nodes.get(vault)).cellar().balances()) {
-                    final String held = BorrowReference.told(balance);
+                for (final AccountBalance balance : ((StoreNode) town.nodes.get(vault)).cellar().balances()) {
+                    final String held = ReferenceAccounts.told(balance);
                     assertEquals(held, seen.computeIfAbsent(balance.tenant + " " + balance.index, key -> held),
                         vault + " differs at " + balance.index);
                     looks++;
@@ -78,31 +78,31 @@
         }
     }
 
-    private BorrowReference reference() {
-        final Map<Long, byte[]> entries = Histories.none();
+    private ReferenceAccounts reference() {
+        final Map<Long, byte[]> entries = LogReader.none();
         for (final String vault : town.all("vault")) {
-            Histories.gather(town.world.host(vault).disk, "messages", Long.MAX_VALUE, entries);
+            LogReader.gather(town.world.host(vault).disk, "messages", Long.MAX_VALUE, entries);
         }
-        final BorrowReference reference = new BorrowReference();
+        final ReferenceAccounts reference = new ReferenceAccounts();
         reference.replay(entries);
         return reference;
     }
 
     /** All is quiet and repaid; whatever was seen at any vault is what the committed history says. */
-    private BorrowReference repaid() {
+    private ReferenceAccounts repaid() {
         rush = false;
         town.world.join();
         town.bootAll();
         town.world.runFor(1_000 * 2 * BORROW_MAX / RATE + 8_000);
         settle();
         look();
-        final BorrowReference reference = reference();
+        final ReferenceAccounts reference = reference();
         seen.forEach((place, held) -> {
             final int gap = place.indexOf(' ');
             assertEquals(reference.at(place.substring(0, gap), Long.parseLong(place.substring(gap + 1))), held, place);
         });
         for (final String vault : town.all("vault")) {
-            final List<Balance> balances = ((VaultNode) town.nodes.get(vault)).cellar().balances();
+            final List<AccountBalance> balances = ((StoreNode) town.nodes.get(vault)).cellar().balances();
             assertEquals(1, balances.size(), vault);
             assertEquals(0, balances.get(0).debt, vault);
             assertEquals(balances.get(0).borrowed, balances.get(0).repaid, vault);
@@ -113,7 +113,7 @@
     }
 
     private String leader() {
-        return town.all("vault").stream().filter(vault -> town.world.host(vault).up() && ((VaultNode) town.nodes.get(vault)).leads())
+        return town.all("vault").stream().filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
             .findFirst().orElse(town.all("vault").get(0));
     }
 
@@ -126,9 +126,9 @@
         final String shown = town.insist("GET", "/-/quota/rush/show", 0, "", 200).json();
         assertTrue(shown.contains("\"BorrowMax\":" + BORROW_MAX) && shown.contains("\"Debt\":1"), shown);
         assertTrue(town.insist("GET", "/-/quota/calm/show", 0, "", 200).json().contains("\"Vaults\":[]"));
-        final Desk.Answer unknown = town.insist("GET", "/-/quota/nobody/show", 0, "", 404);
+        final OperatorApi.Response unknown = town.insist("GET", "/-/quota/nobody/show", 0, "", 404);
         assertTrue(unknown.json().contains("TENANT_UNKNOWN"), unknown.json());
-        final BorrowReference reference = repaid();
+        final ReferenceAccounts reference = repaid();
         assertTrue(reference.mostDebt > 900L * BORROW_MAX, "owed at most " + reference.mostDebt);
         assertTrue(looks > 500, "looked " + looks);
     }
@@ -163,12 +163,12 @@
                 case 4 -> {
                     town.kill(lead);
                     town.kill(town.readyEdges(null).get(0));
-                    town.customers.forEach(Customer::cut);
+                    town.customers.forEach(SimulatedClient::cut);
                 }
                 case 5 -> town.stop(lead);
                 default -> {
                     final boolean higher = town.world.luck.nextBoolean();
-                    town.configure(Town.route("s."), tenants(higher ? BORROW_MAX : BORROW_MAX / 3, higher ? 0.5 : 0.25));
+                    town.configure(SimulatedCluster.route("s."), tenants(higher ? BORROW_MAX : BORROW_MAX / 3, higher ? 0.5 : 0.25));
                 }
             }
             town.world.runFor(1_200);
@@ -176,8 +176,8 @@
             town.bootAll();
             town.world.runFor(2_500);
         }
-        town.configure(Town.route("s."), tenants(BORROW_MAX, 1.0));
-        final BorrowReference reference = repaid();
+        town.configure(SimulatedCluster.route("s."), tenants(BORROW_MAX, 1.0));
+        final ReferenceAccounts reference = repaid();
         assertTrue(reference.timesBorrowed.get("rush") > 50, "borrowed " + reference.timesBorrowed);
         assertEquals(List.of(), judge.expired);
     }
@@ -189,12 +189,12 @@
         rush = true;
         town.world.runFor(6_000);
         rush = false;
-        town.configure(Town.route("s."), Town.tenant("calm", "other", 1_000));
+        town.configure(SimulatedCluster.route("s."), SimulatedCluster.tenant("calm", "other", 1_000));
         town.world.runFor(4_000);
         final String gone = town.insist("GET", "/-/quota/rush/show", 0, "", 200).json();
-        town.configure(Town.route("s."), tenants(BORROW_MAX, 0.5));
+        town.configure(SimulatedCluster.route("s."), tenants(BORROW_MAX, 0.5));
         town.world.runFor(600);
-        final List<Balance> balances = ((VaultNode) town.nodes.get(leader())).cellar().balances();
+        final List<AccountBalance> balances = ((StoreNode) town.nodes.get(leader())).cellar().balances();
         assertTrue(balances.get(0).debt > 50_000, gone);
         repaid();
     }
--- a/src/test/java/yewjunction/system/Operators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.Consumer;
-import yewjunction.charter.Desk;
-import yewjunction.node.CruxNode;
-import yewjunction.sim.Host;
+import yewjunction.control.OperatorApi;
+import yewjunction.node.ControlNode;
+import yewjunction.simulation.SimulatedHost;
 
 /** Operators that change and look all the time, lose answers and repeat at other cruxes; all they see is written down. */
-final class Operators {
-    final Town town;
-    final List<Register.Call> history = new ArrayList<>();
+final class ConcurrentOperators {
+    final SimulatedCluster town;
+    final List<LinearizabilityChecker.Call> history = new ArrayList<>();
     private final Random luck;
     private final Gate gate;
     private long known;
@@ -21,20 +21,20 @@
 
     /** Between the operators and the cruxes: passes calls on, or answers in their place. */
     interface Gate {
-        void call(String crux, Desk.Request request, Consumer<Desk.Answer> answer);
+        void call(String crux, OperatorApi.Request request, Consumer<OperatorApi.Response> answer);
     }
 
-    Operators(final Town town, final long seed, final Gate gate) {
+    ConcurrentOperators(final SimulatedCluster town, final long seed, final Gate gate) {
         this.town = town;
         this.gate = gate;
         luck = new Random(seed);
     }
 
     /** The real desk of a crux, where its process is up. */
-    static void ask(final Town town, final String crux, final Desk.Request request, final Consumer<Desk.Answer> answer) {
-        final Host host = town.world.host(crux);
+    static void ask(final SimulatedCluster town, final String crux, final OperatorApi.Request request, final Consumer<OperatorApi.Response> answer) {
+        final SimulatedHost host = town.world.host(crux);
         if (host.up()) {
-            host.post(() -> ((CruxNode) town.nodes.get(crux)).desk().take(request, answer));
+            host.post(() -> ((ControlNode) town.nodes.get(crux)).desk().take(request, answer));
         }
     }
 
@@ -49,7 +49,7 @@
             return;
         }
         if (luck.nextInt(3) == 0) {
-            attempt(new Register.Call(0, 0, null, "", 0, 0, 0), "", 0);
+            attempt(new LinearizabilityChecker.Call(0, 0, null, "", 0, 0, 0), "", 0);
             return;
         }
         // Mostly on what was seen last, at times on what is old or not there yet; two may pick the same number.
@@ -57,11 +57,11 @@
         final long version = base + 1 + luck.nextInt(2);
         final String change = "c" + ++changes + ".";
         final boolean update = base > 0 && luck.nextInt(3) == 0;
-        final Register.Call call = new Register.Call(base, version, change, "", 0, 0, 0);
-        attempt(call, update ? Orders.update(version, change) : Orders.config(version, change), 0);
+        final LinearizabilityChecker.Call call = new LinearizabilityChecker.Call(base, version, change, "", 0, 0, 0);
+        attempt(call, update ? OperatorCalls.update(version, change) : OperatorCalls.config(version, change), 0);
     }
 
-    private void attempt(final Register.Call call, final String body, final int attempt) {
+    private void attempt(final LinearizabilityChecker.Call call, final String body, final int attempt) {
         if (attempt == 5 || quiet) {
             town.world.after(20 + luck.nextInt(100), this::next);
             return;
@@ -73,12 +73,12 @@
         final Runnable again = () -> {
             if (!over[0]) {
                 over[0] = true;
-                history.add(new Register.Call(call.base(), call.version(), call.change(), "", 0, calledMs, Register.NEVER));
+                history.add(new LinearizabilityChecker.Call(call.base(), call.version(), call.change(), "", 0, calledMs, LinearizabilityChecker.NEVER));
                 town.world.after(luck.nextInt(150), () -> attempt(call, body, attempt + 1));
             }
         };
         town.world.after(1_000, again);
-        final Consumer<Desk.Answer> answered = answer -> {
+        final Consumer<OperatorApi.Response> answered = answer -> {
             if (over[0] || luck.nextInt(4) == 0) {
                 return;
             }
@@ -90,11 +90,11 @@
             note(call, answer, calledMs);
             town.world.after(20 + luck.nextInt(100), this::next);
         };
-        gate.call(cruxes.get(luck.nextInt(cruxes.size())), new Desk.Request(call.change() == null ? "GET" : "POST",
+        gate.call(cruxes.get(luck.nextInt(cruxes.size())), new OperatorApi.Request(call.change() == null ? "GET" : "POST",
             "/-/config/" + path, "" + call.base(), body.getBytes(StandardCharsets.UTF_8)), answer -> {
                 // A redirect is followed once, as callers do.
                 if (answer.status() == 307 && !over[0]) {
-                    gate.call(answer.leaderAddress(), new Desk.Request(call.change() == null ? "GET" : "POST", "/-/config/" + path,
+                    gate.call(answer.leaderAddress(), new OperatorApi.Request(call.change() == null ? "GET" : "POST", "/-/config/" + path,
                         "" + call.base(), body.getBytes(StandardCharsets.UTF_8)), answered);
                 } else {
                     answered.accept(answer);
@@ -102,12 +102,12 @@
             });
     }
 
-    private void note(final Register.Call call, final Desk.Answer answer, final long calledMs) {
+    private void note(final LinearizabilityChecker.Call call, final OperatorApi.Response answer, final long calledMs) {
         final long version = call.change() != null || answer.status() != 200 ? call.version()
             : Long.parseLong(answer.json().replaceAll(".*\"Ver\":([0-9]+).*", "$1"));
         if (answer.status() == 200) {
             known = Math.max(known, version);
         }
-        history.add(new Register.Call(call.base(), version, call.change(), answer.json(), answer.status(), calledMs, town.world.nowMs()));
+        history.add(new LinearizabilityChecker.Call(call.base(), version, call.change(), answer.json(), answer.status(), calledMs, town.world.nowMs()));
     }
 }
--- a/src/test/java/yewjunction/system/Judge.java
+++ b/src/test/java/yewjunction/system/DeliveryChecker.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Holds what clients saw against the rules. */
-final class Judge {
+final class DeliveryChecker {
     private final Map<String, Sent> sent = new HashMap<>();
     private final Map<String, Reading> readings = new HashMap<>();
     private final Map<String, String> atPosition = new HashMap<>();
@@ -35,9 +35,9 @@
     /** Of all that was acknowledged, when the newest was first sent. */
     long newestAckedMs;
     /** All that clients saw, in the order in which each of them saw it. */
-    final List<Sight> sights = new ArrayList<>();
+    final List<Delivery> sights = new ArrayList<>();
 
-    record Sight(String client, String topic, long position, String sender, long number) {
+    record Delivery(String client, String topic, long position, String sender, long number) {
     }
 
 
@@ -132,7 +132,7 @@
     void received(final String client, final String topic, final long position, final String sender, final long number,
             final String body) {
         deliveries++;
-        sights.add(new Sight(client, topic, position, sender, number));
+        sights.add(new Delivery(client, topic, position, sender, number));
         final Sent one = sent.get(body);
         assertNotNull(one, "a message that nobody sent: " + body);
         arrivals.add(new Arrival(client, one.firstMs, clock.getAsLong()));
--- a/src/test/java/yewjunction/system/PartnersSimTest.java
+++ b/src/test/java/yewjunction/system/FairnessSimulationTest.java
@@ -9,20 +9,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** One partner floods and its readers stall and come back in numbers: the others' messages take no longer for it. */
-class PartnersSimTest extends Day {
+class FairnessSimulationTest extends SystemSimulation {
     /** Times the figure of the same day without the flood. */
     private static final double FACTOR = 2.0;
 
     /** Delays of the calm tenant's messages, sorted. */
     private List<Long> play(final boolean flood) {
         quiet = false;
-        open(77, Town.tenant("calm", "calm", 1_000) + "," + Town.tenant("loud", "loud", 1_000));
+        open(77, SimulatedCluster.tenant("calm", "calm", 1_000) + "," + SimulatedCluster.tenant("loud", "loud", 1_000));
         town.world.loss = 0;
-        final List<Customer> calm = new ArrayList<>();
-        final List<Customer> loud = new ArrayList<>();
+        final List<SimulatedClient> calm = new ArrayList<>();
+        final List<SimulatedClient> loud = new ArrayList<>();
         for (int i = 0; i < 18; i++) {
             final boolean isCalm = i < 6;
-            final Customer customer = new Customer(town, judge, (isCalm ? "calm" : "loud") + i, "zone" + (1 + i % 3), isCalm ? "calm" : "loud");
+            final SimulatedClient customer = new SimulatedClient(town, judge, (isCalm ? "calm" : "loud") + i, "zone" + (1 + i % 3), isCalm ? "calm" : "loud");
             if (!isCalm) {
                 customer.padding = 4_000;
                 customer.filters.put("s.loud", "key-*,nobody,nothing*");
@@ -45,7 +45,7 @@
             // Some of its readers read nothing for seconds, and all of them come back at once with old cursors.
             town.world.every(3_000, () -> {
                 loud.subList(0, 4).forEach(customer -> customer.stall(1_500));
-                loud.subList(4, 12).forEach(Customer::cut);
+                loud.subList(4, 12).forEach(SimulatedClient::cut);
             });
         }
         town.world.runFor(15_000);
--- a/src/test/java/yewjunction/system/Strikes.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import yewjunction.node.VaultNode;
+import yewjunction.node.StoreNode;
 import yewjunction.settings.Settings;
-import yewjunction.sim.Host;
+import yewjunction.simulation.SimulatedHost;
 
 /** What can be done to a town's machines, each deed noted. */
-abstract class Strikes {
+abstract class FaultInjector {
     /** ms; for so long a machine that came back still counts as lost. */
     static final long SYNC_MS = 4_000;
     /** What was done when: with the seed, all that is needed to look at a failing world. */
     final List<String> plan = new ArrayList<>();
-    final Town town;
+    final SimulatedCluster town;
     final Random draw;
     private int machines = 100;
 
-    Strikes(final Town town, final Random draw) {
+    FaultInjector(final SimulatedCluster town, final Random draw) {
         this.town = town;
         this.draw = draw;
     }
@@ -35,17 +35,17 @@
         return town.nodes.keySet().stream().filter(address -> machine(address).equals(machine)).toList();
     }
 
-    List<Host> hosts(final String machine) {
+    List<SimulatedHost> hosts(final String machine) {
         return on(machine).stream().map(town.world::host).toList();
     }
 
     List<String> core() {
-        return town.nodes.keySet().stream().filter(address -> !machine(address).endsWith(".2")).map(Troubles::machine).distinct().toList();
+        return town.nodes.keySet().stream().filter(address -> !machine(address).endsWith(".2")).map(RandomFaults::machine).distinct().toList();
     }
 
     /** Whoever leads the vaults, or the first of them. */
     String leader() {
-        return town.all("vault").stream().filter(vault -> town.world.host(vault).up() && ((VaultNode) town.nodes.get(vault)).leads())
+        return town.all("vault").stream().filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
             .findFirst().orElse(town.all("vault").get(0));
     }
 
@@ -66,7 +66,7 @@
     /** Two machines at once, often of one group: each by itself is killed, cut off, frozen, without power, or without its disk. */
     void pair() {
         final List<String> from = draw.nextInt(3) == 0 ? core() : (draw.nextBoolean() ? town.all("vault") : town.all("crux")).stream()
-            .map(Strikes::machine).toList();
+            .map(FaultInjector::machine).toList();
         final String first = draw.nextBoolean() && from.contains(machine(leader())) ? machine(leader()) : from.get(draw.nextInt(from.size()));
         final List<String> others = from.stream().filter(one -> !one.equals(first)).toList();
         strike(first);
@@ -86,7 +86,7 @@
             case 1 -> on(victim).forEach(town::powerOff);
             case 2 -> wipe(victim);
             case 3 -> town.nodes.keySet().stream().filter(other -> !machine(other).equals(victim)).forEach(other -> town.world.cut(victim + ":", other));
-            case 4 -> hosts(victim).forEach(Host::freeze);
+            case 4 -> hosts(victim).forEach(SimulatedHost::freeze);
             default -> {
                 remove(victim);
                 town.world.after(1_000, () -> note("by " + bootLike(victim)));
@@ -108,11 +108,11 @@
 
     void killAsItWakes(final String victim, final long forMs) {
         note("frozen, links reset, killed as it wakes " + victim + " " + forMs);
-        hosts(victim).forEach(Host::freeze);
+        hosts(victim).forEach(SimulatedHost::freeze);
         town.world.runFor(forMs / 2);
-        hosts(victim).forEach(Host::resetLinks);
+        hosts(victim).forEach(SimulatedHost::resetLinks);
         town.world.runFor(forMs / 2);
-        hosts(victim).forEach(Host::thaw);
+        hosts(victim).forEach(SimulatedHost::thaw);
         town.world.runFor(draw.nextInt(30));
         on(victim).forEach(town::kill);
         lost(span(100, 2_000));
@@ -120,14 +120,14 @@
 
     void wipe(final String machine) {
         on(machine).forEach(town::powerOff);
-        hosts(machine).forEach(Host::wipe);
+        hosts(machine).forEach(SimulatedHost::wipe);
     }
 
     void cut(final String victim, final long forMs) {
         final boolean fromCoreOnly = draw.nextBoolean();
         final int ways = draw.nextInt(3);
         note("cut " + victim + (fromCoreOnly ? " from the core" : "") + " " + List.of("both ways", "out", "in").get(ways) + " " + forMs);
-        for (final String other : fromCoreOnly ? core() : town.nodes.keySet().stream().map(Troubles::machine).distinct().toList()) {
+        for (final String other : fromCoreOnly ? core() : town.nodes.keySet().stream().map(RandomFaults::machine).distinct().toList()) {
             if (!other.equals(victim) && ways != 2) {
                 town.world.cutOneWay(victim + ":", other + ":");
             }
@@ -149,9 +149,9 @@
         final String fresh = machine.substring(0, machine.lastIndexOf('.') + 1) + (machines % 1_000 + (vault ? 9 : 1));
         town.seeds = town.all("crux").stream().filter(crux -> town.world.host(crux).up()).limit(3).map(crux -> machine(crux) + ":8024").toList();
         if (!vault) {
-            town.boot(fresh + ":" + (Town.PORT + Settings.CRUX_OFFSET), false);
+            town.boot(fresh + ":" + (SimulatedCluster.PORT + Settings.CRUX_OFFSET), false);
         }
-        town.boot(fresh + ":" + Town.PORT, false);
+        town.boot(fresh + ":" + SimulatedCluster.PORT, false);
         return fresh;
     }
 
@@ -180,7 +180,7 @@
         town.world.runFor(span(1_000, 3_000));
         note("stop " + victim);
         on(victim).forEach(town::stop);
-        town.world.runUntil(() -> hosts(victim).stream().noneMatch(Host::up), 6_000);
+        town.world.runUntil(() -> hosts(victim).stream().noneMatch(SimulatedHost::up), 6_000);
         remove(victim);
         town.world.runFor(Math.max(1_000, startMs + SYNC_MS - town.world.nowMs()));
     }
--- a/src/test/java/yewjunction/system/StandIns.java
+++ b/src/test/java/yewjunction/system/FaultyOperatorApi.java
@@ -3,39 +3,39 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Function;
-import yewjunction.charter.Desk;
-import yewjunction.node.CruxNode;
+import yewjunction.control.OperatorApi;
+import yewjunction.node.ControlNode;
 
 /** Desks with a fault, for the tests that are to find it. */
-final class StandIns {
-    private StandIns() {
+final class FaultyOperatorApi {
+    private FaultyOperatorApi() {
     }
 
-    static Operators.Gate real(final Town town) {
-        return (crux, request, answer) -> Operators.ask(town, crux, request, answer);
+    static ConcurrentOperators.Gate real(final SimulatedCluster town) {
+        return (crux, request, answer) -> ConcurrentOperators.ask(town, crux, request, answer);
     }
 
-    private static Operators.Gate changed(final Town town, final Change change) {
-        return (crux, request, answer) -> Operators.ask(town, crux, request, told -> answer.accept(change.of(request, told)));
+    private static ConcurrentOperators.Gate changed(final SimulatedCluster town, final Change change) {
+        return (crux, request, answer) -> ConcurrentOperators.ask(town, crux, request, told -> answer.accept(change.of(request, told)));
     }
 
     /** What a stand-in makes of a real answer. */
     private interface Change {
-        Desk.Answer of(Desk.Request request, Desk.Answer told);
+        OperatorApi.Response of(OperatorApi.Request request, OperatorApi.Response told);
     }
 
-    private static Desk.Answer says(final int status) {
-        return new Desk.Answer(status, "{}", null);
+    private static OperatorApi.Response says(final int status) {
+        return new OperatorApi.Response(status, "{}", null);
     }
 
     /** Refuses by its own state, as long as it believes that it leads. */
-    static Operators.Gate refusesFromStaleState(final Town town) {
+    static ConcurrentOperators.Gate refusesFromStaleState(final SimulatedCluster town) {
         return (crux, request, answer) -> {
             if (!town.world.host(crux).up()) {
                 return;
             }
             final String[] page = new String[1];
-            ((CruxNode) town.nodes.get(crux)).desk().take(new Desk.Request("GET", "/-/outlook/show", null, new byte[0]),
+            ((ControlNode) town.nodes.get(crux)).desk().take(new OperatorApi.Request("GET", "/-/outlook/show", null, new byte[0]),
                 told -> page[0] = told.json());
             final boolean leads = page[0].contains("\"Leads\":true");
             final String version = page[0].replaceAll(".*\"Ver\":([0-9]+).*", "$1");
@@ -43,20 +43,20 @@
             if (leads && order && Long.parseLong(version) < Long.parseLong(request.base())) {
                 answer.accept(says(412));
             } else {
-                Operators.ask(town, crux, request, answer);
+                ConcurrentOperators.ask(town, crux, request, answer);
             }
         };
     }
 
     /** Knows by the base alone: a repeat of what was taken looks like any order on an old base. */
-    static Operators.Gate refusesWhatWasTaken(final Town town) {
+    static ConcurrentOperators.Gate refusesWhatWasTaken(final SimulatedCluster town) {
         final Set<String> taken = new HashSet<>();
         return changed(town, (request, told) -> told.status() == 200 && request.method().equals("POST")
             && !taken.add(request.base() + new String(request.body())) ? says(412) : told);
     }
 
     /** Knows what was taken by its number alone: the other of a pair with one number is taken for its repeat. */
-    static Operators.Gate acknowledgesBothOfAPair(final Town town) {
+    static ConcurrentOperators.Gate acknowledgesBothOfAPair(final SimulatedCluster town) {
         final Set<String> taken = new HashSet<>();
         return changed(town, (request, told) -> {
             final String pair = request.base() + new String(request.body()).replaceAll(".*\"Ver\":([0-9]+).*", " $1");
@@ -68,7 +68,7 @@
     }
 
     /** Answers one status in the place of another, to what is asked of machines. */
-    static Function<Town, Operators.Gate> ofMachines(final int real, final int instead) {
+    static Function<SimulatedCluster, ConcurrentOperators.Gate> ofMachines(final int real, final int instead) {
         return town -> changed(town, (request, told) -> told.status() == real && request.path().contains("retire") ? says(instead) : told);
     }
 }
--- a/src/test/java/yewjunction/system/FilterSimTest.java
+++ b/src/test/java/yewjunction/system/FilterSimulationTest.java
@@ -9,13 +9,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Filters under load while edges fail, drain and are cut off, and while filters change mid-flow. */
-class FilterSimTest extends Day {
+class FilterSimulationTest extends SystemSimulation {
     private static final List<String> FILTERS = List.of("key-1", "key-1,key-3,key-5", "key-*", "key-2", "nobody-sends-this", "*");
 
     private void begin(final long seed) {
-        open(seed, Town.tenant("t", "key", 1_000) + "," + Town.tenant("u", "other", 1_000));
+        open(seed, SimulatedCluster.tenant("t", "key", 1_000) + "," + SimulatedCluster.tenant("u", "other", 1_000));
         for (int i = 0; i < 12; i++) {
-            final Customer customer = new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), i % 2 == 0 ? "key" : "other");
+            final SimulatedClient customer = new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), i % 2 == 0 ? "key" : "other");
             // The first three read everything and tell the judge where each message stands.
             for (int topic = 0; topic < 3; topic++) {
                 if (i >= 3) {
@@ -28,7 +28,7 @@
     }
 
     private void change() {
-        final Customer customer = town.customers.get(3 + town.world.luck.nextInt(town.customers.size() - 3));
+        final SimulatedClient customer = town.customers.get(3 + town.world.luck.nextInt(town.customers.size() - 3));
         customer.filter("s.t" + town.world.luck.nextInt(3), FILTERS.get(town.world.luck.nextInt(FILTERS.size())));
     }
 
@@ -70,7 +70,7 @@
     @Test
     void aCursorStaysFreshThoughNothingWantedComes() {
         begin(21);
-        final Customer reader = new Customer(town, judge, "patient", "zone1", "key");
+        final SimulatedClient reader = new SimulatedClient(town, judge, "patient", "zone1", "key");
         reader.filters.put("s.t0", "nobody-sends-this");
         reader.subscribe("s.t0");
         // Far longer than messages are kept; then its edge dies and it takes up its cursor elsewhere.
@@ -86,7 +86,7 @@
     @Test
     void aBadFilterLeavesTheOneInForce() {
         begin(22);
-        final Customer reader = town.customers.get(3);
+        final SimulatedClient reader = town.customers.get(3);
         reader.filter("s.t0", "key-1");
         town.world.runFor(500);
         // The customer notes a filter only when told that it is in force.
--- a/src/test/java/yewjunction/system/Frames.java
+++ b/src/test/java/yewjunction/system/FrameSplitter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Cuts what a client hears into whole messages. */
-final class Frames {
+final class FrameSplitter {
     private String text = "";
 
     record Frame(String[] fields, String body) {
--- a/src/test/java/yewjunction/system/DarkSiteSimTest.java
+++ b/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
@@ -7,33 +7,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.node.VaultNode;
+import yewjunction.node.StoreNode;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** A site loses its link under load and comes back: one history, each message once and in order, no partner first. */
-class DarkSiteSimTest extends Day {
+class IsolatedSiteSimulationTest extends SystemSimulation {
     private static final int TENANTS = 4;
     private int heavyShare;
 
     private void begin(final long seed) {
         final StringBuilder tenants = new StringBuilder();
         for (int tenant = 0; tenant < TENANTS; tenant++) {
-            tenants.append(tenant == 0 ? "" : ",").append(Town.tenant("t" + tenant, "key" + tenant, 1_000));
+            tenants.append(tenant == 0 ? "" : ",").append(SimulatedCluster.tenant("t" + tenant, "key" + tenant, 1_000));
         }
         open(seed, tenants.toString());
         for (int i = 0; i < 6 * TENANTS; i++) {
-            final Customer customer = new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), "key" + tenant("c" + i));
+            final SimulatedClient customer = new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key" + tenant("c" + i));
             customer.subscribe("s.t" + tenant(customer.name));
         }
         town.world.runFor(2_000);
         town.world.every(12, () -> {
-            final List<Customer> all = town.customers;
+            final List<SimulatedClient> all = town.customers;
             // The first tenant may be made to send most.
             final int chosen = town.world.luck.nextInt(100) < heavyShare ? TENANTS * town.world.luck.nextInt(6)
                 : town.world.luck.nextInt(all.size());
-            final Customer customer = all.get(chosen);
+            final SimulatedClient customer = all.get(chosen);
             if (customer.open.size() < 8 && !quiet) {
                 customer.publish("s.t" + tenant(customer.name));
             }
@@ -54,7 +54,7 @@
     private void sameHistories() {
         final Map<Long, String> history = new TreeMap<>();
         for (final String vault : town.all("vault")) {
-            ((VaultNode) town.nodes.get(vault)).cellar().between(0, Long.MAX_VALUE).forEach(message -> {
+            ((StoreNode) town.nodes.get(vault)).cellar().between(0, Long.MAX_VALUE).forEach(message -> {
                 final String told = message.topic + " " + message.client + " " + message.number;
                 assertEquals(told, history.computeIfAbsent(message.index, key -> told), "at " + message.index);
             });
@@ -80,7 +80,7 @@
                     // Long: leases lapse, clients move out and come back; an edge of the site dies in the dark.
                     town.darken(zone, withVault);
                     town.world.runFor(6_000);
-                    town.kill(town.all("tide").stream().filter(edge -> Town.zone(edge).equals(zone)).findFirst().orElseThrow());
+                    town.kill(town.all("tide").stream().filter(edge -> SimulatedCluster.zone(edge).equals(zone)).findFirst().orElseThrow());
                     town.world.runFor(3_000);
                 }
                 case 2 -> {
@@ -96,7 +96,7 @@
                     // The lead changes meanwhile.
                     town.darken(zone, withVault);
                     town.world.runFor(800);
-                    final List<String> outside = town.all("vault").stream().filter(vault -> !Town.zone(vault).equals(zone)).toList();
+                    final List<String> outside = town.all("vault").stream().filter(vault -> !SimulatedCluster.zone(vault).equals(zone)).toList();
                     town.kill(outside.get(town.world.luck.nextInt(2)));
                     town.world.runFor(1_500);
                 }
--- a/src/test/java/yewjunction/system/Register.java
+++ b/src/test/java/yewjunction/system/LinearizabilityChecker.java
@@ -10,7 +10,7 @@
  * Whether calls that overlapped can have happened one by one on a plain register with compare-and-set: Wing and Gong's
  * search, with a memory of what was tried. A call without a clear answer may have taken effect at any time later, or never.
  */
-final class Register {
+final class LinearizabilityChecker {
     /** Of calls that never returned. */
     static final long NEVER = Long.MAX_VALUE;
 
@@ -33,7 +33,7 @@
     private final List<Call> taken = new ArrayList<>();
     int steps;
 
-    Register(final List<Call> calls) {
+    LinearizabilityChecker(final List<Call> calls) {
         calls.forEach(call -> (call.clear() ? clear : unclear).add(call));
         clear.sort(java.util.Comparator.comparingLong(Call::calledMs));
         // Looks without an answer say nothing.
--- a/src/test/java/yewjunction/system/HistorySimTest.java
+++ b/src/test/java/yewjunction/system/LinearizabilitySimulationTest.java
@@ -10,17 +10,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.system.Register.NEVER;
+import static yewjunction.system.LinearizabilityChecker.NEVER;
 
 /** What operators saw through the worst of days, against a plain register with compare-and-set. */
-class HistorySimTest {
+class LinearizabilitySimulationTest {
     private static final int SEEDS = 12;
-    private Town town;
+    private SimulatedCluster town;
 
-    private List<Register.Call> history(final long seed, final Function<Town, Operators.Gate> plant) {
-        town = new Town(seed, true);
-        final Operators operators = new Operators(town, seed * 31, plant.apply(town));
-        final Orders orders = new Orders(town);
+    private List<LinearizabilityChecker.Call> history(final long seed, final Function<SimulatedCluster, ConcurrentOperators.Gate> plant) {
+        town = new SimulatedCluster(seed, true);
+        final ConcurrentOperators operators = new ConcurrentOperators(town, seed * 31, plant.apply(town));
+        final OperatorCalls orders = new OperatorCalls(town);
         final Random trouble = new Random(seed * 37);
         town.world.runFor(1_500);
         operators.begin();
@@ -56,45 +56,45 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void whatOperatorsSeeIsARegisters(final long seed) {
-        final List<Register.Call> history = history(seed, StandIns::real);
+        final List<LinearizabilityChecker.Call> history = history(seed, FaultyOperatorApi::real);
         final long taken = history.stream().filter(call -> call.change() != null && call.status() == 200).count();
         final long refused = history.stream().filter(call -> call.status() == 412).count();
         final long unclear = history.stream().filter(call -> call.status() == 0).count();
         assertTrue(taken > 20 && refused > 10 && unclear > 20, taken + " taken, " + refused + " refused, " + unclear + " unclear");
-        final Register register = new Register(history);
+        final LinearizabilityChecker register = new LinearizabilityChecker(history);
         assertTrue(register.linearizes(), () -> "no order of " + history.size() + " calls after " + register.steps + " steps");
     }
 
-    private void isFound(final Function<Town, Operators.Gate> plant) {
+    private void isFound(final Function<SimulatedCluster, ConcurrentOperators.Gate> plant) {
         boolean found = false;
         for (long seed = 1; seed <= SEEDS && !found; seed++) {
-            found = !new Register(history(seed, plant)).linearizes();
+            found = !new LinearizabilityChecker(history(seed, plant)).linearizes();
         }
         assertTrue(found, "found in none of " + SEEDS);
     }
 
     @Test
     void aRefusalFromStaleStateIsFound() {
-        isFound(StandIns::refusesFromStaleState);
+        isFound(FaultyOperatorApi::refusesFromStaleState);
     }
 
     @Test
     void aRefusalOfWhatWasTakenIsFound() {
-        isFound(StandIns::refusesWhatWasTaken);
+        isFound(FaultyOperatorApi::refusesWhatWasTaken);
     }
 
     @Test
     void anAcknowledgementOfBothOfARacedPairIsFound() {
-        isFound(StandIns::acknowledgesBothOfAPair);
+        isFound(FaultyOperatorApi::acknowledgesBothOfAPair);
     }
 
-    private static Register.Call order(final long base, final long version, final String change, final int status,
+    private static LinearizabilityChecker.Call order(final long base, final long version, final String change, final int status,
             final long calledMs, final long returnedMs) {
-        return new Register.Call(base, version, change, "a", status, calledMs, returnedMs);
+        return new LinearizabilityChecker.Call(base, version, change, "a", status, calledMs, returnedMs);
     }
 
-    private static boolean possible(final Register.Call... calls) {
-        return new Register(List.of(calls)).linearizes();
+    private static boolean possible(final LinearizabilityChecker.Call... calls) {
+        return new LinearizabilityChecker(List.of(calls)).linearizes();
     }
 
     @Test
@@ -111,6 +111,6 @@
         assertTrue(possible(order(0, 1, "a", 0, 1, NEVER), order(0, 0, null, 404, 3, 4), order(0, 1, null, 200, 5, 6), order(1, 2, "b", 200, 7, 8)));
         assertFalse(possible(order(0, 1, "a", 0, 1, NEVER), order(0, 1, null, 200, 3, 4), order(0, 0, null, 404, 5, 6)));
         assertTrue(possible(order(0, 1, "a", 0, 1, NEVER), order(0, 2, "b", 200, 3, 4)));
-        assertEquals(0, new Register(List.of()).steps);
+        assertEquals(0, new LinearizabilityChecker(List.of()).steps);
     }
 }
--- a/src/test/java/yewjunction/system/DeskSimTest.java
+++ b/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
@@ -7,26 +7,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.charter.Desk;
-import yewjunction.node.CruxNode;
-import yewjunction.system.Orders.Call;
+import yewjunction.control.OperatorApi;
+import yewjunction.node.ControlNode;
+import yewjunction.system.OperatorCalls.Call;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.system.Orders.config;
-import static yewjunction.system.Orders.update;
+import static yewjunction.system.OperatorCalls.config;
+import static yewjunction.system.OperatorCalls.update;
 
 /** What the operator's desk says while leaders are cut off, deposed and new. */
-class DeskSimTest {
+class OperatorApiSimulationTest {
     private static final String REPLACE = "/-/config/replace";
-    private Town town;
-    private Orders orders;
+    private SimulatedCluster town;
+    private OperatorCalls orders;
     /** What stands before the real desks: nothing, or a fault that the test is to find. */
-    private Function<Town, Operators.Gate> plant = StandIns::real;
+    private Function<SimulatedCluster, ConcurrentOperators.Gate> plant = FaultyOperatorApi::real;
 
     private void begin(final long seed) {
-        orders = Orders.begun(seed, plant);
+        orders = OperatorCalls.begun(seed, plant);
         town = orders.town;
     }
 
@@ -219,7 +219,7 @@
     @Test
     void whatWasNotWorkedOutIsNeitherTakenNorInTheWay() {
         begin(11);
-        final Desk desk = ((CruxNode) town.nodes.get(orders.leader())).desk();
+        final OperatorApi desk = ((ControlNode) town.nodes.get(orders.leader())).desk();
         desk.readBy((blocking, afterwards) -> afterwards.run());
         assertEquals(503, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
         desk.readBy((blocking, afterwards) -> { throw new OutOfMemoryError("planted"); });
@@ -229,7 +229,7 @@
         assertEquals(200, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
     }
 
-    private void isFound(final Function<Town, Operators.Gate> fault, final LongConsumer test) {
+    private void isFound(final Function<SimulatedCluster, ConcurrentOperators.Gate> fault, final LongConsumer test) {
         plant = fault;
         assertThrows(AssertionError.class, () -> {
             for (long seed = 1; seed <= 6; seed++) {
@@ -240,9 +240,9 @@
 
     @Test
     void eachPlantedFaultIsFound() {
-        isFound(StandIns::refusesFromStaleState, this::aLeaderThatIsCutOffTellsNoFacts);
-        isFound(StandIns.ofMachines(503, 404), this::aLeaderThatIsCutOffTellsNoFacts);
-        isFound(StandIns::refusesWhatWasTaken, this::aRepeatAfterALostAnswerIsNeverRefused);
-        isFound(StandIns::acknowledgesBothOfAPair, this::ofTwoChangesWithOneNumberOneIsTakenAndTheOtherRefused);
+        isFound(FaultyOperatorApi::refusesFromStaleState, this::aLeaderThatIsCutOffTellsNoFacts);
+        isFound(FaultyOperatorApi.ofMachines(503, 404), this::aLeaderThatIsCutOffTellsNoFacts);
+        isFound(FaultyOperatorApi::refusesWhatWasTaken, this::aRepeatAfterALostAnswerIsNeverRefused);
+        isFound(FaultyOperatorApi::acknowledgesBothOfAPair, this::ofTwoChangesWithOneNumberOneIsTakenAndTheOtherRefused);
     }
 }
--- a/src/test/java/yewjunction/system/Orders.java
+++ b/src/test/java/yewjunction/system/OperatorCalls.java
@@ -4,20 +4,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import yewjunction.charter.Desk;
-import yewjunction.node.CruxNode;
+import yewjunction.control.OperatorApi;
+import yewjunction.node.ControlNode;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /** Single calls of an operator to single cruxes, each answered or not. */
-final class Orders {
-    final Town town;
+final class OperatorCalls {
+    final SimulatedCluster town;
     final List<String> cruxes;
-    private final Operators.Gate gate;
+    private final ConcurrentOperators.Gate gate;
 
     /** One call and what came of it. */
     static final class Call {
-        Desk.Answer answer;
+        OperatorApi.Response answer;
         long tookMs;
 
         int status() {
@@ -29,20 +29,20 @@
         }
     }
 
-    Orders(final Town town) {
-        this(town, StandIns.real(town));
+    OperatorCalls(final SimulatedCluster town) {
+        this(town, FaultyOperatorApi.real(town));
     }
 
-    Orders(final Town town, final Operators.Gate gate) {
+    OperatorCalls(final SimulatedCluster town, final ConcurrentOperators.Gate gate) {
         this.town = town;
         this.gate = gate;
         cruxes = town.all("crux");
     }
 
     /** A town that has settled and taken version 1. */
-    static Orders begun(final long seed, final Function<Town, Operators.Gate> plant) {
-        final Town town = new Town(seed, true);
-        final Orders orders = new Orders(town, plant.apply(town));
+    static OperatorCalls begun(final long seed, final Function<SimulatedCluster, ConcurrentOperators.Gate> plant) {
+        final SimulatedCluster town = new SimulatedCluster(seed, true);
+        final OperatorCalls orders = new OperatorCalls(town, plant.apply(town));
         town.world.loss = 0;
         town.world.runFor(4_500);
         assertEquals(200, orders.insist("POST", "/-/config/replace", 0, config(1, "a.")).status());
@@ -50,17 +50,17 @@
     }
 
     static String config(final long version, final String route) {
-        return Town.config(version, Town.route(route), Town.tenant("t", "key", 5));
+        return SimulatedCluster.config(version, SimulatedCluster.route(route), SimulatedCluster.tenant("t", "key", 5));
     }
 
     static String update(final long version, final String route) {
-        return "{\"Ver\":" + version + ",\"Upsert\":{\"Routes\":[" + Town.route(route) + "]}}";
+        return "{\"Ver\":" + version + ",\"Upsert\":{\"Routes\":[" + SimulatedCluster.route(route) + "]}}";
     }
 
     Call send(final String crux, final String method, final String path, final String base, final String body) {
         final Call call = new Call();
         final long startMs = town.world.nowMs();
-        gate.call(crux, new Desk.Request(method, path, base, body.getBytes(StandardCharsets.UTF_8)), answer -> {
+        gate.call(crux, new OperatorApi.Request(method, path, base, body.getBytes(StandardCharsets.UTF_8)), answer -> {
             call.answer = answer;
             call.tookMs = town.world.nowMs() - startMs;
         });
@@ -105,7 +105,7 @@
             leaders.clear();
             for (final String crux : among) {
                 if (town.world.host(crux).up()) {
-                    ((CruxNode) town.nodes.get(crux)).desk().take(new Desk.Request("GET", "/-/outlook/show", null, new byte[0]), answer -> {
+                    ((ControlNode) town.nodes.get(crux)).desk().take(new OperatorApi.Request("GET", "/-/outlook/show", null, new byte[0]), answer -> {
                         if (answer.json().contains("\"Leads\":true")) {
                             leaders.add(crux);
                         }
@@ -126,7 +126,7 @@
     }
 
     void cutOff(final String crux) {
-        town.nodes.keySet().stream().filter(other -> !Town.zone(other).equals(Town.zone(crux)))
+        town.nodes.keySet().stream().filter(other -> !SimulatedCluster.zone(other).equals(SimulatedCluster.zone(crux)))
             .forEach(other -> town.world.cut(crux, other));
     }
 }
--- a/src/test/java/yewjunction/system/OperatorSimTest.java
+++ b/src/test/java/yewjunction/system/OperatorSimulationTest.java
@@ -5,18 +5,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.charter.Desk;
+import yewjunction.control.OperatorApi;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** The operator's calls against the core, while it changes. */
-class OperatorSimTest {
-    private Town town;
+class OperatorSimulationTest {
+    private SimulatedCluster town;
 
-    private Desk.Answer ask(final String method, final String path, final String base, final String body) {
-        final List<Desk.Answer> answers = new ArrayList<>();
+    private OperatorApi.Response ask(final String method, final String path, final String base, final String body) {
+        final List<OperatorApi.Response> answers = new ArrayList<>();
         for (int attempt = 0; attempt < 20; attempt++) {
             answers.clear();
             town.call(town.all("crux").get(attempt % 3), method, path, Long.parseLong(base), body, answers::add);
@@ -30,11 +30,11 @@
     }
 
     private static String config(final long version) {
-        return Town.config(version, Town.route("s."), Town.tenant("t", "key", 5));
+        return SimulatedCluster.config(version, SimulatedCluster.route("s."), SimulatedCluster.tenant("t", "key", 5));
     }
 
     private void begin(final long seed) {
-        town = new Town(seed);
+        town = new SimulatedCluster(seed);
         town.world.runFor(1_500);
     }
 
@@ -49,7 +49,7 @@
         assertEquals(400, ask("POST", "/-/config/replace", "5", config(5)).status());
         assertEquals(400, ask("POST", "/-/config/replace", "5", config(4)).status());
         assertEquals(400, ask("POST", "/-/config/replace", "5", "{\"Ver\":7").status());
-        final String update = "{\"Ver\":9,\"Upsert\":{\"Routes\":[" + Town.route("new.") + "]},\"Del\":{\"Routes\":[\"r-s.\"]}}";
+        final String update = "{\"Ver\":9,\"Upsert\":{\"Routes\":[" + SimulatedCluster.route("new.") + "]},\"Del\":{\"Routes\":[\"r-s.\"]}}";
         assertEquals(200, ask("POST", "/-/config/update", "5", update).status());
         assertEquals(200, ask("POST", "/-/config/update", "5", update).status());
         assertEquals(200, ask("POST", "/-/config/replace", "0", config(5)).status());
@@ -109,11 +109,11 @@
     void aSpareTakesTheRetiredMachinesPlaceAndNothingIsLost() {
         begin(7);
         town.version = 0;
-        town.configure(Town.route("s."), Town.tenant("t", "key", 1_000));
+        town.configure(SimulatedCluster.route("s."), SimulatedCluster.tenant("t", "key", 1_000));
         assertTrue(town.world.runUntil(() -> town.readyEdges(null).size() == 6, 10_000));
-        final Judge judge = new Judge();
+        final DeliveryChecker judge = new DeliveryChecker();
         for (int i = 0; i < 6; i++) {
-            new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), "key").subscribe("s.a");
+            new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key").subscribe("s.a");
         }
         town.world.runFor(1_000);
         final boolean[] quiet = new boolean[1];
--- a/src/test/java/yewjunction/system/OrderSimTest.java
+++ b/src/test/java/yewjunction/system/OrderSimulationTest.java
@@ -9,29 +9,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.herald.Tampering;
+import yewjunction.fanout.SwappedMessages;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Channels that follow others, while clients reconnect again and again through other edges. */
-class OrderSimTest extends Day {
+class OrderSimulationTest extends SystemSimulation {
     private final List<Pair> pairs = new ArrayList<>();
 
     /** An order change and the dispatch that depends on it, sent in one breath. */
-    private record Pair(Judge.Sent earlier, Judge.Sent later) {
+    private record Pair(DeliveryChecker.Sent earlier, DeliveryChecker.Sent later) {
     }
 
     private static String routes(final String after) {
-        final String following = Town.route("d.").replace("\"Fifo\":\"topic\"", "\"Fifo\":\"from\",\"After\":[" + after + "]");
-        return Town.route("o.") + "," + following;
+        final String following = SimulatedCluster.route("d.").replace("\"Fifo\":\"topic\"", "\"Fifo\":\"from\",\"After\":[" + after + "]");
+        return SimulatedCluster.route("o.") + "," + following;
     }
 
     private void begin(final long seed, final int perSecond) {
-        open(seed, Town.tenant("t", "key", perSecond));
-        town.configure(routes("\"r-o.\""), Town.tenant("t", "key", perSecond));
+        open(seed, SimulatedCluster.tenant("t", "key", perSecond));
+        town.configure(routes("\"r-o.\""), SimulatedCluster.tenant("t", "key", perSecond));
         for (int i = 0; i < 12; i++) {
-            final Customer customer = new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
+            final SimulatedClient customer = new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
             // Named in this order after each greeting: the dispatches first, what they follow behind them.
             customer.subscribe("d.1");
             customer.subscribe("o.1");
@@ -39,9 +39,9 @@
         }
         town.world.runFor(2_000);
         town.world.every(25, () -> {
-            final Customer customer = town.customers.get(town.world.luck.nextInt(town.customers.size()));
+            final SimulatedClient customer = town.customers.get(town.world.luck.nextInt(town.customers.size()));
             if (customer.open.size() < 6 && !quiet) {
-                final Judge.Sent earlier = customer.publish("o." + (1 + town.world.luck.nextInt(2)));
+                final DeliveryChecker.Sent earlier = customer.publish("o." + (1 + town.world.luck.nextInt(2)));
                 if (town.world.luck.nextBoolean()) {
                     pairs.add(new Pair(earlier, customer.publish("d.1")));
                 }
@@ -53,7 +53,7 @@
     private Map<String, Integer> breaks() {
         final Map<String, Long> dispatched = new HashMap<>();
         final Map<String, Integer> breaks = new HashMap<>();
-        for (final Judge.Sight sight : judge.sights) {
+        for (final DeliveryChecker.Delivery sight : judge.sights) {
             if (sight.topic().startsWith("d.")) {
                 dispatched.merge(sight.client(), sight.position(), Math::max);
             } else if (dispatched.getOrDefault(sight.client(), -1L) > sight.position()) {
@@ -145,17 +145,17 @@
     @ValueSource(longs = {41, 42, 43})
     void channelsThatFollowEachOtherHaveOneOrder(final long seed) {
         begin(seed, 1_000);
-        town.configure(routes("\"r-o.\"").replaceFirst("\"Fifo\":\"topic\"", "\"Fifo\":\"topic\",\"After\":[\"r-d.\"]"), Town.tenant("t", "key", 1_000));
+        town.configure(routes("\"r-o.\"").replaceFirst("\"Fifo\":\"topic\"", "\"Fifo\":\"topic\",\"After\":[\"r-d.\"]"), SimulatedCluster.tenant("t", "key", 1_000));
         town.world.runFor(1_000);
         final int from = judge.sights.size();
         for (int round = 0; round < 10; round++) {
-            town.customers.forEach(Customer::cut);
+            town.customers.forEach(SimulatedClient::cut);
             town.world.runFor(900);
         }
         settle();
         // Neither follows itself: two channels of orders may stand either way, an order and a dispatch only one way.
         final Map<String, Long> last = new HashMap<>();
-        for (final Judge.Sight sight : judge.sights.subList(from, judge.sights.size())) {
+        for (final DeliveryChecker.Delivery sight : judge.sights.subList(from, judge.sights.size())) {
             final String other = sight.client() + (sight.topic().startsWith("d.") ? " o" : " d");
             final long before = last.getOrDefault(other, -1L);
             assertTrue(before < sight.position(), sight + " after " + before);
@@ -171,7 +171,7 @@
         final int[] swapped = new int[1];
         // At every edge: a link that is closed for a break may be taken up again at another one.
         town.all("tide").forEach(edge -> town.world.host(edge).tampering = letter -> {
-            if (swapped[0] < 3 && Tampering.swap(letter, "o.", "d.")) {
+            if (swapped[0] < 3 && SwappedMessages.swap(letter, "o.", "d.")) {
                 swapped[0]++;
             }
         });
@@ -199,9 +199,9 @@
     /** Without a declaration nothing waits for anything. */
     @Test
     void aChannelThatFollowsNoneIsNotHeldBack() {
-        open(61, Town.tenant("t", "key", 1_000));
-        town.configure(Town.route("o.") + "," + Town.route("d."), Town.tenant("t", "key", 1_000));
-        final Customer customer = new Customer(town, judge, "c", "zone1", "key");
+        open(61, SimulatedCluster.tenant("t", "key", 1_000));
+        town.configure(SimulatedCluster.route("o.") + "," + SimulatedCluster.route("d."), SimulatedCluster.tenant("t", "key", 1_000));
+        final SimulatedClient customer = new SimulatedClient(town, judge, "c", "zone1", "key");
         customer.subscribe("d.1");
         customer.subscribe("o.1");
         town.world.runFor(2_000);
--- a/src/test/java/yewjunction/system/Troubles.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 import java.util.Random;
-import yewjunction.sim.Host;
+import yewjunction.simulation.SimulatedHost;
 
 /**
  * Troubles drawn from a seed. One machine of the core or of the stores is lost at a time, and counts as lost until SyncS
  * after it is back; edges go in any number, and now and then everything goes at once with its disks kept.
  */
-final class Troubles extends Strikes {
-    private final Judge judge;
-    private final Operator operator;
+final class RandomFaults extends FaultInjector {
+    private final DeliveryChecker judge;
+    private final RetryingOperator operator;
     /** With more kinds, which the worlds with small numbers, kept since they failed once, do without. */
     private final boolean harder;
     private int edgesUnderWay;
     boolean quiet;
 
-    Troubles(final Town town, final Judge judge, final Operator operator, final long seed) {
+    RandomFaults(final SimulatedCluster town, final DeliveryChecker judge, final RetryingOperator operator, final long seed) {
         super(town, new Random(seed * 7_919));
         this.judge = judge;
         this.operator = operator;
@@ -36,7 +36,7 @@
     }
 
     private void strikeEdge(final String tide) {
-        final Host host = town.world.host(tide);
+        final SimulatedHost host = town.world.host(tide);
         if (!host.up() || host.frozen()) {
             return;
         }
@@ -49,7 +49,7 @@
             case 2 -> town.stop(tide);
             case 3 -> host.freeze();
             case 4 -> host.resetLinks();
-            default -> town.customers.forEach(Customer::cut);
+            default -> town.customers.forEach(SimulatedClient::cut);
         }
         edgesUnderWay++;
         town.world.after(forMs, () -> {
@@ -95,9 +95,9 @@
             case 5, 6 -> replacePlanned(draw.nextBoolean() ? machine(leader()) : victim);
             case 7 -> {
                 note("freeze " + victim + " " + forMs);
-                hosts(victim).forEach(Host::freeze);
+                hosts(victim).forEach(SimulatedHost::freeze);
                 town.world.runFor(forMs);
-                hosts(victim).forEach(Host::thaw);
+                hosts(victim).forEach(SimulatedHost::thaw);
                 lost(0);
             }
             case 8, 9 -> cut(victim, forMs);
@@ -105,7 +105,7 @@
                 final int times = 1 + draw.nextInt(5);
                 note("links reset " + victim + " " + times);
                 for (int time = 0; time < times; time++) {
-                    hosts(victim).forEach(Host::resetLinks);
+                    hosts(victim).forEach(SimulatedHost::resetLinks);
                     town.world.runFor(span(50, 600));
                 }
             }
@@ -128,7 +128,7 @@
             case 16, 17 -> afterOrder(draw.nextBoolean());
             case 18 -> {
                 note("links reset on all of the core");
-                core().forEach(one -> hosts(one).forEach(Host::resetLinks));
+                core().forEach(one -> hosts(one).forEach(SimulatedHost::resetLinks));
             }
             case 19 -> killWhileCutOff(victim, forMs);
             default -> killAsItWakes(victim, forMs);
@@ -153,7 +153,7 @@
         note("right after an acknowledgement " + (withDisk ? "power " : "wipe ") + victim);
         on(victim).forEach(town::powerOff);
         if (!withDisk) {
-            hosts(victim).forEach(Host::wipe);
+            hosts(victim).forEach(SimulatedHost::wipe);
         }
         lost(span(300, 3_000));
     }
@@ -170,7 +170,7 @@
         note("right after an order " + (withDisk ? "power " : "wipe ") + victim);
         on(victim).forEach(town::powerOff);
         if (!withDisk) {
-            hosts(victim).forEach(Host::wipe);
+            hosts(victim).forEach(SimulatedHost::wipe);
         }
         lost(span(300, 3_000));
     }
--- a/src/test/java/yewjunction/system/NamesSimTest.java
+++ b/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.base.Post;
-import yewjunction.charter.Naming;
+import yewjunction.common.PeerTransport;
+import yewjunction.control.StaleRegistration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.base.Limits.REPLICA_GONE_MS;
+import static yewjunction.common.Limits.REPLICA_GONE_MS;
 
 /** An edge whose replica's name was given up serves again under a new one, and its clients miss nothing. */
-class NamesSimTest extends Day {
+class ReplicaReassignmentSimulationTest extends SystemSimulation {
     private void begin(final long seed) {
-        open(seed, Town.tenant("t", "key", 1_000));
+        open(seed, SimulatedCluster.tenant("t", "key", 1_000));
         for (int i = 0; i < 12; i++) {
-            final Customer customer = new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
+            final SimulatedClient customer = new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
             for (int topic = 0; topic < 3; topic++) {
                 customer.subscribe("s.t" + (i + topic) % 6);
             }
@@ -26,15 +26,15 @@
 
     /** With its zone's other edge gone the zone's clients come to it, and all that is published comes to them. */
     private void served(final String edge) {
-        final String zone = Town.zone(edge);
-        town.all("tide").stream().filter(other -> !other.equals(edge) && Town.zone(other).equals(zone)).forEach(town::powerOff);
+        final String zone = SimulatedCluster.zone(edge);
+        town.all("tide").stream().filter(other -> !other.equals(edge) && SimulatedCluster.zone(other).equals(zone)).forEach(town::powerOff);
         // Links that were held up end, and its next lease tells it of its name.
         town.world.runFor(8_000);
         assertTrue(town.edge(edge).ready(), edge + " is not ready");
-        town.customers.stream().filter(customer -> customer.zone.equals(zone)).forEach(Customer::cut);
+        town.customers.stream().filter(customer -> customer.zone.equals(zone)).forEach(SimulatedClient::cut);
         town.world.runFor(4_000);
         // Another home knows of them by the set alone.
-        town.kill(edge.substring(0, edge.indexOf(":") - 1) + "9:" + Town.PORT);
+        town.kill(edge.substring(0, edge.indexOf(":") - 1) + "9:" + SimulatedCluster.PORT);
         town.world.runFor(4_000);
         final long fromMs = town.world.nowMs();
         final List<String> here = town.customers.stream().filter(customer -> edge.equals(customer.edge())).map(customer -> customer.name).toList();
@@ -51,8 +51,8 @@
     void anEarlierLifesLateQuestionUnseatsNobody(final long seed) {
         begin(seed);
         final String edge = town.customers.get(0).edge();
-        final Post crux = town.world.host("10.9.0.1:1").boot();
-        town.all("crux").forEach(other -> crux.dial(other).send(Naming.enlist(edge, 1_000_000)));
+        final PeerTransport crux = town.world.host("10.9.0.1:1").boot();
+        town.all("crux").forEach(other -> crux.dial(other).send(StaleRegistration.enlist(edge, 1_000_000)));
         town.world.runFor(1_000);
         served(edge);
     }
--- a/src/test/java/yewjunction/system/RetireSimTest.java
+++ b/src/test/java/yewjunction/system/RetirementSimulationTest.java
@@ -2,21 +2,21 @@
 
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
-import yewjunction.system.Orders.Call;
+import yewjunction.system.OperatorCalls.Call;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Orders to empty store machines, under new leaders, at once, and after all is over. */
-class RetireSimTest {
+class RetirementSimulationTest {
     private static final String STORE = "/-/retire/node-10.1.0.9:7000/";
-    private Town town;
-    private Orders orders;
-    private Function<Town, Operators.Gate> plant = StandIns::real;
+    private SimulatedCluster town;
+    private OperatorCalls orders;
+    private Function<SimulatedCluster, ConcurrentOperators.Gate> plant = FaultyOperatorApi::real;
 
     private void begin(final long seed) {
-        orders = Orders.begun(seed, plant);
+        orders = OperatorCalls.begun(seed, plant);
         town = orders.town;
     }
 
@@ -73,15 +73,15 @@
         assertEquals(404, orders.insist("POST", "/-/retire/nobody/begin", 0, "{}").status());
     }
 
-    private void isFound(final Function<Town, Operators.Gate> fault, final Runnable test) {
+    private void isFound(final Function<SimulatedCluster, ConcurrentOperators.Gate> fault, final Runnable test) {
         plant = fault;
         assertThrows(AssertionError.class, test::run);
     }
 
     @Test
     void eachPlantedFaultIsFound() {
-        isFound(StandIns.ofMachines(503, 404), this::aNewLeaderKnowsNothingAgainstAMachineThatHasNotCalledYet);
-        isFound(StandIns.ofMachines(409, 200), this::twoMachinesMayNotBothCountOnTheSameSpare);
-        isFound(StandIns.ofMachines(200, 404), this::aRetirementIsKnownWhenTheMachineIsLongGone);
+        isFound(FaultyOperatorApi.ofMachines(503, 404), this::aNewLeaderKnowsNothingAgainstAMachineThatHasNotCalledYet);
+        isFound(FaultyOperatorApi.ofMachines(409, 200), this::twoMachinesMayNotBothCountOnTheSameSpare);
+        isFound(FaultyOperatorApi.ofMachines(200, 404), this::aRetirementIsKnownWhenTheMachineIsLongGone);
     }
 }
--- a/src/test/java/yewjunction/system/Operator.java
+++ b/src/test/java/yewjunction/system/RetryingOperator.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import yewjunction.charter.Desk;
-import yewjunction.node.CruxNode;
+import yewjunction.control.OperatorApi;
+import yewjunction.node.ControlNode;
 
 /** Sends one order after another and repeats each, to any node, until it is acknowledged: some answers get lost. */
-final class Operator {
+final class RetryingOperator {
     /** ms; as long as the operator waits for an answer. */
     private static final long PATIENCE_MS = 1_000;
     private static final double LOST_SHARE = 0.15;
@@ -20,11 +20,11 @@
     /** What the rules forbid. */
     final List<String> wrongs = new ArrayList<>();
     boolean quiet;
-    private final Town town;
+    private final SimulatedCluster town;
     private final String tenants;
     private long askedMs;
 
-    Operator(final Town town, final String tenants) {
+    RetryingOperator(final SimulatedCluster town, final String tenants) {
         this.town = town;
         this.tenants = tenants;
         acked = town.version;
@@ -48,7 +48,7 @@
 
     private void insist(final String crux) {
         final long version = acked + 1;
-        final String body = Town.config(version, Town.route("s.") + "," + Town.route("x" + version % 5 + "."), tenants);
+        final String body = SimulatedCluster.config(version, SimulatedCluster.route("s.") + "," + SimulatedCluster.route("x" + version % 5 + "."), tenants);
         call(crux, "POST", "/-/config/replace", acked, body, answer -> {
             if (answer == null || answer.status() == 503) {
                 town.world.after(100, () -> insist(any()));
@@ -78,15 +78,15 @@
 
     /** One call with its redirections; null stands for no answer in time, or for one that got lost. */
     private void call(final String crux, final String method, final String path, final long base, final String body,
-            final Consumer<Desk.Answer> done) {
+            final Consumer<OperatorApi.Response> done) {
         final int[] state = {1, 0};
         town.world.after(PATIENCE_MS, () -> end(state, null, done));
         hop(crux, method, path, base, body, state, done);
     }
 
     private void hop(final String crux, final String method, final String path, final long base, final String body,
-            final int[] state, final Consumer<Desk.Answer> done) {
-        if (!(town.nodes.get(crux) instanceof CruxNode)) {
+            final int[] state, final Consumer<OperatorApi.Response> done) {
+        if (!(town.nodes.get(crux) instanceof ControlNode)) {
             return;
         }
         town.call(crux, method, path, base, body, answer -> town.world.after(1, () -> {
@@ -99,7 +99,7 @@
         }));
     }
 
-    private static void end(final int[] state, final Desk.Answer answer, final Consumer<Desk.Answer> done) {
+    private static void end(final int[] state, final OperatorApi.Response answer, final Consumer<OperatorApi.Response> done) {
         if (state[0] != 0) {
             state[0] = 0;
             done.accept(answer);
--- a/src/test/java/yewjunction/system/Customer.java
+++ b/src/test/java/yewjunction/system/SimulatedClient.java
@@ -6,24 +6,24 @@
 import java.util.TreeMap;
 
 /** A client that keeps to the protocol: resumes with its cursors, repeats its numbers, follows MOVE. */
-final class Customer {
+final class SimulatedClient {
     final String name;
     final String zone;
     final Map<String, String> cursors = new TreeMap<>();
     final Map<String, String> filters = new TreeMap<>();
-    final Map<Long, Judge.Sent> open = new TreeMap<>();
+    final Map<Long, DeliveryChecker.Sent> open = new TreeMap<>();
     String key;
     /** Bytes that are added to each body. */
     int padding;
     private long stalledUntilMs;
-    private final Town town;
-    private final Judge judge;
-    private Wire wire;
+    private final SimulatedCluster town;
+    private final DeliveryChecker judge;
+    private SimulatedClientConnection wire;
     private long numbers;
     private long heardMs;
     private boolean greeted;
 
-    Customer(final Town town, final Judge judge, final String name, final String zone, final String key) {
+    SimulatedClient(final SimulatedCluster town, final DeliveryChecker judge, final String name, final String zone, final String key) {
         this.town = town;
         this.judge = judge;
         this.name = name;
@@ -34,19 +34,19 @@
     }
 
     /** What the edge has written arrives, unless the client has another connection by now. */
-    void hear(final Wire from, final String words) {
+    void hear(final SimulatedClientConnection from, final String words) {
         if (wire != from) {
             return;
         }
         heardMs = town.world.nowMs();
-        for (final Frames.Frame frame : from.frames.feed(words)) {
+        for (final FrameSplitter.Frame frame : from.frames.feed(words)) {
             if (wire == from) {
                 told(frame.fields(), frame.body());
             }
         }
     }
 
-    void closed(final Wire gone) {
+    void closed(final SimulatedClientConnection gone) {
         if (wire == gone) {
             wire = null;
         }
@@ -64,7 +64,7 @@
     /** The client resets its own connection. */
     void cut() {
         if (wire != null) {
-            final Wire old = wire;
+            final SimulatedClientConnection old = wire;
             wire = null;
             town.world.after(1, old::close);
         }
@@ -98,7 +98,7 @@
     }
 
     private void connect(final String edge) {
-        wire = new Wire(town, this, edge);
+        wire = new SimulatedClientConnection(town, this, edge);
         greeted = false;
         heardMs = town.world.nowMs();
         wire.say("HELLO " + name + " " + key + "\r\n");
@@ -119,9 +119,9 @@
         subscribe(topic);
     }
 
-    Judge.Sent publish(final String topic) {
+    DeliveryChecker.Sent publish(final String topic) {
         final long number = ++numbers;
-        final Judge.Sent sent = judge.sent(name, topic, number, town.world.nowMs(), padding);
+        final DeliveryChecker.Sent sent = judge.sent(name, topic, number, town.world.nowMs(), padding);
         open.put(number, sent);
         if (greeted && wire != null) {
             say(sent);
@@ -129,7 +129,7 @@
         return sent;
     }
 
-    private void say(final Judge.Sent sent) {
+    private void say(final DeliveryChecker.Sent sent) {
         sent.tries++;
         sent.saidMs = town.world.nowMs();
         wire.say("PUB " + sent.topic + " " + sent.number + " " + sent.body.length() + "\r\n" + sent.body + "\r\n");
@@ -155,7 +155,7 @@
                 cursors.put(fields[1], fields[2]);
             }
             case "ACK" -> {
-                final Judge.Sent sent = open.remove(Long.parseLong(fields[2]));
+                final DeliveryChecker.Sent sent = open.remove(Long.parseLong(fields[2]));
                 if (sent != null) {
                     judge.acknowledged(sent);
                 }
@@ -163,7 +163,7 @@
             case "REFUSE" -> refused(fields);
             case "MOVE" -> {
                 cut();
-                connect(fields[1].substring(0, fields[1].indexOf(':')) + ":" + Town.PORT);
+                connect(fields[1].substring(0, fields[1].indexOf(':')) + ":" + SimulatedCluster.PORT);
             }
             default -> { }
         }
@@ -173,7 +173,7 @@
         if (fields[1].equals("PUB")) {
             final long number = Long.parseLong(fields[3]);
             if (fields[4].equals("RETRY")) {
-                final Judge.Sent sent = open.remove(number);
+                final DeliveryChecker.Sent sent = open.remove(number);
                 if (sent != null) {
                     sent.denied = true;
                     sent.deniedMs = town.world.nowMs();
--- a/src/test/java/yewjunction/system/Wire.java
+++ b/src/test/java/yewjunction/system/SimulatedClientConnection.java
@@ -1,25 +1,25 @@
 package yewjunction.system;
 
 import java.nio.charset.StandardCharsets;
-import yewjunction.loom.Line;
-import yewjunction.loom.Outbox;
-import yewjunction.sim.Host;
+import yewjunction.transport.ClientConnection;
+import yewjunction.transport.WriteBuffer;
+import yewjunction.simulation.SimulatedHost;
 
 /** The edge's side of the connection; latency both ways. */
-final class Wire implements Line {
+final class SimulatedClientConnection implements ClientConnection {
     final String edge;
-    final Frames frames = new Frames();
-    private final Town town;
-    private final Customer customer;
-    private final Host host;
+    final FrameSplitter frames = new FrameSplitter();
+    private final SimulatedCluster town;
+    private final SimulatedClient customer;
+    private final SimulatedHost host;
     private final int life;
-    private final Outbox out = new Outbox(256);
-    private Line.Owner owner;
+    private final WriteBuffer out = new WriteBuffer(256);
+    private ClientConnection.Handler owner;
     private boolean up = true;
     private boolean flushing;
     private byte[] unread = new byte[0];
 
-    Wire(final Town town, final Customer customer, final String edge) {
+    SimulatedClientConnection(final SimulatedCluster town, final SimulatedClient customer, final String edge) {
         this.town = town;
         this.customer = customer;
         this.edge = edge;
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public Outbox out() {
+    public WriteBuffer out() {
         if (!flushing) {
             flushing = true;
             town.world.after(customer.stalledMs(), () -> {
--- a/src/test/java/yewjunction/system/Town.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import yewjunction.charter.Desk;
-import yewjunction.node.CruxNode;
+import yewjunction.control.OperatorApi;
+import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
-import yewjunction.roster.Roster;
+import yewjunction.membership.MembershipList;
 import yewjunction.settings.Settings;
-import yewjunction.sim.Host;
-import yewjunction.sim.Machines;
-import yewjunction.sim.World;
+import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNodes;
+import yewjunction.simulation.SimulatedNetwork;
 
 /** A whole system on simulated machines: three zones with a crux, two tides and one or more vaults each. */
-final class Town {
+final class SimulatedCluster {
     static final int PORT = 7000;
-    final World world;
+    final SimulatedNetwork world;
     final Map<String, Node> nodes = new TreeMap<>();
-    final List<Customer> customers = new ArrayList<>();
-    private final Map<String, Roster> rosters = new HashMap<>();
+    final List<SimulatedClient> customers = new ArrayList<>();
+    private final Map<String, MembershipList> rosters = new HashMap<>();
     /** Where the core is, as the operator's list has it for whoever starts now. */
     List<String> seeds = List.of("10.1.0.1:8024", "10.2.0.1:8024", "10.3.0.1:8024");
     private final boolean readsBeside;
@@ -32,24 +32,24 @@
     final int losses;
     long version;
 
-    Town(final long seed) {
+    SimulatedCluster(final long seed) {
         this(seed, 1, 1, false);
     }
 
-    Town(final long seed, final int vaultsInZone) {
+    SimulatedCluster(final long seed, final int vaultsInZone) {
         this(seed, vaultsInZone, 1, false);
     }
 
     /** Beside: orders are read beside the owner's thread and take a while, as on a real crux. */
-    Town(final long seed, final boolean readsBeside) {
+    SimulatedCluster(final long seed, final boolean readsBeside) {
         this(seed, 1, 1, readsBeside);
     }
 
     /** Where two losses are to be borne there are two cruxes a zone. */
-    Town(final long seed, final int vaultsInZone, final int losses, final boolean readsBeside) {
+    SimulatedCluster(final long seed, final int vaultsInZone, final int losses, final boolean readsBeside) {
         this.losses = losses;
         this.readsBeside = readsBeside;
-        world = new World(seed);
+        world = new SimulatedNetwork(seed);
         for (int zone = 1; zone <= 3; zone++) {
             boot("10." + zone + ".0.1:" + (PORT + Settings.CRUX_OFFSET), true);
             boot("10." + zone + ".0.1:" + PORT, true);
@@ -76,14 +76,14 @@
     }
 
     void boot(final String address, final boolean founding) {
-        final Host host = world.host(address);
+        final SimulatedHost host = world.host(address);
         final long life = ++lives;
         final String ip = address.substring(0, address.indexOf(':'));
         final String duty = duty(address);
         final Settings settings = new Settings("node-" + address, duty, List.of(duty), ip, zone(address), ip + ":8022",
             ip + ":8029", ip + ":8024", PORT, PORT + 15, seeds, founding, "/data", losses, 2, 5, 0.1, 20, 64);
-        final Machines.Running running = Machines.boot(host, settings, duty, life);
-        if (readsBeside && running.node() instanceof CruxNode crux) {
+        final SimulatedNodes.Running running = SimulatedNodes.boot(host, settings, duty, life);
+        if (readsBeside && running.node() instanceof ControlNode crux) {
             crux.desk().readBy(host.clerk());
         }
         nodes.put(address, running.node());
@@ -109,10 +109,10 @@
 
     /** SIGTERM: the process ends when it says so. */
     void stop(final String address) {
-        final Host host = world.host(address);
+        final SimulatedHost host = world.host(address);
         final int life = host.life();
         final Node node = nodes.get(address);
-        final Roster roster = rosters.get(address);
+        final MembershipList roster = rosters.get(address);
         host.guarded(life, () -> node.stop(() -> {
             roster.leave();
             world.after(20, () -> {
@@ -150,17 +150,17 @@
     // --- the operator ---
 
     void call(final String crux, final String method, final String path, final long base, final String body,
-            final Consumer<Desk.Answer> answer) {
-        final Host host = world.host(crux);
+            final Consumer<OperatorApi.Response> answer) {
+        final SimulatedHost host = world.host(crux);
         if (host.up()) {
-            host.post(() -> ((CruxNode) nodes.get(crux)).desk().take(new Desk.Request(method, path, String.valueOf(base),
+            host.post(() -> ((ControlNode) nodes.get(crux)).desk().take(new OperatorApi.Request(method, path, String.valueOf(base),
                 body.getBytes(StandardCharsets.UTF_8)), answer));
         }
     }
 
     /** Keeps calling until one crux answers with that status. */
-    Desk.Answer insist(final String method, final String path, final long base, final String body, final int status) {
-        final Desk.Answer[] got = new Desk.Answer[1];
+    OperatorApi.Response insist(final String method, final String path, final long base, final String body, final int status) {
+        final OperatorApi.Response[] got = new OperatorApi.Response[1];
         for (int attempt = 0; attempt < 60 && got[0] == null; attempt++) {
             call(all("crux").get(attempt % all("crux").size()), method, path, base, body, answer -> {
                 if (answer.status() == status) {
--- a/src/test/java/yewjunction/system/SpareSimTest.java
+++ b/src/test/java/yewjunction/system/SpareStoreSimulationTest.java
@@ -3,24 +3,24 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.sim.Meter;
+import yewjunction.simulation.TrafficMeter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** More vaults than seats, relays inside zones, and failures of whoever serves: nothing is lost, and nothing runs in circles. */
-class SpareSimTest extends Day {
+class SpareStoreSimulationTest extends SystemSimulation {
     /** bytes a second between zones; several times what this load needs with all its elections and catching up. */
     private static final long ACROSS_MOST = 400_000;
 
     private void begin(final long seed) {
-        open(seed, Town.tenant("t", "key", 1_000));
-        town.world.meter = new Meter();
+        open(seed, SimulatedCluster.tenant("t", "key", 1_000));
+        town.world.meter = new TrafficMeter();
         for (final String spare : List.of("10.1.0.19:7000", "10.2.0.19:7000")) {
             town.boot(spare, false);
         }
         for (int i = 0; i < 12; i++) {
-            final Customer customer = new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
+            final SimulatedClient customer = new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
             for (int topic = 0; topic < 3; topic++) {
                 customer.subscribe("s.t" + (i + topic) % 6);
             }
--- a/src/test/java/yewjunction/system/Day.java
+++ b/src/test/java/yewjunction/system/SystemSimulation.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** One simulated day: a town with a configuration and ready edges, a judge, and an end at which all must be well. */
-abstract class Day {
-    Town town;
-    Judge judge;
+abstract class SystemSimulation {
+    SimulatedCluster town;
+    DeliveryChecker judge;
     /** No more messages are sent. */
     boolean quiet;
 
@@ -15,15 +15,15 @@
     }
 
     void open(final long seed, final int vaultsInZone, final String tenants) {
-        open(new Town(seed, vaultsInZone), tenants);
+        open(new SimulatedCluster(seed, vaultsInZone), tenants);
     }
 
-    void open(final Town newTown, final String tenants) {
+    void open(final SimulatedCluster newTown, final String tenants) {
         town = newTown;
-        judge = new Judge();
+        judge = new DeliveryChecker();
         judge.clock = town.world::nowMs;
         town.world.runFor(1_500);
-        town.configure(Town.route("s."), tenants);
+        town.configure(SimulatedCluster.route("s."), tenants);
         assertTrue(town.world.runUntil(() -> town.readyEdges(null).size() == 6, 10_000), "edges not ready");
     }
 
@@ -31,7 +31,7 @@
     void publishEvery(final long ms, final int topics) {
         town.world.runFor(2_000);
         town.world.every(ms, () -> {
-            final Customer customer = town.customers.get(town.world.luck.nextInt(town.customers.size()));
+            final SimulatedClient customer = town.customers.get(town.world.luck.nextInt(town.customers.size()));
             if (customer.open.size() < 4 && !quiet) {
                 customer.publish("s.t" + town.world.luck.nextInt(topics));
             }
--- a/src/test/java/yewjunction/system/SystemSimTest.java
+++ b/src/test/java/yewjunction/system/SystemSimulationTest.java
@@ -9,11 +9,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** The whole system under the rules, on simulated machines. */
-class SystemSimTest extends Day {
+class SystemSimulationTest extends SystemSimulation {
     private void begin(final long seed, final int perSecond) {
-        open(seed, Town.tenant("t", "key", perSecond) + "," + Town.tenant("u", "other", perSecond));
+        open(seed, SimulatedCluster.tenant("t", "key", perSecond) + "," + SimulatedCluster.tenant("u", "other", perSecond));
         for (int i = 0; i < 12; i++) {
-            final Customer customer = new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), i % 2 == 0 ? "key" : "other");
+            final SimulatedClient customer = new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), i % 2 == 0 ? "key" : "other");
             for (int topic = 0; topic < 3; topic++) {
                 customer.subscribe("s.t" + (i + topic) % 6);
             }
@@ -89,7 +89,7 @@
                 town.world.cut(lonely, crux);
             }
         });
-        town.configure(Town.route("s."), Town.tenant("t", "key", 1_000) + "," + Town.tenant("u", "newer", 1_000));
+        town.configure(SimulatedCluster.route("s."), SimulatedCluster.tenant("t", "key", 1_000) + "," + SimulatedCluster.tenant("u", "newer", 1_000));
         final long ackMs = town.world.nowMs();
         town.world.runFor(5_000);
         // The lonely edge never hears of it: there it is the lapsed lease that ends all service.
@@ -98,7 +98,7 @@
                 customer.name));
         town.world.runFor(5_000);
         // The others go on; who holds the old key hears of nothing sent after the bound, wherever it is connected.
-        for (final Customer customer : town.customers) {
+        for (final SimulatedClient customer : town.customers) {
             final long newestMs = judge.newestDelivered.getOrDefault(customer.name, 0L);
             assertEquals(customer.key.equals("key"), newestMs > ackMs + 5_000, customer.name + " " + (newestMs - ackMs));
         }
@@ -126,7 +126,7 @@
         town.world.loss = 0.15;
         for (int round = 0; round < 12; round++) {
             final String lead = town.all("vault").stream().filter(vault -> town.world.host(vault).up()
-                && ((yewjunction.node.VaultNode) town.nodes.get(vault)).leads()).findFirst().orElse(town.all("vault").get(0));
+                && ((yewjunction.node.StoreNode) town.nodes.get(vault)).leads()).findFirst().orElse(town.all("vault").get(0));
             town.stop(lead);
             town.world.runFor(1_500);
             town.bootAll();
--- a/src/test/java/yewjunction/system/WorstDaysSimTest.java
+++ b/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.ledger.Histories;
-import yewjunction.node.VaultNode;
+import yewjunction.raft.LogReader;
+import yewjunction.node.StoreNode;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,12 +17,12 @@
  * world again: mvn test -Dtest=WorstDaysSimTest -Dworst.seed=SEED -Dworst.stores=3 (or 6, and then
  * -Dworst.losses=2) -Dworst.rounds=6; many: -Dworst.worlds=COUNT.
  */
-class WorstDaysSimTest extends Day {
+class WorstDaysSimulationTest extends SystemSimulation {
     /** ms; after the last trouble both messages and orders are served again by then. */
     private static final long RECOVER_MS = 12_000;
-    private static final String TENANTS = Town.tenant("t", "key", 1_000);
-    private Troubles troubles;
-    private Operator operator;
+    private static final String TENANTS = SimulatedCluster.tenant("t", "key", 1_000);
+    private RandomFaults troubles;
+    private RetryingOperator operator;
 
     private void begin(final long seed, final int stores) {
         begin(seed, stores, 1);
@@ -30,13 +30,13 @@
 
     private void begin(final long seed, final int stores, final int losses) {
         quiet = false;
-        open(new Town(seed, stores / 3, losses, seed >= 10_000), TENANTS);
+        open(new SimulatedCluster(seed, stores / 3, losses, seed >= 10_000), TENANTS);
         for (int i = 0; i < 9; i++) {
-            final Customer customer = new Customer(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
+            final SimulatedClient customer = new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
             customer.subscribe("s.t" + i % 4);
             customer.subscribe("s.t" + (i + 1) % 4);
         }
-        operator = new Operator(town, TENANTS);
+        operator = new RetryingOperator(town, TENANTS);
         publishEvery(30, 4);
     }
 
@@ -46,7 +46,7 @@
 
     private void play(final long seed, final int stores, final int losses, final int rounds) {
         begin(seed, stores, losses);
-        troubles = new Troubles(town, judge, operator, seed);
+        troubles = new RandomFaults(town, judge, operator, seed);
         try {
             town.world.loss = seed % 3 * 0.01;
             for (int round = 0; round < rounds; round++) {
@@ -86,13 +86,13 @@
 
     /** The newest message that a vault knows as committed. */
     private long held(final String vault) {
-        return ((VaultNode) town.nodes.get(vault)).cellar().between(0, Long.MAX_VALUE).stream().mapToLong(message -> message.index).max().orElse(0);
+        return ((StoreNode) town.nodes.get(vault)).cellar().between(0, Long.MAX_VALUE).stream().mapToLong(message -> message.index).max().orElse(0);
     }
 
     /** Starts a machine beside the leader of the vaults, then ends the leader as planned work does. */
     private String replacedLeader(final long seed) {
         begin(seed, 3);
-        troubles = new Troubles(town, judge, operator, seed);
+        troubles = new RandomFaults(town, judge, operator, seed);
         troubles.quiet = true;
         troubles.replacePlanned(troubles.leader().replaceAll(":.*", ""));
         town.world.runFor(2_000);
@@ -101,9 +101,9 @@
 
     private void seated(final String fresh) {
         final String lead = troubles.leader();
-        assertTrue(((VaultNode) town.nodes.get(lead)).leads(), "nobody leads");
+        assertTrue(((StoreNode) town.nodes.get(lead)).leads(), "nobody leads");
         assertTrue(held(fresh) + 60 > held(lead), fresh + " is at " + held(fresh) + " of " + held(lead));
-        final List<String> voters = Histories.voters(town.world.host(lead).disk, "messages");
+        final List<String> voters = LogReader.voters(town.world.host(lead).disk, "messages");
         assertTrue(voters.size() == 3 && voters.contains(fresh), fresh + " has no seat among " + voters);
     }
 
@@ -122,7 +122,7 @@
     void aSpareThatNobodyHearsShows() {
         replacedLeader(1);
         town.all("vault").forEach(this::seated);
-        town.world.hosts().forEach(host -> host.tampering = Histories::drownJoins);
+        town.world.hosts().forEach(host -> host.tampering = LogReader::drownJoins);
         final String machine = troubles.leader().replaceAll(":.*", "");
         troubles.replacePlanned(machine);
         town.world.runFor(2_000);
--- a/src/test/java/yewjunction/loom/InboxTest.java
+++ b/src/test/java/yewjunction/transport/CommandQueueTest.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -18,11 +18,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** What threads share: every command arrives once, and none waits for a wake-up that nobody sends. */
-public class InboxTest {
+public class CommandQueueTest {
     /** Several threads put, one takes: equal to some order of whole steps. */
     @OpGroupConfig(name = "owner", nonParallel = true)
     public static class Shared {
-        private final Inbox<Integer> inbox = new Inbox<>();
+        private final CommandQueue<Integer> inbox = new CommandQueue<>();
 
         @Operation
         public void put(final int command) {
@@ -41,7 +41,7 @@
      */
     @OpGroupConfig(name = "owner", nonParallel = true)
     public static class Sleeper {
-        private final Inbox<Integer> inbox = new Inbox<>();
+        private final CommandQueue<Integer> inbox = new CommandQueue<>();
         private final AtomicBoolean wakeUp = new AtomicBoolean();
         private volatile boolean asleep;
 
@@ -115,7 +115,7 @@
 
     @Test
     void oneWakeUpServesAllThatWaitAndTheNextIsAskedForAgain() {
-        final Inbox<Integer> inbox = new Inbox<>();
+        final CommandQueue<Integer> inbox = new CommandQueue<>();
         inbox.put(1);
         assertTrue(inbox.mustWake());
         inbox.put(2);
@@ -128,7 +128,7 @@
     @Test
     void noCommandIsLeftBehindAsleep() throws Exception {
         // The owner blocks with no alarm near: a lost wake-up would show as a second's wait for each command.
-        final Loom loom = new Loom(1);
+        final EventLoopAgent loom = new EventLoopAgent(1);
         final int total = 2_000;
         final CountDownLatch run = new CountDownLatch(2 * total);
         final Thread owner = new Thread(() -> {
--- a/src/test/java/yewjunction/loom/LoomTest.java
+++ b/src/test/java/yewjunction/transport/EventLoopAgentTest.java
@@ -1,4 +1,4 @@
-package yewjunction.loom;
+package yewjunction.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,21 +6,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import yewjunction.base.Codec;
-import yewjunction.base.Link;
+import yewjunction.common.MessageCodec;
+import yewjunction.common.PeerConnection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 /** A broken turn takes nothing along that came with it. */
-class LoomTest {
+class EventLoopAgentTest {
     private static int deep(final int at) {
         return 1 + deep(at + 1);
     }
 
     @Test
     void whatNestsTooDeepEndsItsOwnTurnOnly() throws IOException {
-        final Loom loom = new Loom(1);
+        final EventLoopAgent loom = new EventLoopAgent(1);
         final List<String> done = new ArrayList<>();
         loom.post(() -> done.add("first " + deep(0)));
         loom.post(() -> done.add("second"));
@@ -35,16 +35,16 @@
     /** A timer that arms itself again behind its work would end for ever with one exception out of a dial. */
     @Test
     void whoeverDialsWithoutADescriptorLeftGetsALinkThatBroke() throws IOException {
-        final Loom loom = new Loom(1);
-        final Wires wires = new Wires(loom, new Codec(), new InetSocketAddress("127.0.0.1", 0)) {
+        final EventLoopAgent loom = new EventLoopAgent(1);
+        final TcpPeerTransport wires = new TcpPeerTransport(loom, new MessageCodec(), new InetSocketAddress("127.0.0.1", 0)) {
             @Override
             SocketChannel channel() throws IOException {
                 throw new IOException("Too many open files");
             }
         };
-        final List<Link> closed = new ArrayList<>();
+        final List<PeerConnection> closed = new ArrayList<>();
         wires.onClose(closed::add);
-        final List<Link> dialled = new ArrayList<>();
+        final List<PeerConnection> dialled = new ArrayList<>();
         loom.post(() -> dialled.add(wires.dial("127.0.0.1:9")));
         loom.doWork();
         loom.doWork();
