--- a/src/main/java/yewjunction/server/Diagnosis.java
+++ b/src/main/java/yewjunction/cli/DoctorCommand.java
@@ -1,7 +1,10 @@
-package yewjunction.server;
+package yewjunction.cli;
 
+import yewjunction.common.ExitCode;
 import com.typesafe.config.ConfigRenderOptions;
 import com.typesafe.config.ConfigValueFactory;
+import com.github.rvesse.airline.annotations.Command;
+import com.github.rvesse.airline.annotations.Option;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -10,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.Callable;
 import yewjunction.common.YewjunctionException;
 import yewjunction.doctor.Doctor;
 import yewjunction.doctor.Finding;
@@ -19,56 +23,65 @@
 
 import static yewjunction.common.ToolLimits.DOCTOR_AGAIN_MS;
 
-/** The doctor on the command line. */
-final class Diagnosis {
-    private static final int FINDINGS = 1;
-    private static final int COULD_NOT_LOOK = 2;
-
-    private static final Set<Code> PASSING = EnumSet.of(Code.EDGE_NOT_READY, Code.LEADERS_DIFFER, Code.VERSIONS_DIFFER,
+/** Runs the doctor and prints what it found. Faults that pass by themselves count only when a second look finds them too. */
+@Command(name = "doctor", description = "Looks for common faults; changes nothing. 0 healthy, 1 findings, 2 could not look")
+public final class DoctorCommand implements Callable<Integer> {
+    private static final Set<Code> TRANSIENT = EnumSet.of(Code.EDGE_NOT_READY, Code.LEADERS_DIFFER, Code.VERSIONS_DIFFER,
         Code.SIBLING_SUSPECT, Code.NO_LEADER, Code.CRUX_OUTSIDE, Code.LEDGER_TORN);
 
-    private Diagnosis() {
+    @Option(name = "--settings", title = "FILE", description = "a machine's settings file; else the one named by " + ServerCommand.SETTINGS_VARIABLE)
+    String file;
+    @Option(name = "--data", title = "FOLDER", description = "a data folder to read as well")
+    String folder;
+    @Option(name = "--calendar", title = "PLACE", description = "an iCalendar file, or a folder of them, with planned work")
+    String calendar;
+    @Option(name = "--json", description = "findings as JSON")
+    boolean json;
+
+    @Override
+    public Integer call() {
+        return run(file, folder, calendar, json, System.out, System.err);
     }
 
     static int run(final String file, final String folder, final String calendar, final boolean json, final PrintStream out,
             final PrintStream err) {
-        final String named = file != null ? file : System.getenv(Main.SETTINGS_VARIABLE);
-        if (named == null) {
-            err.println("no settings file: set " + Main.SETTINGS_VARIABLE + " or give --settings FILE");
-            return COULD_NOT_LOOK;
+        final Path settings = ServerCommand.settingsPath(file);
+        if (settings == null) {
+            err.println("no settings file: set " + ServerCommand.SETTINGS_VARIABLE + " or give --settings FILE");
+            return ExitCode.USAGE;
         }
         if (folder != null && !Files.isDirectory(Path.of(folder))) {
             err.println("no such folder: " + folder);
-            return COULD_NOT_LOOK;
+            return ExitCode.USAGE;
         }
         final MaintenanceWindows windows = calendar == null ? null : MaintenanceWindows.read(Path.of(calendar));
         final List<Finding> findings;
         try {
-            findings = lasting(Settings.load(Path.of(named)), folder == null ? null : Path.of(folder), windows);
-        } catch (final YewjunctionException defect) {
-            err.println(defect.code() + " " + defect.getMessage());
-            return COULD_NOT_LOOK;
-        } catch (final UncheckedIOException defect) {
-            err.println("cannot read " + folder + ": " + defect.getCause().getMessage());
-            return COULD_NOT_LOOK;
+            findings = lasting(Settings.load(settings), folder == null ? null : Path.of(folder), windows);
+        } catch (final YewjunctionException failure) {
+            err.println(failure.code() + " " + failure.getMessage());
+            return ExitCode.USAGE;
+        } catch (final UncheckedIOException failure) {
+            err.println("cannot read " + folder + ": " + failure.getCause().getMessage());
+            return ExitCode.USAGE;
         }
         tell(findings, json, out);
-        return findings.isEmpty() ? Main.EXIT_OK : FINDINGS;
+        return findings.isEmpty() ? ExitCode.OK : ExitCode.FINDINGS;
     }
 
     /** What the second look finds too: elections, roll-outs and starts pass within moments, and news of them a little later. */
     private static List<Finding> lasting(final Settings settings, final Path folder, final MaintenanceWindows windows) {
         final List<Finding> first = new Doctor(settings, folder).planned(windows).examine();
-        if (first.stream().noneMatch(finding -> PASSING.contains(finding.code()))) {
+        if (first.stream().noneMatch(finding -> TRANSIENT.contains(finding.code()))) {
             return first;
         }
         try {
             Thread.sleep(DOCTOR_AGAIN_MS);
-        } catch (final InterruptedException defect) {
+        } catch (final InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         final List<Finding> second = new Doctor(settings, folder).planned(windows).examine();
-        second.removeIf(finding -> PASSING.contains(finding.code())
+        second.removeIf(finding -> TRANSIENT.contains(finding.code())
             && first.stream().noneMatch(earlier -> earlier.code() == finding.code()));
         return second;
     }
--- a/src/main/java/yewjunction/server/Rehearsal.java
+++ b/src/main/java/yewjunction/cli/Rehearsal.java
@@ -1,5 +1,9 @@
-package yewjunction.server;
+package yewjunction.cli;
 
+import yewjunction.common.ExitCode;
+import yewjunction.membership.NodeRole;
+import yewjunction.server.ServerProcess;
+import yewjunction.server.SettingsReloader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -15,7 +19,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import yewjunction.server.ServerProcess.NodeRole;
 
 /** A whole small system in one process on loopback: takes a configuration and carries one message. */
 final class Rehearsal {
@@ -53,22 +56,22 @@
     /** Starts the system in a folder; it runs until this process ends. */
     static Rehearsal raise(final Path folder, final PrintStream out) throws IOException {
         final Rehearsal rehearsal = new Rehearsal(folder, out);
-        rehearsal.start("127.0.0.1", "crux", "ctl", NodeRole.CRUX);
+        rehearsal.start("127.0.0.1", "control", "ctl", NodeRole.CONTROL);
         for (int i = 1; i <= 3; i++) {
-            rehearsal.start("127.0.0." + i, "vault" + i, "store", NodeRole.VAULT);
+            rehearsal.start("127.0.0." + i, "store" + i, "store", NodeRole.STORE);
         }
-        rehearsal.start("127.0.0.4", "tide", "edge", NodeRole.TIDE);
+        rehearsal.start("127.0.0.4", "edge", "edge", NodeRole.EDGE);
         return rehearsal;
     }
 
-    private void start(final String ip, final String name, final String serves, final NodeRole duty) throws IOException {
+    private void start(final String ip, final String name, final String serves, final NodeRole role) throws IOException {
         final Path file = folder.resolve(name + ".yaml");
         Files.writeString(file, "Nodename: " + name + "\nRole: " + name + "\nServes: [" + serves + "]\nIp: " + ip
             + "\nAz: zone-" + name + "\nListen: {Fe: '" + ip + ":" + (port + 4) + "', Ready: '" + ip + ":" + (port + 5)
             + "', Ctl: '" + ip + ":" + (port + 6) + "'}\nPortRange: [" + port + ", " + (port + 3) + "]\nSeeds: ['127.0.0.1:"
             + (port + 6) + "']\nBootstrap: true\nDatadir: " + folder.resolve(name) + "\n");
         final SettingsReloader settingsFile = new SettingsReloader(file);
-        final ServerProcess process = new ServerProcess(settingsFile, settingsFile.load(), duty);
+        final ServerProcess process = new ServerProcess(settingsFile, settingsFile.load(), role);
         final Thread thread = new Thread(process::run, name);
         thread.setDaemon(true);
         thread.start();
@@ -83,7 +86,7 @@
             .timeout(Duration.ofSeconds(2)).build();
         if (!until(caller, replace) || !until(caller, ready)) {
             out.println("rehearsal: no answer in time");
-            return 1;
+            return ExitCode.FINDINGS;
         }
         try (Socket client = new Socket("127.0.0.4", port + 4)) {
             client.setSoTimeout(5_000);
@@ -93,14 +96,14 @@
                 final String answer = in.readLine();
                 out.println("rehearsal: " + line.lines().findFirst().orElse("") + " -> " + answer);
                 if (answer == null || answer.startsWith("REFUSE")) {
-                    return 1;
+                    return ExitCode.FINDINGS;
                 }
             }
             out.println("rehearsal: -> " + in.readLine());
             in.readLine();
             final int done = filtered(client, in);
             final RehearsalClients showcase = new RehearsalClients("127.0.0.4", port + 4, port + 6, out);
-            return done == Main.EXIT_OK && showcase.order() && showcase.borrowing() ? Main.EXIT_OK : 1;
+            return done == ExitCode.OK && showcase.order() && showcase.borrowing() ? ExitCode.OK : ExitCode.FINDINGS;
         }
     }
 
@@ -118,11 +121,11 @@
                 line = in.readLine();
                 out.println("rehearsal: " + line);
                 if (line == null || line.startsWith("REFUSE") || line.startsWith("repo-2 no. 2") || line.startsWith("tool-7")) {
-                    return 1;
+                    return ExitCode.FINDINGS;
                 }
             } while (!line.startsWith(step[1]));
         }
-        return Main.EXIT_OK;
+        return ExitCode.OK;
     }
 
     private static String publication(final int number, final String key) {
--- a/src/main/java/yewjunction/server/RehearsalClients.java
+++ b/src/main/java/yewjunction/cli/RehearsalClients.java
@@ -1,4 +1,4 @@
-package yewjunction.server;
+package yewjunction.cli;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -7,8 +7,8 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.LETTER_GARBLED;
-import static yewjunction.common.YewjunctionException.ErrorCode.LETTER_UNKNOWN;
+import static yewjunction.common.ErrorCode.MESSAGE_GARBLED;
+import static yewjunction.common.ErrorCode.MESSAGE_UNKNOWN;
 
 /** Letters to bytes and back: one byte of kind, then Protostuff. One thread at a time. */
 public final class MessageCodec {
@@ -30,7 +30,7 @@
     public byte[] encode(final Object letter) {
         final Integer number = kinds.get(letter.getClass());
         if (number == null) {
-            throw new YewjunctionException(LETTER_UNKNOWN, letter.getClass().getName());
+            throw new CodecException(MESSAGE_UNKNOWN, letter.getClass().getName());
         }
         final byte[] body;
         try {
@@ -49,14 +49,14 @@
         // An unknown kind is told apart from a broken one: it may come from a newer release and is skipped.
         final Schema<Object> schema = length < 1 ? null : (Schema<Object>) schemas.get(bytes[offset] & 0xff);
         if (schema == null) {
-            throw new YewjunctionException(LETTER_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
+            throw new CodecException(MESSAGE_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
         }
         try {
             final Object letter = schema.newMessage();
             ProtostuffIOUtil.mergeFrom(bytes, offset + 1, length - 1, letter, schema);
             return letter;
         } catch (final RuntimeException defect) {
-            throw new YewjunctionException(LETTER_GARBLED, "kind " + (bytes[offset] & 0xff), defect);
+            throw new CodecException(MESSAGE_GARBLED, "kind " + (bytes[offset] & 0xff), defect);
         }
     }
 }
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -15,14 +15,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import yewjunction.common.YewjunctionException;
-
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_FIELD;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_KEY;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_PLACE;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_SERVICE;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_TIMEOUT;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_UNREADABLE;
+
+import static yewjunction.common.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.ErrorCode.CONFIG_KEY;
+import static yewjunction.common.ErrorCode.CONFIG_PLACE;
+import static yewjunction.common.ErrorCode.CONFIG_SERVICE;
+import static yewjunction.common.ErrorCode.CONFIG_TIMEOUT;
+import static yewjunction.common.ErrorCode.CONFIG_UNREADABLE;
 import static yewjunction.common.Limits.BORROW_MOST;
 import static yewjunction.common.Limits.REPAY_SHARE;
 import static yewjunction.control.FieldReader.items;
@@ -56,7 +55,7 @@
         version = number(whole, "Ver", "Ver");
         // A version is a whole number above 0: 0 stands for no configuration at all.
         if (version <= 0) {
-            throw new YewjunctionException(CONFIG_FIELD, "Ver: must be above 0");
+            throw new ConfigurationException(CONFIG_FIELD, "Ver: must be above 0");
         }
     }
 
@@ -69,7 +68,7 @@
         try {
             return ConfigFactory.parseString(json, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.JSON));
         } catch (final ConfigException defect) {
-            throw new YewjunctionException(CONFIG_UNREADABLE, defect.getMessage(), defect);
+            throw new ConfigurationException(CONFIG_UNREADABLE, defect.getMessage(), defect);
         }
     }
 
@@ -83,7 +82,7 @@
             }
             return charter;
         } catch (final ConfigException defect) {
-            throw new YewjunctionException(CONFIG_FIELD, defect.getMessage(), defect);
+            throw new ConfigurationException(CONFIG_FIELD, defect.getMessage(), defect);
         }
     }
 
@@ -101,16 +100,16 @@
             final String prefix = text(route, "Pfx", path, true);
             final String service = text(route, "Svc", path, false);
             if (!names.add(name)) {
-                throw new YewjunctionException(CONFIG_PLACE, path + ": the name stands twice");
+                throw new ConfigurationException(CONFIG_PLACE, path + ": the name stands twice");
             }
             if (!places.add(host + " " + prefix)) {
-                throw new YewjunctionException(CONFIG_PLACE, path + ": another route has the same Host and Pfx");
+                throw new ConfigurationException(CONFIG_PLACE, path + ": another route has the same Host and Pfx");
             }
             if (!service.isEmpty() && !services.contains(service)) {
-                throw new YewjunctionException(CONFIG_SERVICE, path + ".Svc: there is no service " + service);
+                throw new ConfigurationException(CONFIG_SERVICE, path + ".Svc: there is no service " + service);
             }
             if (!route.hasPath("TimeoutMs") || route.getDouble("TimeoutMs") <= 0) {
-                throw new YewjunctionException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
+                throw new ConfigurationException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
             }
             final double keepS = route.hasPath("LingerS") ? route.getDouble("LingerS") : 0;
             spaces.add(new Route(name, host, prefix, (long) route.getDouble("TimeoutMs"), (long) (keepS * 1_000),
@@ -119,7 +118,7 @@
         for (final Route space : spaces) {
             for (final String earlier : space.after) {
                 if (earlier.equals(space.name) || !names.contains(earlier)) {
-                    throw new YewjunctionException(CONFIG_FIELD, "Routes." + space.name + ".After: " + (earlier.equals(space.name)
+                    throw new ConfigurationException(CONFIG_FIELD, "Routes." + space.name + ".After: " + (earlier.equals(space.name)
                         ? "names the route itself" : "there is no route " + earlier));
                 }
             }
@@ -134,11 +133,11 @@
             final Set<String> keys = new HashSet<>(item.hasPath("Apikeys") ? item.getStringList("Apikeys") : List.of());
             final Tenant tenant = tenant(name, keys, item);
             if (tenantsByName.put(name, tenant) != null) {
-                throw new YewjunctionException(CONFIG_KEY, "Tenants." + name + ": the name stands twice");
+                throw new ConfigurationException(CONFIG_KEY, "Tenants." + name + ": the name stands twice");
             }
             for (final String key : keys) {
                 if (tenantsByKey.put(key, tenant) != null) {
-                    throw new YewjunctionException(CONFIG_KEY, "Tenants." + name + ".Apikeys: another tenant has the same key");
+                    throw new ConfigurationException(CONFIG_KEY, "Tenants." + name + ".Apikeys: another tenant has the same key");
                 }
             }
         }
@@ -150,14 +149,14 @@
         final double borrowMax = number(item, "BorrowMax", path, 0);
         final double repayShare = number(item, "RepayShare", path, REPAY_SHARE);
         if (borrowMax < 0 || borrowMax > BORROW_MOST || borrowMax != Math.rint(borrowMax)) {
-            throw new YewjunctionException(CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + BORROW_MOST);
+            throw new ConfigurationException(CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + BORROW_MOST);
         }
         // A share that no millionth is left of would never repay anything.
         if (!(repayShare >= 1e-6 && repayShare <= 1)) {
-            throw new YewjunctionException(CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
+            throw new ConfigurationException(CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
         }
         if (borrowMax > 0 && !(rate > 0 && rate <= BORROW_MOST)) {
-            throw new YewjunctionException(CONFIG_FIELD, path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + BORROW_MOST);
+            throw new ConfigurationException(CONFIG_FIELD, path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + BORROW_MOST);
         }
         return new Tenant(name, keys, rate, item.hasPath("Burst") ? item.getDouble("Burst") : 0, (long) borrowMax,
             Math.round(repayShare * 1e6));
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -6,11 +6,10 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import yewjunction.common.YewjunctionException;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_FIELD;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_UNREADABLE;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_VERSION;
+import static yewjunction.common.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.ErrorCode.CONFIG_UNREADABLE;
+import static yewjunction.common.ErrorCode.CONFIG_VERSION;
 
 /**
  * A change of the configuration as it was sent, and what can be said of it whatever version is current. It is read by
@@ -27,7 +26,7 @@
     /** What it makes of any base; null for an update, whose outcome its base decides. */
     private Configuration replacement;
     /** Why it can be valid on no base at all, null where it can. */
-    private YewjunctionException defect;
+    private ConfigurationException defect;
     private boolean prepared;
     private ControlCommand deed;
     private Configuration next;
@@ -55,13 +54,13 @@
             version = sent.hasPath("Ver") ? sent.getLong("Ver") : 0;
             digest = digest(shape + " " + base + " " + Configuration.render(sent));
             check();
-        } catch (final YewjunctionException found) {
+        } catch (final ConfigurationException found) {
             defect = found;
         } catch (final ConfigException found) {
-            defect = new YewjunctionException(CONFIG_FIELD, found.getMessage(), found);
+            defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
         } catch (final StackOverflowError found) {
             // The reader calls itself for each level: a text that only opens brackets ends its stack, and nothing else.
-            defect = new YewjunctionException(CONFIG_UNREADABLE, "nested too deeply", found);
+            defect = new ConfigurationException(CONFIG_UNREADABLE, "nested too deeply", found);
         }
     }
 
@@ -87,7 +86,7 @@
         if (shape.equals("config replace")) {
             replacement = Configuration.of(sent);
         } else if (!sent.hasPath("Ver")) {
-            throw new YewjunctionException(CONFIG_FIELD, "Ver: is missing");
+            throw new ConfigurationException(CONFIG_FIELD, "Ver: is missing");
         }
     }
 
@@ -96,7 +95,7 @@
         return version > base;
     }
 
-    YewjunctionException defect() {
+    ConfigurationException defect() {
         return defect;
     }
 
@@ -118,19 +117,19 @@
             made.version = next.version();
             ConfigurationPatches.add(made, current, next);
             deed = made;
-        } catch (final YewjunctionException found) {
+        } catch (final ConfigurationException found) {
             defect = found;
         } catch (final ConfigException found) {
-            defect = new YewjunctionException(CONFIG_FIELD, found.getMessage(), found);
+            defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
         }
     }
 
     private Configuration on(final Configuration current) {
         if (!rises()) {
-            throw new YewjunctionException(CONFIG_VERSION, "Ver: must be above " + base);
+            throw new ConfigurationException(CONFIG_VERSION, "Ver: must be above " + base);
         }
         if (replacement == null && current == null) {
-            throw new YewjunctionException(CONFIG_VERSION, "there is no configuration to update");
+            throw new ConfigurationException(CONFIG_VERSION, "there is no configuration to update");
         }
         return replacement != null ? replacement : Configuration.of(current.updated(sent));
     }
--- a/src/main/java/yewjunction/control/ConfigurationPatches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -13,7 +13,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.common.YewjunctionException;
 
 import static yewjunction.control.FieldReader.items;
 import static yewjunction.control.FieldReader.text;
@@ -34,7 +33,7 @@
                 deed.patch = patch;
                 deed.patchDigest = after.digest();
             }
-        } catch (final ConfigException | YewjunctionException defect) {
+        } catch (final ConfigException | ConfigurationException defect) {
             // Without a patch all are told the whole: never a reason to deny what was checked already.
             deed.patch = null;
         }
--- a/src/main/java/yewjunction/control/ControlService.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -1,5 +1,6 @@
 package yewjunction.control;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
@@ -55,7 +56,7 @@
     }
 
     private List<String> others(final List<String> seedAddresses) {
-        return Stream.concat(seedAddresses.stream(), roster.up("crux").stream().map(peer -> peer.address)).distinct()
+        return Stream.concat(seedAddresses.stream(), roster.up(NodeRole.CONTROL).stream().map(peer -> peer.address)).distinct()
             .filter(address -> !address.equals(ownAddress)).toList();
     }
 
--- a/src/main/java/yewjunction/control/FieldReader.java
+++ b/src/main/java/yewjunction/control/FieldReader.java
@@ -3,9 +3,8 @@
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigValueType;
 import java.util.List;
-import yewjunction.common.YewjunctionException;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.ErrorCode.CONFIG_FIELD;
 
 /** Reads single fields of a configuration; what is wrong is named by its path. */
 final class FieldReader {
@@ -14,7 +13,7 @@
 
     static long number(final Config from, final String field, final String path) {
         if (!from.hasPath(field) || from.getValue(field).valueType() != ConfigValueType.NUMBER) {
-            throw new YewjunctionException(CONFIG_FIELD, path + ": must be a number");
+            throw new ConfigurationException(CONFIG_FIELD, path + ": must be a number");
         }
         return from.getLong(field);
     }
@@ -25,7 +24,7 @@
             return otherwise;
         }
         if (from.getIsNull(field) || from.getValue(field).valueType() != ConfigValueType.NUMBER) {
-            throw new YewjunctionException(CONFIG_FIELD, path + "." + field + ": must be a number");
+            throw new ConfigurationException(CONFIG_FIELD, path + "." + field + ": must be a number");
         }
         return from.getDouble(field);
     }
@@ -33,12 +32,12 @@
     static String text(final Config from, final String field, final String path, final boolean needed) {
         if (!from.hasPath(field)) {
             if (needed) {
-                throw new YewjunctionException(CONFIG_FIELD, path + "." + field + ": is missing");
+                throw new ConfigurationException(CONFIG_FIELD, path + "." + field + ": is missing");
             }
             return "";
         }
         if (from.getValue(field).valueType() != ConfigValueType.STRING) {
-            throw new YewjunctionException(CONFIG_FIELD, path + "." + field + ": must be text");
+            throw new ConfigurationException(CONFIG_FIELD, path + "." + field + ": must be text");
         }
         return from.getString(field);
     }
@@ -50,7 +49,7 @@
         }
         if (from.getIsNull(field) || from.getValue(field).valueType() != ConfigValueType.LIST
             || !from.getList(field).stream().allMatch(one -> one.valueType() == ConfigValueType.STRING)) {
-            throw new YewjunctionException(CONFIG_FIELD, path + "." + field + ": must be a list of names");
+            throw new ConfigurationException(CONFIG_FIELD, path + "." + field + ": must be a list of names");
         }
         return from.getStringList(field);
     }
--- a/src/main/java/yewjunction/control/LeaseClient.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -1,5 +1,6 @@
 package yewjunction.control;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -56,11 +57,11 @@
         post.on(LeaseResponse.class, this::leased);
     }
 
-    public LeaseClient named(final String address, final String node, final String zone, final String duty, final long life) {
+    public LeaseClient named(final String address, final String node, final String zone, final NodeRole role, final long life) {
         who.address = address;
         who.node = node;
         who.zone = zone;
-        who.duty = duty;
+        who.duty = role.wireName();
         who.life = life;
         questions = new PendingRequests<>(life);
         return this;
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -1,5 +1,6 @@
 package yewjunction.control;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -83,7 +84,7 @@
         told.factsNumber = renew.factsNumber >= told.factsNumber ? renew.factsNumber : old ? -1 : told.factsNumber;
         registrar.heard(renew.who);
         wards.heard(renew.who);
-        if (renew.who.duty.equals("tide") && !named(renew)) {
+        if (NodeRole.EDGE.is(renew.who.duty) && !named(renew)) {
             unnamed.add(link);
         }
         // The newest question of an asker stands for its earlier ones.
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -1,5 +1,6 @@
 package yewjunction.control;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -50,7 +51,7 @@
     }
 
     void heard(final ProcessReport who) {
-        final boolean vault = who.duty.equals("vault");
+        final boolean vault = NodeRole.STORE.is(who.duty);
         if (!ledger.leads()) {
             // Only the leader decides; vaults are told of each time, tides until they have their name.
             final boolean news = vault || core.facts().replica(who.address, who.life) == 0;
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -7,14 +7,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import yewjunction.common.YewjunctionException;
 import yewjunction.common.LogEvent;
 import yewjunction.common.AgentContext;
 import yewjunction.raft.TaskExecutor;
 import yewjunction.raft.RaftNode;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_FIELD;
-import static yewjunction.common.YewjunctionException.ErrorCode.CONFIG_VERSION;
+import static yewjunction.common.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.ErrorCode.CONFIG_VERSION;
 import static yewjunction.common.ControlLimits.CALL_BYTES_PER_MS;
 import static yewjunction.common.Limits.CALL_MS;
 import static yewjunction.common.Limits.CONFIG_BYTES;
@@ -150,7 +149,7 @@
         turns.take(request.patienceMs(), order::read, () -> look(order), noting);
     }
 
-    private static Response invalid(final YewjunctionException defect) {
+    private static Response invalid(final ConfigurationException defect) {
         return Response.deny(400, defect.code().name(), defect.getMessage());
     }
 
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -1,5 +1,6 @@
 package yewjunction.doctor;
 
+import yewjunction.membership.NodeRole;
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
 import com.typesafe.config.ConfigFactory;
@@ -145,7 +146,7 @@
             if (peer.getBoolean("Suspect") || !peer.getBoolean("Up")) {
                 found(Code.SIBLING_SUSPECT, name + " does not answer probes", "see whether it runs; it may just be stopping",
                     peer.getString("Nodename"), peer.getString("Az"));
-            } else if (peer.getString("Duty").equals("tide") && !peer.getBoolean("Ready")) {
+            } else if (NodeRole.EDGE.is(peer.getString("Duty")) && !peer.getBoolean("Ready")) {
                 found(Code.EDGE_NOT_READY, name + " takes no clients", "see its log: no lease, no home vault, or draining",
                     peer.getString("Nodename"), peer.getString("Az"));
             }
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -1,5 +1,6 @@
 package yewjunction.fanout;
 
+import yewjunction.membership.NodeRole;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -95,7 +96,7 @@
      */
     private void compare() {
         final Map<String, Member> partners = new HashMap<>();
-        final List<Member> homes = roster.up("vault");
+        final List<Member> homes = roster.up(NodeRole.STORE);
         java.util.Collections.shuffle(homes, pulse.luck());
         for (final Member peer : homes) {
             if (peer.ready) {
@@ -117,7 +118,7 @@
 
     /** Each home of another zone tells of its own edges. */
     private void askOthers() {
-        roster.up("vault").stream().filter(peer -> peer.ready && !peer.zone.equals(roster.self().zone))
+        roster.up(NodeRole.STORE).stream().filter(peer -> peer.ready && !peer.zone.equals(roster.self().zone))
             .forEach(peer -> shuttle.compareOwn(post.dial(peer.address)));
     }
 }
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -2,12 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.common.YewjunctionException;
 import yewjunction.control.Configuration;
 import yewjunction.control.LeaseClient;
 import yewjunction.subscription.AddWinsSet;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_TOOBIG;
+import static yewjunction.common.ErrorCode.FILTER_TOO_LARGE;
 import static yewjunction.common.Limits.HELLO_ANSWER_MS;
 
 /** What each word of a client asks for, checked against the configuration in force. */
@@ -128,9 +127,9 @@
         final Filter filter;
         try {
             filter = patterns.isEmpty() ? null : Filter.read(patterns);
-        } catch (final YewjunctionException defect) {
+        } catch (final FilterException defect) {
             // A filter that is in force stays so.
-            berth.refuse("SUB", topic, "", defect.code() == FILTER_TOOBIG ? "TOOBIG" : "BADMSG");
+            berth.refuse("SUB", topic, "", defect.code() == FILTER_TOO_LARGE ? "TOOBIG" : "BADMSG");
             return;
         }
         final Subscription known = berth.subs.get(topic);
--- a/src/main/java/yewjunction/gateway/ConnectionDrainer.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -1,5 +1,6 @@
 package yewjunction.gateway;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.List;
 import yewjunction.common.LogEvent;
@@ -73,7 +74,7 @@
     private Member target() {
         final List<Member> near = new ArrayList<>();
         final List<Member> far = new ArrayList<>();
-        for (final Member peer : roster.up("tide")) {
+        for (final Member peer : roster.up(NodeRole.EDGE)) {
             if (peer.ready && !peer.front.isEmpty()) {
                 (peer.zone.equals(roster.self().zone) ? near : far).add(peer);
             }
--- a/src/main/java/yewjunction/gateway/Filter.java
+++ b/src/main/java/yewjunction/gateway/Filter.java
@@ -3,10 +3,9 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import yewjunction.common.YewjunctionException;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_BAD;
-import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_TOOBIG;
+import static yewjunction.common.ErrorCode.FILTER_INVALID;
+import static yewjunction.common.ErrorCode.FILTER_TOO_LARGE;
 import static yewjunction.common.Limits.FILTER_BYTES;
 import static yewjunction.common.Limits.FILTER_PATTERNS;
 
@@ -33,14 +32,14 @@
     static Filter read(final String text) {
         final String[] patterns = text.split(",", -1);
         if (text.length() > FILTER_BYTES || patterns.length > FILTER_PATTERNS) {
-            throw new YewjunctionException(FILTER_TOOBIG, "at most " + FILTER_PATTERNS + " patterns and " + FILTER_BYTES + " bytes");
+            throw new FilterException(FILTER_TOO_LARGE, "at most " + FILTER_PATTERNS + " patterns and " + FILTER_BYTES + " bytes");
         }
         final List<byte[]> exact = new ArrayList<>();
         final List<byte[]> beginnings = new ArrayList<>();
         for (final String pattern : patterns) {
             final int star = pattern.indexOf('*');
             if (pattern.isEmpty() || star >= 0 && star < pattern.length() - 1) {
-                throw new YewjunctionException(FILTER_BAD, "a pattern is a key, or its beginning and one * at the end");
+                throw new FilterException(FILTER_INVALID, "a pattern is a key, or its beginning and one * at the end");
             }
             if (star < 0) {
                 exact.add(CommandParser.ascii(pattern));
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -67,10 +67,10 @@
     }
 
     /** Peers of a duty that are up, own zone first, without this process. */
-    public List<Member> up(final String duty) {
+    public List<Member> up(final NodeRole role) {
         final List<Member> chosen = new ArrayList<>();
         for (final Member peer : peers.values()) {
-            if (peer.up() && peer.duty.equals(duty)) {
+            if (peer.up() && role.is(peer.duty)) {
                 chosen.add(peer);
             }
         }
--- a/src/main/java/yewjunction/membership/SeedJoiner.java
+++ b/src/main/java/yewjunction/membership/SeedJoiner.java
@@ -42,7 +42,7 @@
         // Once others are known one of the own zone knows as much, and its bytes cost nothing; the seeds now and then.
         // Not at first: where all have started together their neighbours know as little as they do.
         if (++hails > HAIL_SEED_FIRST && pulse.luck().nextInt(HAIL_SEED_EVERY) > 0) {
-            final List<String> near = roster.all().stream().filter(peer -> peer.up() && !peer.duty.equals("tide")
+            final List<String> near = roster.all().stream().filter(peer -> peer.up() && !NodeRole.EDGE.is(peer.duty)
                 && peer.zone.equals(roster.self().zone)).map(peer -> peer.address).sorted().toList();
             if (!near.isEmpty()) {
                 others.clear();
--- a/src/main/java/yewjunction/node/ControlNode.java
+++ b/src/main/java/yewjunction/node/ControlNode.java
@@ -22,7 +22,7 @@
         this.roster = roster;
         this.settings = settings;
         this.life = life;
-        crux = new ControlService(pulse, post, disk, clerk, roster, settings.address(Settings.CRUX_OFFSET),
+        crux = new ControlService(pulse, post, disk, clerk, roster, settings.address(Settings.CONTROL_PORT_OFFSET),
             settings);
     }
 
--- a/src/main/java/yewjunction/node/EdgeNode.java
+++ b/src/main/java/yewjunction/node/EdgeNode.java
@@ -1,5 +1,6 @@
 package yewjunction.node;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -41,9 +42,9 @@
         this.roster = roster;
         this.settings = settings;
         this.life = life;
-        address = settings.address(Settings.TIDE_OFFSET);
+        address = settings.address(Settings.DATA_PORT_OFFSET);
         tenure = new LeaseClient(pulse, post, () -> Node.cruxes(roster, settings), this)
-            .named(address, settings.node(), settings.zone(), "tide", life);
+            .named(address, settings.node(), settings.zone(), NodeRole.EDGE, life);
         dock = new ClientRegistry(pulse, post, tenure, weave, settings.pingS());
         envoy = new StreamClient(pulse, post, weave, settings.node(), this::vaults, dock, dock::setChanged);
         dock.envoy(envoy);
@@ -63,7 +64,7 @@
     /** Vaults, the own zone's first: those the roster knows, and before it knows any, those the core has named. */
     private List<String> vaults() {
         final Set<String> addresses = new LinkedHashSet<>();
-        final List<Member> known = roster.up("vault");
+        final List<Member> known = roster.up(NodeRole.STORE);
         final Set<String> retiring = tenure.facts().retiringAddresses();
         known.stream().filter(peer -> peer.zone.equals(settings.zone()) && !retiring.contains(peer.address))
             .forEach(peer -> addresses.add(peer.address));
--- a/src/main/java/yewjunction/node/Node.java
+++ b/src/main/java/yewjunction/node/Node.java
@@ -1,5 +1,6 @@
 package yewjunction.node;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import yewjunction.control.LeaseClient;
 import yewjunction.membership.MembershipList;
@@ -20,13 +21,13 @@
 
     /** Cruxes, nearest first; before the roster knows any, those on the seeds' machines. */
     static List<String> cruxes(final MembershipList roster, final Settings settings) {
-        final List<String> known = addresses(roster, "crux");
+        final List<String> known = addresses(roster, NodeRole.CONTROL);
         return known.isEmpty() ? settings.coreAddresses() : known;
     }
 
     /** Peer addresses of a duty, own zone first, as the roster knows them now. */
-    static List<String> addresses(final MembershipList roster, final String duty) {
-        return roster.up(duty).stream().map(peer -> peer.address).toList();
+    static List<String> addresses(final MembershipList roster, final NodeRole role) {
+        return roster.up(role).stream().map(peer -> peer.address).toList();
     }
 
     /** Whether a replica's clients count as there: its process is up, as far as the roster knows. */
--- a/src/main/java/yewjunction/node/StoreNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -1,5 +1,6 @@
 package yewjunction.node;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -46,14 +47,14 @@
         this.roster = roster;
         this.settings = settings;
         this.life = life;
-        address = settings.address(Settings.TIDE_OFFSET);
+        address = settings.address(Settings.DATA_PORT_OFFSET);
         cellar = new MessageStore(pulse, this, settings);
         ledger = new RaftNode(GROUP, pulse, post, disk, clerk, "messages", cellar);
         ledger.listen();
         gate = new AdmissionController(pulse, post, ledger, cellar);
         home = new StreamServer(pulse, post, ledger, cellar, weave);
         tenure = new LeaseClient(pulse, post, () -> Node.cruxes(roster, settings), this)
-            .named(address, settings.node(), settings.zone(), "vault", life);
+            .named(address, settings.node(), settings.zone(), NodeRole.STORE, life);
         tenure.reporting(() -> tenure.diskOwed(ledger.course().owedMs()));
         new SubscriptionSyncServer(pulse, post, weave, roster, home, replica -> Node.live(replica, weave, tenure, roster));
     }
@@ -82,7 +83,7 @@
 
     /** Until the first voters are chosen there is nothing to join. */
     private List<String> vaults() {
-        return tenure.facts().vaults().isEmpty() ? List.of() : Node.addresses(roster, "vault");
+        return tenure.facts().vaults().isEmpty() ? List.of() : Node.addresses(roster, NodeRole.STORE);
     }
 
     /** Says how far it is, and empties what the core wants emptied. */
--- a/src/main/java/yewjunction/raft/AppendOnlyFile.java
+++ b/src/main/java/yewjunction/raft/AppendOnlyFile.java
@@ -3,10 +3,9 @@
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
-import yewjunction.common.YewjunctionException;
 import yewjunction.common.LogEvent;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.LEDGER_DAMAGED;
+import static yewjunction.common.ErrorCode.STORAGE_DAMAGED;
 
 /** An append-only file of records that is synced in groups and rewritten when it gets long. */
 final class AppendOnlyFile {
@@ -35,7 +34,7 @@
         }
         final LogRecord.ScanResult reading = LogRecord.read(bytes);
         if (reading.damaged()) {
-            throw new YewjunctionException(LEDGER_DAMAGED, name + " is damaged at byte " + reading.goodBytes() + " of " + bytes.length);
+            throw new StorageException(STORAGE_DAMAGED, name + " is damaged at byte " + reading.goodBytes() + " of " + bytes.length);
         }
         if (reading.goodBytes() < bytes.length) {
             LogEvent.TAIL_CUT.warn(name + " at byte " + reading.goodBytes() + " of " + bytes.length);
--- a/src/main/java/yewjunction/raft/LocalDisk.java
+++ b/src/main/java/yewjunction/raft/LocalDisk.java
@@ -7,15 +7,14 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import yewjunction.common.YewjunctionException;
 
 import static java.nio.file.StandardCopyOption.ATOMIC_MOVE;
 import static java.nio.file.StandardOpenOption.CREATE;
 import static java.nio.file.StandardOpenOption.READ;
 import static java.nio.file.StandardOpenOption.TRUNCATE_EXISTING;
 import static java.nio.file.StandardOpenOption.WRITE;
-import static yewjunction.common.YewjunctionException.ErrorCode.LEDGER_DISK;
-import static yewjunction.common.YewjunctionException.ErrorCode.LEDGER_FULL;
+import static yewjunction.common.ErrorCode.STORAGE_FAILED;
+import static yewjunction.common.ErrorCode.STORAGE_FULL;
 
 /** The real disk: files in one folder. Used by one thread at a time. */
 public final class LocalDisk implements Disk {
@@ -27,7 +26,7 @@
         try {
             Files.createDirectories(folder);
         } catch (final IOException defect) {
-            throw new YewjunctionException(LEDGER_DISK, "cannot make " + folder, defect);
+            throw new StorageException(STORAGE_FAILED, "cannot make " + folder, defect);
         }
     }
 
@@ -39,7 +38,7 @@
         try {
             return step.run();
         } catch (final IOException defect) {
-            throw new YewjunctionException(LEDGER_DISK, what + ": " + defect.getMessage(), defect);
+            throw new StorageException(STORAGE_FAILED, what + ": " + defect.getMessage(), defect);
         }
     }
 
@@ -68,7 +67,7 @@
         } catch (final IOException defect) {
             // What was written in part goes again, so that the same can be tried once there is room.
             guard("cut back " + name, () -> channel.truncate(before).position(before));
-            throw new YewjunctionException(LEDGER_FULL, "append " + name + ": " + defect.getMessage(), defect);
+            throw new StorageException(STORAGE_FULL, "append " + name + ": " + defect.getMessage(), defect);
         }
     }
 
@@ -110,7 +109,7 @@
                 }
                 return Files.deleteIfExists(fresh);
             });
-            throw new YewjunctionException(LEDGER_FULL, "replace " + name + ": " + defect.getMessage(), defect);
+            throw new StorageException(STORAGE_FULL, "replace " + name + ": " + defect.getMessage(), defect);
         }
         final FileChannel channel = written;
         guard("replace " + name, () -> {
--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -1,5 +1,6 @@
 package yewjunction.server;
 
+import yewjunction.common.ExitCode;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.IntConsumer;
@@ -8,7 +9,7 @@
 import yewjunction.common.AgentContext;
 import yewjunction.raft.TaskExecutor;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.LEDGER_FULL;
+import static yewjunction.common.ErrorCode.STORAGE_FULL;
 import static yewjunction.common.Limits.DISK_AGAIN_MS;
 
 /** The pool for blocking work: disk syncs, in order. It shares no table with the owner, so there is no lock to order. */
@@ -39,7 +40,7 @@
                 try {
                     LogEvent.DISK_FAILED.warn(String.valueOf(defect.getMessage()), defect);
                 } finally {
-                    ending.accept(Main.EXIT_DISK);
+                    ending.accept(ExitCode.DISK_FAILED);
                 }
             }
         });
@@ -56,7 +57,7 @@
                 }
                 return;
             } catch (final YewjunctionException defect) {
-                if (defect.code() != LEDGER_FULL) {
+                if (defect.code() != STORAGE_FULL) {
                     throw defect;
                 }
                 if (!told) {
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -1,5 +1,7 @@
 package yewjunction.server;
 
+import yewjunction.common.ExitCode;
+import yewjunction.membership.NodeRole;
 import java.nio.file.Path;
 import java.time.Instant;
 import java.util.List;
@@ -30,14 +32,11 @@
 import static yewjunction.common.Limits.SETTINGS_LOOK_MS;
 
 /** What all processes share: the agent, peer links, the roster, signals, the settings file. */
-final class ServerProcess {
+public final class ServerProcess {
     private final Settings settings;
     private final EventLoopAgent loom;
     private final MembershipList roster;
     private final Node node;
-    /** What a process is for. */
-    enum NodeRole { TIDE, VAULT, CRUX }
-
     private final SettingsReloader file;
     private final CountDownLatch ended = new CountDownLatch(1);
     private SignalHandlers signals = new SignalHandlers();
@@ -46,10 +45,10 @@
     /** Written by the owner before it ends, read by whoever awaited that. */
     private RuntimeException startDefect;
 
-    ServerProcess(final SettingsReloader file, final Settings settings, final NodeRole duty) {
+    public ServerProcess(final SettingsReloader file, final Settings settings, final NodeRole role) {
         this.file = file;
         this.settings = settings;
-        final String address = settings.address(duty == NodeRole.CRUX ? Settings.CRUX_OFFSET : Settings.TIDE_OFFSET);
+        final String address = settings.address(role == NodeRole.CONTROL ? Settings.CONTROL_PORT_OFFSET : Settings.DATA_PORT_OFFSET);
         // Drawn anew at each start: tells two lives at one address apart.
         final long life = new java.security.SecureRandom().nextLong() >>> 1;
         loom = new EventLoopAgent(life ^ System.nanoTime());
@@ -64,17 +63,17 @@
         self.address = address;
         self.node = settings.node();
         self.zone = settings.zone();
-        self.duty = duty.name().toLowerCase(java.util.Locale.ROOT);
+        self.duty = role.wireName();
         self.front = settings.front();
         self.life = life;
         self.begin(System.currentTimeMillis());
         final UdpTransport datagrams = new UdpTransport(loom, codec, SocketAddresses.parse(address));
         roster = new MembershipList(loom, self, datagrams::send);
         datagrams.onLetter(roster::take);
-        node = switch (duty) {
-            case CRUX -> new ControlNode(loom, wires, disk(), worker(), roster, settings, life);
-            case VAULT -> new StoreNode(loom, wires, disk(), worker(), roster, settings, life);
-            case TIDE -> new EdgeNode(loom, wires, roster, settings, life);
+        node = switch (role) {
+            case CONTROL -> new ControlNode(loom, wires, disk(), worker(), roster, settings, life);
+            case STORE -> new StoreNode(loom, wires, disk(), worker(), roster, settings, life);
+            case EDGE -> new EdgeNode(loom, wires, roster, settings, life);
         };
     }
 
@@ -83,13 +82,13 @@
     }
 
     /** Whose signals it takes; those of a process of its own. */
-    ServerProcess signalled(final SignalHandlers chosenSignals) {
+    public ServerProcess signalled(final SignalHandlers chosenSignals) {
         signals = chosenSignals;
         return this;
     }
 
     /** Planned work from calendar files; read again with the settings. */
-    ServerProcess planned(final String chosenCalendar) {
+    public ServerProcess planned(final String chosenCalendar) {
         calendar = chosenCalendar;
         readCalendar();
         return this;
@@ -119,7 +118,7 @@
     }
 
     /** Runs until told to stop. */
-    int run() {
+    public int run() {
         final AgentRunner runner = new AgentRunner(NoOpIdleStrategy.INSTANCE,
             defect -> broken(defect, Runtime.getRuntime()::halt), null, loom);
         loom.post(this::start);
@@ -139,7 +138,7 @@
         if (startDefect != null) {
             throw startDefect;
         }
-        return Main.EXIT_OK;
+        return ExitCode.OK;
     }
 
     private void start() {
@@ -162,7 +161,7 @@
             LogEvent.TURN_DEFECT.warn("loom", defect);
         } finally {
             if (defect instanceof Error) {
-                ending.accept(Main.EXIT_DEFECT);
+                ending.accept(ExitCode.UNEXPECTED_ERROR);
             }
         }
     }
--- a/src/main/java/yewjunction/server/SettingsReloader.java
+++ b/src/main/java/yewjunction/server/SettingsReloader.java
@@ -7,19 +7,19 @@
 import yewjunction.settings.Settings;
 
 /** The settings file, which somebody else writes at any moment, with a signal or without. */
-final class SettingsReloader {
+public final class SettingsReloader {
     private final Path file;
     /** The file's time and size before it was last read; null where it could not be looked at. */
     private String readState;
     /** The writer may still have been at it, within one tick of the file's clock: read once more at the next look. */
     private boolean again;
 
-    SettingsReloader(final Path file) {
+    public SettingsReloader(final Path file) {
         this.file = file;
     }
 
     /** Looked at first and read then: what is written between the two shows as a change at the next look. */
-    Settings load() {
+    public Settings load() {
         readState = state();
         return Settings.load(file);
     }
--- a/src/main/java/yewjunction/server/SignalHandlers.java
+++ b/src/main/java/yewjunction/server/SignalHandlers.java
@@ -8,14 +8,14 @@
  * Signals come on threads of the JVM's own, at any moment, also while the process is still being put together. They are
  * listened for before anything else, since a SIGHUP that nobody handles ends the JVM, and kept until the process takes them.
  */
-class SignalHandlers {
+public class SignalHandlers {
     /** What a signal asks for. */
     enum Kind { STOP, REREAD }
 
     private final ArrayDeque<Kind> early = new ArrayDeque<>();
     private Consumer<Kind> taker;
 
-    static SignalHandlers listen() {
+    public static SignalHandlers listen() {
         final SignalHandlers signals = new SignalHandlers();
         Signal.handle(new Signal("TERM"), signal -> signals.came(Kind.STOP));
         Signal.handle(new Signal("INT"), signal -> signals.came(Kind.STOP));
--- a/src/main/java/yewjunction/settings/Settings.java
+++ b/src/main/java/yewjunction/settings/Settings.java
@@ -10,12 +10,11 @@
 import org.yaml.snakeyaml.Yaml;
 import org.yaml.snakeyaml.constructor.SafeConstructor;
 import org.yaml.snakeyaml.error.YAMLException;
-import yewjunction.common.YewjunctionException;
 import yewjunction.transport.SocketAddresses;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.SETTINGS_FIELD;
-import static yewjunction.common.YewjunctionException.ErrorCode.SETTINGS_MISSING;
-import static yewjunction.common.YewjunctionException.ErrorCode.SETTINGS_UNREADABLE;
+import static yewjunction.common.ErrorCode.SETTINGS_FIELD;
+import static yewjunction.common.ErrorCode.SETTINGS_MISSING;
+import static yewjunction.common.ErrorCode.SETTINGS_UNREADABLE;
 
 /** What a process is told. Unknown fields are ignored; missing or bad ones are named. */
 public record Settings(String node, String role, List<String> serves, String ip, String zone, String front, String ready,
@@ -23,15 +22,15 @@
         int lossesBorne, double pingS, double quotaWindowS, double quotaExcess, double quotaSlack,
         long diskMb) {
     /** Which of the program's ports of a machine is whose: two processes share one machine. */
-    public static final int TIDE_OFFSET = 0;
-    public static final int CRUX_OFFSET = 1;
+    public static final int DATA_PORT_OFFSET = 0;
+    public static final int CONTROL_PORT_OFFSET = 1;
 
     public static Settings load(final Path file) {
         final String text;
         try {
             text = Files.readString(file);
         } catch (final IOException defect) {
-            throw new YewjunctionException(SETTINGS_MISSING, "cannot read " + file, defect);
+            throw new SettingsException(SETTINGS_MISSING, "cannot read " + file, defect);
         }
         return read(text);
     }
@@ -41,10 +40,10 @@
         try {
             tree = new Yaml(new SafeConstructor(new LoaderOptions())).load(text);
         } catch (final YAMLException defect) {
-            throw new YewjunctionException(SETTINGS_UNREADABLE, defect.getMessage(), defect);
+            throw new SettingsException(SETTINGS_UNREADABLE, defect.getMessage(), defect);
         }
         if (!(tree instanceof Map<?, ?> map)) {
-            throw new YewjunctionException(SETTINGS_UNREADABLE, "not a map of fields");
+            throw new SettingsException(SETTINGS_UNREADABLE, "not a map of fields");
         }
         return of(map);
     }
@@ -56,8 +55,8 @@
         final List<String> serves = texts(map, "Serves");
         final List<?> ports = list(map, "PortRange");
         if (ports.size() != 2 || !(ports.get(0) instanceof Integer first) || !(ports.get(1) instanceof Integer last)
-            || first < 1 || last > 65_535 || last - first < CRUX_OFFSET) {
-            throw new YewjunctionException(SETTINGS_FIELD, "PortRange: must be two ports with at least two numbers between them");
+            || first < 1 || last > 65_535 || last - first < CONTROL_PORT_OFFSET) {
+            throw new SettingsException(SETTINGS_FIELD, "PortRange: must be two ports with at least two numbers between them");
         }
         final boolean edge = serves.contains("edge");
         final boolean disk = serves.contains("store") || serves.contains("ctl") && map.get("Datadir") != null;
@@ -80,14 +79,14 @@
             return Map.of();
         }
         if (!(value instanceof Map<?, ?> map)) {
-            throw new YewjunctionException(SETTINGS_FIELD, field + ": must be a map");
+            throw new SettingsException(SETTINGS_FIELD, field + ": must be a map");
         }
         return map;
     }
 
     private static List<?> list(final Map<?, ?> from, final String field) {
         if (!(from.get(field) instanceof List<?> list)) {
-            throw new YewjunctionException(SETTINGS_FIELD, field + ": must be a list");
+            throw new SettingsException(SETTINGS_FIELD, field + ": must be a list");
         }
         return list;
     }
@@ -101,7 +100,7 @@
     private static String text(final Map<?, ?> from, final String field) {
         final Object value = from.get(field);
         if (value == null || String.valueOf(value).isBlank()) {
-            throw new YewjunctionException(SETTINGS_FIELD, field + ": is missing");
+            throw new SettingsException(SETTINGS_FIELD, field + ": is missing");
         }
         return String.valueOf(value);
     }
@@ -109,7 +108,7 @@
     private static String listening(final Map<?, ?> listen, final String field) {
         final Object value = listen.get(field);
         if (value == null) {
-            throw new YewjunctionException(SETTINGS_FIELD, "Listen." + field + ": is missing");
+            throw new SettingsException(SETTINGS_FIELD, "Listen." + field + ": is missing");
         }
         address(String.valueOf(value), "Listen." + field);
         return String.valueOf(value);
@@ -119,7 +118,7 @@
         try {
             SocketAddresses.parse(text);
         } catch (final IllegalArgumentException defect) {
-            throw new YewjunctionException(SETTINGS_FIELD, field + ": not an address ip:port: " + text, defect);
+            throw new SettingsException(SETTINGS_FIELD, field + ": not an address ip:port: " + text, defect);
         }
     }
 
@@ -129,14 +128,14 @@
             return otherwise;
         }
         if (!(value instanceof Number number) || number.doubleValue() < 0) {
-            throw new YewjunctionException(SETTINGS_FIELD, path + ": must be a number of 0 or more");
+            throw new SettingsException(SETTINGS_FIELD, path + ": must be a number of 0 or more");
         }
         return number.doubleValue();
     }
 
     /** Peer addresses of the cruxes on the seeds' machines: ports are alike on all. */
     public List<String> coreAddresses() {
-        return seeds.stream().map(seed -> SocketAddresses.ip(seed) + ":" + (firstPort + CRUX_OFFSET)).distinct().toList();
+        return seeds.stream().map(seed -> SocketAddresses.ip(seed) + ":" + (firstPort + CONTROL_PORT_OFFSET)).distinct().toList();
     }
 
     /** Two copies must outlast the losses to be borne: so many voters make a majority without them. */
--- a/src/main/java/yewjunction/transport/TcpPeerConnection.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -11,8 +11,8 @@
 import yewjunction.common.LogEvent;
 import yewjunction.common.PeerConnection;
 
-import static yewjunction.common.YewjunctionException.ErrorCode.LETTER_UNKNOWN;
-import static yewjunction.common.YewjunctionException.ErrorCode.LINK_GARBLED;
+import static yewjunction.common.ErrorCode.MESSAGE_UNKNOWN;
+import static yewjunction.common.ErrorCode.CONNECTION_GARBLED;
 import static yewjunction.common.Limits.DIAL_MS;
 import static yewjunction.common.Limits.LETTER_BYTES;
 import static yewjunction.common.Limits.LINK_BEAT_MS;
@@ -146,7 +146,7 @@
         while (!closed && input.remaining() >= 4) {
             final int length = input.getInt(input.position());
             if (length < 0 || length > LETTER_BYTES) {
-                throw new YewjunctionException(LINK_GARBLED, "length " + length);
+                throw new TransportException(CONNECTION_GARBLED, "length " + length);
             }
             if (input.remaining() < 4 + length) {
                 needed = 4 + length;
@@ -176,7 +176,7 @@
             letter = codec.decode(input.array(), start, length);
         } catch (final YewjunctionException defect) {
             // A kind this release does not know is skipped, so that releases can mix.
-            if (defect.code() == LETTER_UNKNOWN) {
+            if (defect.code() == MESSAGE_UNKNOWN) {
                 return;
             }
             throw defect;
--- a/src/test/java/yewjunction/capacity/ControlTraffic.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -1,5 +1,6 @@
 package yewjunction.capacity;
 
+import yewjunction.membership.NodeRole;
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Map;
@@ -32,8 +33,8 @@
             (threads.getCurrentThreadCpuTime() - cpuBefore) / 1_000.0 / nodeSeconds);
         figures.put("all: KB allocated a node and second", (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / nodeSeconds);
         role("edge", fleet, fleet.edges);
-        role("vault", fleet, fleet.vaults);
-        role("crux", fleet, fleet.cruxes);
+        role("store", fleet, fleet.vaults);
+        role("control", fleet, fleet.cruxes);
         if (fleet.ready() != edgeCount) {
             return false;
         }
@@ -72,7 +73,7 @@
         fleet.world.host(address).kill();
         fleet.world.runFor(50);
         fleet.meter.reset();
-        fleet.boot(address, "tide", false);
+        fleet.boot(address, NodeRole.EDGE, false);
         fleet.world.runUntil(() -> fleet.edge(address).ready(), 20_000);
         fleet.world.runFor(1_000);
         double bytes = 0;
--- a/src/test/java/yewjunction/capacity/HollowFleet.java
+++ b/src/test/java/yewjunction/capacity/HollowFleet.java
@@ -1,5 +1,6 @@
 package yewjunction.capacity;
 
+import yewjunction.membership.NodeRole;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,10 +37,10 @@
         world.meter = meter;
         lossesBorne = cruxCount >= 5 && vaultCount >= 5 ? 2 : 1;
         for (int i = 0; i < cruxCount; i++) {
-            cruxes.add("10." + zone(i) + ".1." + (1 + i / ZONES) + ":" + (PORT + Settings.CRUX_OFFSET));
+            cruxes.add("10." + zone(i) + ".1." + (1 + i / ZONES) + ":" + (PORT + Settings.CONTROL_PORT_OFFSET));
         }
         for (int i = 0; i < 3; i++) {
-            seeds.add(cruxes.get(i).replace(":" + (PORT + Settings.CRUX_OFFSET), ":8024"));
+            seeds.add(cruxes.get(i).replace(":" + (PORT + Settings.CONTROL_PORT_OFFSET), ":8024"));
         }
         for (int i = 0; i < vaultCount; i++) {
             vaults.add("10." + zone(i) + ".2." + (1 + i / ZONES) + ":" + PORT);
@@ -47,21 +48,21 @@
         for (int i = 0; i < edgeCount; i++) {
             edges.add("10." + zone(i) + "." + (3 + i / ZONES / 250) + "." + (1 + i / ZONES % 250) + ":" + PORT);
         }
-        cruxes.forEach(address -> boot(address, "crux", true));
-        vaults.forEach(address -> boot(address, "vault", true));
-        edges.forEach(address -> boot(address, "tide", true));
+        cruxes.forEach(address -> boot(address, NodeRole.CONTROL, true));
+        vaults.forEach(address -> boot(address, NodeRole.STORE, true));
+        edges.forEach(address -> boot(address, NodeRole.EDGE, true));
     }
 
     private static int zone(final int place) {
         return 1 + place % ZONES;
     }
 
-    void boot(final String address, final String duty, final boolean founding) {
+    void boot(final String address, final NodeRole role, final boolean founding) {
         final SimulatedHost host = world.host(address);
         final String ip = address.substring(0, address.indexOf(':'));
-        final Settings settings = new Settings("n-" + ip, duty, List.of(duty), ip, "zone" + ip.charAt(3), ip + ":8022", ip + ":8029",
+        final Settings settings = new Settings("n-" + ip, role.wireName(), List.of(role.wireName()), ip, "zone" + ip.charAt(3), ip + ":8022", ip + ":8029",
             ip + ":8024", PORT, PORT + 15, seeds, founding, "/data", lossesBorne, 2, 5, 0.1, 20, 260);
-        nodes.put(address, SimulatedNodes.boot(host, settings, duty, ++lives).node());
+        nodes.put(address, SimulatedNodes.boot(host, settings, role, ++lives).node());
     }
 
     EdgeNode edge(final String address) {
--- a/src/test/java/yewjunction/server/DoctorTest.java
+++ b/src/test/java/yewjunction/cli/DoctorTest.java
@@ -1,5 +1,6 @@
-package yewjunction.server;
+package yewjunction.cli;
 
+import yewjunction.common.ExitCode;
 import com.sun.net.httpserver.HttpServer;
 import com.typesafe.config.ConfigFactory;
 import java.io.ByteArrayOutputStream;
@@ -78,9 +79,9 @@
     void aHealthySystemHasNoFindings(@TempDir final Path folder) throws Exception {
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         final PrintStream print = new PrintStream(out, true);
-        assertEquals(Main.EXIT_OK, Rehearsal.raise(folder, print).play(), out.toString());
-        final String settings = folder.resolve("tide.yaml").toString();
-        assertEquals(Main.EXIT_OK, Diagnosis.run(settings, folder.resolve("vault1").toString(), null, false, print, print), out.toString());
+        assertEquals(ExitCode.OK, Rehearsal.raise(folder, print).play(), out.toString());
+        final String settings = folder.resolve("edge.yaml").toString();
+        assertEquals(ExitCode.OK, DoctorCommand.run(settings, folder.resolve("store1").toString(), null, false, print, print), out.toString());
         assertTrue(out.toString().endsWith("healthy\n"), out.toString());
     }
 
@@ -182,9 +183,9 @@
         final PrintStream print = new PrintStream(out, true);
         final Path file = Files.writeString(folder.resolve("s.yaml"), "Nodename: n\nRole: r\nServes: []\nIp: 127.0.0.1\nAz: z\n"
             + "PortRange: [7000, 7015]\nSeeds: ['" + closedAddress() + "']\n");
-        assertEquals(1, Diagnosis.run(file.toString(), null, null, true, print, print));
+        assertEquals(1, DoctorCommand.run(file.toString(), null, null, true, print, print));
         assertEquals("SEED_SILENT", ConfigFactory.parseString("{\"All\":" + out + "}").getConfigList("All").get(0).getString("Code"));
-        assertEquals(2, Diagnosis.run(folder.resolve("none").toString(), null, null, false, print, print));
-        assertEquals(2, Diagnosis.run(file.toString(), folder.resolve("none").toString(), null, false, print, print));
+        assertEquals(2, DoctorCommand.run(folder.resolve("none").toString(), null, null, false, print, print));
+        assertEquals(2, DoctorCommand.run(file.toString(), folder.resolve("none").toString(), null, false, print, print));
     }
 }
--- a/src/test/java/yewjunction/server/RehearsalTest.java
+++ b/src/test/java/yewjunction/cli/RehearsalTest.java
@@ -1,5 +1,6 @@
-package yewjunction.server;
+package yewjunction.cli;
 
+import yewjunction.common.ExitCode;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -16,7 +17,7 @@
     void aWholeSystemCarriesAMessage() throws Exception {
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         final int code = Rehearsal.run(new PrintStream(out, true));
-        assertEquals(Main.EXIT_OK, code, out.toString());
+        assertEquals(ExitCode.OK, code, out.toString());
         assertTrue(out.toString().contains("MSG rehearsal.one"), out.toString());
         // The same on the real wire with a filter, and with another one mid-flow.
         assertTrue(out.toString().contains("repo-1,tool-*"), out.toString());
@@ -30,13 +31,13 @@
 
     @Test
     void wrongArgumentsAndBadFilesHaveTheirCodes(@TempDir final Path folder) throws Exception {
-        assertEquals(Main.EXIT_USAGE, Main.run(new String[] {}));
-        assertEquals(Main.EXIT_USAGE, Main.run(new String[] {"nonsense"}));
-        assertEquals(Main.EXIT_USAGE, Main.run(new String[] {"check"}));
-        assertEquals(Main.EXIT_SETTINGS, Main.run(new String[] {"crux", "--settings", folder.resolve("none").toString()}));
+        assertEquals(ExitCode.USAGE, Main.run(new String[] {}));
+        assertEquals(ExitCode.USAGE, Main.run(new String[] {"nonsense"}));
+        assertEquals(ExitCode.USAGE, Main.run(new String[] {"check"}));
+        assertEquals(ExitCode.SETTINGS, Main.run(new String[] {"control-plane", "--settings", folder.resolve("none").toString()}));
         final Path bad = Files.writeString(folder.resolve("bad.json"), "{\"Ver\":0}");
         assertEquals(1, Main.run(new String[] {"check", bad.toString()}));
         final Path good = Files.writeString(folder.resolve("good.json"), "{\"Ver\":3}");
-        assertEquals(Main.EXIT_OK, Main.run(new String[] {"check", good.toString()}));
+        assertEquals(ExitCode.OK, Main.run(new String[] {"check", good.toString()}));
     }
 }
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.control;
 
+import yewjunction.membership.NodeRole;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,7 +38,7 @@
     private boolean mute;
 
     private static String address(final String ip) {
-        return ip + ":" + (7000 + Settings.CRUX_OFFSET);
+        return ip + ":" + (7000 + Settings.CONTROL_PORT_OFFSET);
     }
 
     /** Three cruxes with a configuration, and an edge that may ask any of them. */
@@ -50,7 +51,7 @@
             final Settings settings = new Settings("node-" + ip, "crux", List.of("crux"), ip, "zone" + ip.charAt(3), ip + ":8022",
                 ip + ":8029", ip + ":8024", 7000, 7015, seeds, true, "/data", 1, 2, 5, 0.1, 20, 64);
             final SimulatedHost host = world.host(address(ip));
-            nodes.put(address(ip), (ControlNode) SimulatedNodes.boot(host, settings, "crux", nodes.size() + 1).node());
+            nodes.put(address(ip), (ControlNode) SimulatedNodes.boot(host, settings, NodeRole.CONTROL, nodes.size() + 1).node());
             host.tampering = letter -> {
                 if (letter instanceof ConfirmLeadershipRequest confirm) {
                     leader = host.address;
--- a/src/test/java/yewjunction/control/LeaseResponsesTest.java
+++ b/src/test/java/yewjunction/control/LeaseResponsesTest.java
@@ -1,5 +1,6 @@
 package yewjunction.control;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -43,7 +44,7 @@
         final SimulatedHost host = world.host("edge:1");
         host.boot();
         world.runFor(100_000);
-        tenure = new LeaseClient(host, links, () -> homes, new IgnoringListener()).named("edge:1", "edge", "zone", "tide", drawn ? ++lives : 1);
+        tenure = new LeaseClient(host, links, () -> homes, new IgnoringListener()).named("edge:1", "edge", "zone", NodeRole.EDGE, drawn ? ++lives : 1);
         tenure.start();
         final LeaseResponse news = new LeaseResponse();
         news.version = 7;
--- a/src/test/java/yewjunction/control/StaleRegistration.java
+++ b/src/test/java/yewjunction/control/StaleRegistration.java
@@ -1,5 +1,6 @@
 package yewjunction.control;
 
+import yewjunction.membership.NodeRole;
 import yewjunction.control.LeaseMessages.RegisterRequest;
 
 /** Plants a fault: a letter that asks for a replica's name for a life of a process that is over. */
@@ -11,7 +12,7 @@
         final RegisterRequest enlist = new RegisterRequest();
         enlist.who.address = address;
         enlist.who.node = "node-" + address;
-        enlist.who.duty = "tide";
+        enlist.who.duty = NodeRole.EDGE.wireName();
         enlist.who.life = life;
         return enlist;
     }
--- a/src/test/java/yewjunction/gateway/FilterTest.java
+++ b/src/test/java/yewjunction/gateway/FilterTest.java
@@ -10,8 +10,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
-import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_BAD;
-import static yewjunction.common.YewjunctionException.ErrorCode.FILTER_TOOBIG;
+import static yewjunction.common.ErrorCode.FILTER_INVALID;
+import static yewjunction.common.ErrorCode.FILTER_TOO_LARGE;
 
 class FilterTest {
     @ParameterizedTest
@@ -28,16 +28,16 @@
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"a,,b", "a,", ",", "a*b", "**", "a*,*b"})
     void aBadPatternIsToldApart(final String filter) {
-        assertEquals(FILTER_BAD, assertThrows(YewjunctionException.class, () -> Filter.read(filter)).code());
+        assertEquals(FILTER_INVALID, assertThrows(YewjunctionException.class, () -> Filter.read(filter)).code());
     }
 
     @Test
     void aFilterIsBounded() {
         final String many = String.join(",", java.util.Collections.nCopies(64, "k"));
         Filter.read(many);
-        assertEquals(FILTER_TOOBIG, assertThrows(YewjunctionException.class, () -> Filter.read(many + ",k")).code());
+        assertEquals(FILTER_TOO_LARGE, assertThrows(YewjunctionException.class, () -> Filter.read(many + ",k")).code());
         Filter.read("k".repeat(1_024));
-        assertEquals(FILTER_TOOBIG, assertThrows(YewjunctionException.class, () -> Filter.read("k".repeat(1_025))).code());
+        assertEquals(FILTER_TOO_LARGE, assertThrows(YewjunctionException.class, () -> Filter.read("k".repeat(1_025))).code());
     }
 
     /** Against a reference that tries each pattern, over keys and patterns that share many beginnings. */
--- a/src/test/java/yewjunction/membership/LateResponsesTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -30,7 +30,7 @@
         peer.life = 1;
         peer.address = address;
         peer.zone = "zone";
-        peer.duty = "vault";
+        peer.duty = NodeRole.STORE.wireName();
         return peer;
     }
 
--- a/src/test/java/yewjunction/membership/MembershipSimulationTest.java
+++ b/src/test/java/yewjunction/membership/MembershipSimulationTest.java
@@ -25,7 +25,7 @@
         self.address = address;
         self.node = "node-" + address;
         self.zone = "zone" + address.charAt(1);
-        self.duty = "tide";
+        self.duty = NodeRole.EDGE.wireName();
         self.life = ++lives;
         final MembershipList roster = new MembershipList(host, self, host::datagram);
         roster.planned(peer -> {
@@ -43,12 +43,12 @@
             boot(address);
         }
         world.runFor(12_000);
-        rosters.forEach((address, roster) -> assertEquals(7, roster.up("tide").size(), address));
+        rosters.forEach((address, roster) -> assertEquals(7, roster.up(NodeRole.EDGE).size(), address));
     }
 
     private boolean allSee(final String address, final boolean up) {
         return rosters.entrySet().stream().filter(one -> !one.getKey().equals(address) && world.host(one.getKey()).up())
-            .allMatch(one -> one.getValue().up("tide").stream().anyMatch(peer -> peer.address.equals(address)) == up);
+            .allMatch(one -> one.getValue().up(NodeRole.EDGE).stream().anyMatch(peer -> peer.address.equals(address)) == up);
     }
 
     @Test
--- a/src/test/java/yewjunction/raft/LogRecordTest.java
+++ b/src/test/java/yewjunction/raft/LogRecordTest.java
@@ -4,6 +4,7 @@
 import java.util.Arrays;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import yewjunction.common.ErrorCode;
 import yewjunction.common.YewjunctionException;
 import yewjunction.simulation.SimulatedDisk;
 
@@ -62,7 +63,7 @@
         disk.replace("x", bytes);
         disk.damage("x", 20);
         final AppendOnlyFile shelf = new AppendOnlyFile(disk, (blocking, afterwards) -> blocking.run(), "x");
-        assertEquals(YewjunctionException.ErrorCode.LEDGER_DAMAGED, assertThrows(YewjunctionException.class, shelf::open).code());
+        assertEquals(ErrorCode.STORAGE_DAMAGED, assertThrows(YewjunctionException.class, shelf::open).code());
     }
 
     @Test
--- a/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
+++ b/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
@@ -1,5 +1,6 @@
 package yewjunction.server;
 
+import yewjunction.common.ExitCode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -9,7 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import yewjunction.common.YewjunctionException;
+import yewjunction.common.ErrorCode;
 import yewjunction.common.AgentContext;
 import yewjunction.raft.TaskExecutor;
 
@@ -60,7 +61,7 @@
     @Test
     void anErrorEndsTheProcess() throws InterruptedException {
         assertTrue(answeredOrEnded(new BlockingTaskExecutor(pulse, codes::add)));
-        assertEquals(Main.EXIT_DISK, codes.poll());
+        assertEquals(ExitCode.DISK_FAILED, codes.poll());
     }
 
     /** Planted: only exceptions are looked at, and the pool goes on with another thread. */
@@ -75,7 +76,7 @@
             try {
                 blocking.run();
             } catch (final RuntimeException defect) {
-                codes.add(Main.EXIT_DISK);
+                codes.add(ExitCode.DISK_FAILED);
             }
             pulse.post(afterwards);
         })));
@@ -86,9 +87,9 @@
     void aFailedSyncEndsTheProcessAndNobodyIsToldThatItWorked() throws InterruptedException {
         final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
         worker.work(() -> {
-            throw new YewjunctionException(YewjunctionException.ErrorCode.LEDGER_DISK, "sync failed");
+            throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FAILED, "sync failed");
         }, () -> { });
-        assertEquals(Main.EXIT_DISK, codes.poll(10, TimeUnit.SECONDS));
+        assertEquals(ExitCode.DISK_FAILED, codes.poll(10, TimeUnit.SECONDS));
         assertNull(posted.poll());
     }
 
@@ -99,7 +100,7 @@
         final int[] tries = new int[1];
         worker.work(() -> {
             if (tries[0]++ < 2) {
-                throw new YewjunctionException(YewjunctionException.ErrorCode.LEDGER_FULL, "no room");
+                throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FULL, "no room");
             }
             written.add("one");
         }, () -> written.add("one answered"));
--- a/src/test/java/yewjunction/server/ServerProcessTest.java
+++ b/src/test/java/yewjunction/server/ServerProcessTest.java
@@ -1,5 +1,7 @@
 package yewjunction.server;
 
+import yewjunction.common.ExitCode;
+import yewjunction.membership.NodeRole;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -25,11 +27,11 @@
     private static ServerProcess crux(final Path folder, final int controlPort) throws Exception {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.9"))) {
             final int port = Math.min(probe.getLocalPort(), 65_000);
-            final Path file = Files.writeString(folder.resolve("crux.yaml"), "Nodename: n\nRole: ctl\nServes: [ctl]\nIp: 127.0.0.9\nAz: z\n"
+            final Path file = Files.writeString(folder.resolve("control.yaml"), "Nodename: n\nRole: ctl\nServes: [ctl]\nIp: 127.0.0.9\nAz: z\n"
                 + "Listen: {Ctl: '127.0.0.9:" + controlPort + "'}\nPortRange: [" + port + ", " + (port + 3) + "]\nSeeds: ['127.0.0.9:"
                 + controlPort + "']\nBootstrap: true\nDatadir: " + folder.resolve("data") + "\n");
             final SettingsReloader settingsFile = new SettingsReloader(file);
-            return new ServerProcess(settingsFile, settingsFile.load(), ServerProcess.NodeRole.CRUX);
+            return new ServerProcess(settingsFile, settingsFile.load(), NodeRole.CONTROL);
         }
     }
 
@@ -53,7 +55,7 @@
         signals.came(SignalHandlers.Kind.STOP);
         final Path folder = folder();
         final ServerProcess process = crux(folder, port).signalled(signals);
-        assertEquals(Main.EXIT_OK, assertTimeoutPreemptively(Duration.ofSeconds(20), process::run));
+        assertEquals(ExitCode.OK, assertTimeoutPreemptively(Duration.ofSeconds(20), process::run));
         // It had started before it stopped: what it is called stands on its disk.
         assertTrue(Files.size(folder.resolve("data").resolve("charter")) > 0);
     }
@@ -64,6 +66,6 @@
         ServerProcess.broken(new java.io.IOException("the selector"), codes::add);
         assertEquals(List.of(), codes);
         ServerProcess.broken(new OutOfMemoryError(), codes::add);
-        assertEquals(List.of(Main.EXIT_DEFECT), codes);
+        assertEquals(List.of(ExitCode.UNEXPECTED_ERROR), codes);
     }
 }
--- a/src/test/java/yewjunction/settings/SettingsTest.java
+++ b/src/test/java/yewjunction/settings/SettingsTest.java
@@ -3,6 +3,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import yewjunction.common.ErrorCode;
 import yewjunction.common.YewjunctionException;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -49,12 +50,12 @@
     })
     void aBadFieldIsNamed(final String good, final String bad, final String field) {
         final YewjunctionException defect = assertThrows(YewjunctionException.class, () -> Settings.read(GOOD.replace(good, bad)));
-        assertTrue(defect.getMessage().startsWith(field) || defect.code() == YewjunctionException.ErrorCode.SETTINGS_UNREADABLE, defect.getMessage());
+        assertTrue(defect.getMessage().startsWith(field) || defect.code() == ErrorCode.SETTINGS_UNREADABLE, defect.getMessage());
     }
 
     @Test
     void whatIsNoYamlIsUnreadable() {
-        assertEquals(YewjunctionException.ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("a: [")).code());
-        assertEquals(YewjunctionException.ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("just words")).code());
+        assertEquals(ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("a: [")).code());
+        assertEquals(ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("just words")).code());
     }
 }
--- a/src/test/java/yewjunction/simulation/SimulatedNodes.java
+++ b/src/test/java/yewjunction/simulation/SimulatedNodes.java
@@ -1,5 +1,6 @@
 package yewjunction.simulation;
 
+import yewjunction.membership.NodeRole;
 import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
@@ -16,21 +17,21 @@
     public record Running(Node node, MembershipList roster) {
     }
 
-    public static Running boot(final SimulatedHost host, final Settings settings, final String duty, final long life) {
+    public static Running boot(final SimulatedHost host, final Settings settings, final NodeRole role, final long life) {
         final SimulatedTransport post = host.boot();
         final Member self = new Member();
         self.address = host.address;
         self.node = settings.node();
         self.zone = settings.zone();
-        self.duty = duty;
-        self.front = duty.equals("tide") ? settings.front() : "";
+        self.duty = role.wireName();
+        self.front = role == NodeRole.EDGE ? settings.front() : "";
         self.life = life;
         final MembershipList roster = new MembershipList(host, self, host::datagram);
         host.onDatagram(roster::take);
-        final Node node = switch (duty) {
-            case "crux" -> new ControlNode(host, post, host.disk, host.clerk(), roster, settings, life);
-            case "vault" -> new StoreNode(host, post, host.disk, host.clerk(), roster, settings, life);
-            default -> new EdgeNode(host, post, roster, settings, life);
+        final Node node = switch (role) {
+            case CONTROL -> new ControlNode(host, post, host.disk, host.clerk(), roster, settings, life);
+            case STORE -> new StoreNode(host, post, host.disk, host.clerk(), roster, settings, life);
+            case EDGE -> new EdgeNode(host, post, roster, settings, life);
         };
         roster.start(settings.coreAddresses());
         node.start();
--- a/src/test/java/yewjunction/system/BorrowingSimulationTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -66,7 +67,7 @@
     }
 
     private void look() {
-        for (final String vault : town.all("vault")) {
+        for (final String vault : town.all(NodeRole.STORE)) {
             if (town.world.host(vault).up()) {
                 for (final AccountBalance balance : ((StoreNode) town.nodes.get(vault)).cellar().balances()) {
                     final String held = ReferenceAccounts.told(balance);
@@ -80,7 +81,7 @@
 
     private ReferenceAccounts reference() {
         final Map<Long, byte[]> entries = LogReader.none();
-        for (final String vault : town.all("vault")) {
+        for (final String vault : town.all(NodeRole.STORE)) {
             LogReader.gather(town.world.host(vault).disk, "messages", Long.MAX_VALUE, entries);
         }
         final ReferenceAccounts reference = new ReferenceAccounts();
@@ -101,7 +102,7 @@
             final int gap = place.indexOf(' ');
             assertEquals(reference.at(place.substring(0, gap), Long.parseLong(place.substring(gap + 1))), held, place);
         });
-        for (final String vault : town.all("vault")) {
+        for (final String vault : town.all(NodeRole.STORE)) {
             final List<AccountBalance> balances = ((StoreNode) town.nodes.get(vault)).cellar().balances();
             assertEquals(1, balances.size(), vault);
             assertEquals(0, balances.get(0).debt, vault);
@@ -113,8 +114,8 @@
     }
 
     private String leader() {
-        return town.all("vault").stream().filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
-            .findFirst().orElse(town.all("vault").get(0));
+        return town.all(NodeRole.STORE).stream().filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
+            .findFirst().orElse(town.all(NodeRole.STORE).get(0));
     }
 
     @Test
@@ -142,14 +143,14 @@
             rush = true;
             town.world.runFor(700 + town.world.luck.nextInt(1_500));
             final String lead = leader();
-            final List<String> vaults = town.all("vault");
+            final List<String> vaults = town.all(NodeRole.STORE);
             final String other = vaults.get((vaults.indexOf(lead) + 1) % vaults.size());
             switch ((int) ((seed + round) % 7)) {
                 case 0 -> town.kill(lead);
                 case 1 -> town.powerOff(lead);
                 case 2 -> {
                     // Frozen for longer than an election, then back with all it had in hand.
-                    town.all("vault").stream().filter(vault -> !vault.equals(lead)).forEach(vault -> town.world.cut(lead, vault));
+                    town.all(NodeRole.STORE).stream().filter(vault -> !vault.equals(lead)).forEach(vault -> town.world.cut(lead, vault));
                     town.world.runFor(900);
                     town.world.join();
                 }
--- a/src/test/java/yewjunction/system/ConcurrentOperators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -67,7 +68,7 @@
             return;
         }
         final String path = call.change() == null ? "show" : body.contains("Upsert") ? "update" : "replace";
-        final List<String> cruxes = town.all("crux");
+        final List<String> cruxes = town.all(NodeRole.CONTROL);
         final long calledMs = town.world.nowMs();
         final boolean[] over = new boolean[1];
         final Runnable again = () -> {
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -45,8 +46,8 @@
 
     /** Whoever leads the vaults, or the first of them. */
     String leader() {
-        return town.all("vault").stream().filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
-            .findFirst().orElse(town.all("vault").get(0));
+        return town.all(NodeRole.STORE).stream().filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
+            .findFirst().orElse(town.all(NodeRole.STORE).get(0));
     }
 
     long span(final int leastMs, final int mostMs) {
@@ -65,7 +66,7 @@
 
     /** Two machines at once, often of one group: each by itself is killed, cut off, frozen, without power, or without its disk. */
     void pair() {
-        final List<String> from = draw.nextInt(3) == 0 ? core() : (draw.nextBoolean() ? town.all("vault") : town.all("crux")).stream()
+        final List<String> from = draw.nextInt(3) == 0 ? core() : (draw.nextBoolean() ? town.all(NodeRole.STORE) : town.all(NodeRole.CONTROL)).stream()
             .map(FaultInjector::machine).toList();
         final String first = draw.nextBoolean() && from.contains(machine(leader())) ? machine(leader()) : from.get(draw.nextInt(from.size()));
         final List<String> others = from.stream().filter(one -> !one.equals(first)).toList();
@@ -147,9 +148,9 @@
         final boolean vault = machine.endsWith("9");
         machines += 10;
         final String fresh = machine.substring(0, machine.lastIndexOf('.') + 1) + (machines % 1_000 + (vault ? 9 : 1));
-        town.seeds = town.all("crux").stream().filter(crux -> town.world.host(crux).up()).limit(3).map(crux -> machine(crux) + ":8024").toList();
+        town.seeds = town.all(NodeRole.CONTROL).stream().filter(crux -> town.world.host(crux).up()).limit(3).map(crux -> machine(crux) + ":8024").toList();
         if (!vault) {
-            town.boot(fresh + ":" + (SimulatedCluster.PORT + Settings.CRUX_OFFSET), false);
+            town.boot(fresh + ":" + (SimulatedCluster.PORT + Settings.CONTROL_PORT_OFFSET), false);
         }
         town.boot(fresh + ":" + SimulatedCluster.PORT, false);
         return fresh;
--- a/src/test/java/yewjunction/system/FilterSimulationTest.java
+++ b/src/test/java/yewjunction/system/FilterSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -45,13 +46,13 @@
         town.world.loss = 0.02;
         town.world.every(60, this::change);
         for (int round = 0; round < 6; round++) {
-            final List<String> edges = town.all("tide");
+            final List<String> edges = town.all(NodeRole.EDGE);
             final String edge = edges.get(town.world.luck.nextInt(edges.size()));
             switch (town.world.luck.nextInt(5)) {
                 case 0 -> town.kill(edge);
                 case 1 -> town.powerOff(edge);
                 case 2 -> town.stop(edge);
-                case 3 -> town.all("vault").forEach(vault -> town.world.cut(edge, vault));
+                case 3 -> town.all(NodeRole.STORE).forEach(vault -> town.world.cut(edge, vault));
                 default -> town.customers.forEach(customer -> {
                     if (town.world.luck.nextBoolean()) {
                         customer.cut();
--- a/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
+++ b/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -53,7 +54,7 @@
     /** All vaults hold the same messages at the same places, as far back as each still keeps them. */
     private void sameHistories() {
         final Map<Long, String> history = new TreeMap<>();
-        for (final String vault : town.all("vault")) {
+        for (final String vault : town.all(NodeRole.STORE)) {
             ((StoreNode) town.nodes.get(vault)).cellar().between(0, Long.MAX_VALUE).forEach(message -> {
                 final String told = message.topic + " " + message.client + " " + message.number;
                 assertEquals(told, history.computeIfAbsent(message.index, key -> told), "at " + message.index);
@@ -80,7 +81,7 @@
                     // Long: leases lapse, clients move out and come back; an edge of the site dies in the dark.
                     town.darken(zone, withVault);
                     town.world.runFor(6_000);
-                    town.kill(town.all("tide").stream().filter(edge -> SimulatedCluster.zone(edge).equals(zone)).findFirst().orElseThrow());
+                    town.kill(town.all(NodeRole.EDGE).stream().filter(edge -> SimulatedCluster.zone(edge).equals(zone)).findFirst().orElseThrow());
                     town.world.runFor(3_000);
                 }
                 case 2 -> {
@@ -96,7 +97,7 @@
                     // The lead changes meanwhile.
                     town.darken(zone, withVault);
                     town.world.runFor(800);
-                    final List<String> outside = town.all("vault").stream().filter(vault -> !SimulatedCluster.zone(vault).equals(zone)).toList();
+                    final List<String> outside = town.all(NodeRole.STORE).stream().filter(vault -> !SimulatedCluster.zone(vault).equals(zone)).toList();
                     town.kill(outside.get(town.world.luck.nextInt(2)));
                     town.world.runFor(1_500);
                 }
@@ -146,7 +147,7 @@
         town.world.runFor(3_000);
         final String edge = town.readyEdges("zone1").get(0);
         // Only the stream is cut: leases stay, and so do the links of its clients until it lets them go.
-        town.all("vault").forEach(vault -> town.world.cut(edge, vault));
+        town.all(NodeRole.STORE).forEach(vault -> town.world.cut(edge, vault));
         town.world.runFor(75_000);
         town.world.join();
         town.world.runFor(5_000);
--- a/src/test/java/yewjunction/system/OperatorCalls.java
+++ b/src/test/java/yewjunction/system/OperatorCalls.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,7 +37,7 @@
     OperatorCalls(final SimulatedCluster town, final ConcurrentOperators.Gate gate) {
         this.town = town;
         this.gate = gate;
-        cruxes = town.all("crux");
+        cruxes = town.all(NodeRole.CONTROL);
     }
 
     /** A town that has settled and taken version 1. */
--- a/src/test/java/yewjunction/system/OperatorSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,7 +20,7 @@
         final List<OperatorApi.Response> answers = new ArrayList<>();
         for (int attempt = 0; attempt < 20; attempt++) {
             answers.clear();
-            town.call(town.all("crux").get(attempt % 3), method, path, Long.parseLong(base), body, answers::add);
+            town.call(town.all(NodeRole.CONTROL).get(attempt % 3), method, path, Long.parseLong(base), body, answers::add);
             town.world.runUntil(() -> !answers.isEmpty(), 1_000);
             if (!answers.isEmpty() && answers.get(0).status() != 307 && answers.get(0).status() != 503) {
                 return answers.get(0);
@@ -80,7 +81,7 @@
             for (int operator = 0; operator < 2; operator++) {
                 final long next = base + 1 + operator;
                 for (int attempt = 0; attempt < 3; attempt++) {
-                    town.call(town.all("crux").get(attempt), "POST", "/-/config/replace", base, config(next), answer -> {
+                    town.call(town.all(NodeRole.CONTROL).get(attempt), "POST", "/-/config/replace", base, config(next), answer -> {
                         if (answer.status() == 200 && !won.contains(next)) {
                             won.add(next);
                         }
@@ -88,7 +89,7 @@
                 }
             }
             if (town.world.luck.nextInt(3) == 0) {
-                final String victim = town.all("crux").get(town.world.luck.nextInt(3));
+                final String victim = town.all(NodeRole.CONTROL).get(town.world.luck.nextInt(3));
                 town.world.runFor(town.world.luck.nextInt(8));
                 town.powerOff(victim);
                 town.world.runFor(1_500);
--- a/src/test/java/yewjunction/system/OrderSimulationTest.java
+++ b/src/test/java/yewjunction/system/OrderSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -66,7 +67,7 @@
     /** What the edges reported, by channel, from all cruxes. */
     private Map<String, Integer> reported() {
         final Map<String, Integer> reported = new HashMap<>();
-        for (final String crux : town.all("crux")) {
+        for (final String crux : town.all(NodeRole.CONTROL)) {
             final String[] page = new String[1];
             town.call(crux, "GET", "/-/order/show", 0, "", answer -> page[0] = answer.json());
             town.world.runUntil(() -> page[0] != null, 500);
@@ -105,12 +106,12 @@
         begin(seed, seed % 3 == 0 ? 28 : 1_000);
         town.world.loss = 0.02;
         for (int round = 0; round < 8; round++) {
-            final List<String> edges = town.all("tide");
+            final List<String> edges = town.all(NodeRole.EDGE);
             final String edge = edges.get(town.world.luck.nextInt(edges.size()));
             switch ((int) ((seed + round) % 6)) {
                 case 0 -> town.kill(edge);
                 case 1 -> town.stop(edge);
-                case 2 -> town.all("vault").forEach(vault -> town.world.cut(edge, vault));
+                case 2 -> town.all(NodeRole.STORE).forEach(vault -> town.world.cut(edge, vault));
                 case 3 -> town.customers.forEach(customer -> customer.stall(town.world.luck.nextInt(1_500)));
                 case 4 -> {
                     // Cursors of different age: some are away for a while.
@@ -170,7 +171,7 @@
         begin(51, 1_000);
         final int[] swapped = new int[1];
         // At every edge: a link that is closed for a break may be taken up again at another one.
-        town.all("tide").forEach(edge -> town.world.host(edge).tampering = letter -> {
+        town.all(NodeRole.EDGE).forEach(edge -> town.world.host(edge).tampering = letter -> {
             if (swapped[0] < 3 && SwappedMessages.swap(letter, "o.", "d.")) {
                 swapped[0]++;
             }
--- a/src/test/java/yewjunction/system/RandomFaults.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import java.util.Random;
 import yewjunction.simulation.SimulatedHost;
@@ -29,7 +30,7 @@
     private void edge() {
         town.world.after(span(600, 3_500), () -> {
             if (!quiet && edgesUnderWay < 2) {
-                strikeEdge(town.all("tide").stream().filter(tide -> machine(tide).endsWith(".2")).toList().get(draw.nextInt(3)));
+                strikeEdge(town.all(NodeRole.EDGE).stream().filter(tide -> machine(tide).endsWith(".2")).toList().get(draw.nextInt(3)));
             }
             edge();
         });
@@ -176,7 +177,7 @@
     }
 
     private void retireOrAdd() {
-        final List<String> vaults = town.all("vault");
+        final List<String> vaults = town.all(NodeRole.STORE);
         if (vaults.size() < 2 * town.losses + 2 || vaults.size() < 7 && draw.nextBoolean()) {
             note("add " + bootLike(machine(vaults.get(draw.nextInt(vaults.size())))));
             town.world.runFor(SYNC_MS);
--- a/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
+++ b/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -27,7 +28,7 @@
     /** With its zone's other edge gone the zone's clients come to it, and all that is published comes to them. */
     private void served(final String edge) {
         final String zone = SimulatedCluster.zone(edge);
-        town.all("tide").stream().filter(other -> !other.equals(edge) && SimulatedCluster.zone(other).equals(zone)).forEach(town::powerOff);
+        town.all(NodeRole.EDGE).stream().filter(other -> !other.equals(edge) && SimulatedCluster.zone(other).equals(zone)).forEach(town::powerOff);
         // Links that were held up end, and its next lease tells it of its name.
         town.world.runFor(8_000);
         assertTrue(town.edge(edge).ready(), edge + " is not ready");
@@ -52,7 +53,7 @@
         begin(seed);
         final String edge = town.customers.get(0).edge();
         final PeerTransport crux = town.world.host("10.9.0.1:1").boot();
-        town.all("crux").forEach(other -> crux.dial(other).send(StaleRegistration.enlist(edge, 1_000_000)));
+        town.all(NodeRole.CONTROL).forEach(other -> crux.dial(other).send(StaleRegistration.enlist(edge, 1_000_000)));
         town.world.runFor(1_000);
         served(edge);
     }
--- a/src/test/java/yewjunction/system/RetryingOperator.java
+++ b/src/test/java/yewjunction/system/RetryingOperator.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -33,7 +34,7 @@
     }
 
     private String any() {
-        final List<String> cruxes = town.all("crux");
+        final List<String> cruxes = town.all(NodeRole.CONTROL);
         return cruxes.get(town.world.luck.nextInt(cruxes.size()));
     }
 
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -51,10 +52,10 @@
         this.readsBeside = readsBeside;
         world = new SimulatedNetwork(seed);
         for (int zone = 1; zone <= 3; zone++) {
-            boot("10." + zone + ".0.1:" + (PORT + Settings.CRUX_OFFSET), true);
+            boot("10." + zone + ".0.1:" + (PORT + Settings.CONTROL_PORT_OFFSET), true);
             boot("10." + zone + ".0.1:" + PORT, true);
             if (losses > 1) {
-                boot("10." + zone + ".0.3:" + (PORT + Settings.CRUX_OFFSET), true);
+                boot("10." + zone + ".0.3:" + (PORT + Settings.CONTROL_PORT_OFFSET), true);
             }
             boot("10." + zone + ".0.2:" + PORT, true);
             for (int vault = 0; vault < vaultsInZone; vault++) {
@@ -67,22 +68,22 @@
         return "zone" + address.charAt(3);
     }
 
-    private static String duty(final String address) {
-        return address.endsWith(":" + (PORT + Settings.CRUX_OFFSET)) ? "crux" : address.contains("9:") ? "vault" : "tide";
+    private static NodeRole role(final String address) {
+        return address.endsWith(":" + (PORT + Settings.CONTROL_PORT_OFFSET)) ? NodeRole.CONTROL : address.contains("9:") ? NodeRole.STORE : NodeRole.EDGE;
     }
 
-    List<String> all(final String duty) {
-        return nodes.keySet().stream().filter(address -> duty(address).equals(duty)).toList();
+    List<String> all(final NodeRole role) {
+        return nodes.keySet().stream().filter(address -> role(address) == role).toList();
     }
 
     void boot(final String address, final boolean founding) {
         final SimulatedHost host = world.host(address);
         final long life = ++lives;
         final String ip = address.substring(0, address.indexOf(':'));
-        final String duty = duty(address);
-        final Settings settings = new Settings("node-" + address, duty, List.of(duty), ip, zone(address), ip + ":8022",
+        final NodeRole role = role(address);
+        final Settings settings = new Settings("node-" + address, role.wireName(), List.of(role.wireName()), ip, zone(address), ip + ":8022",
             ip + ":8029", ip + ":8024", PORT, PORT + 15, seeds, founding, "/data", losses, 2, 5, 0.1, 20, 64);
-        final SimulatedNodes.Running running = SimulatedNodes.boot(host, settings, duty, life);
+        final SimulatedNodes.Running running = SimulatedNodes.boot(host, settings, role, life);
         if (readsBeside && running.node() instanceof ControlNode crux) {
             crux.desk().readBy(host.clerk());
         }
@@ -129,7 +130,7 @@
 
     List<String> readyEdges(final String zone) {
         final List<String> ready = new ArrayList<>();
-        for (final String address : all("tide")) {
+        for (final String address : all(NodeRole.EDGE)) {
             if (world.host(address).up() && !world.host(address).frozen() && edge(address).ready() && (zone == null || zone.equals(zone(address)))) {
                 ready.add(address);
             }
@@ -140,8 +141,8 @@
     /** A zone's machines, all or some, lose touch with all others. */
     void darken(final String zone, final boolean withVault) {
         for (final String inside : nodes.keySet()) {
-            if (zone(inside).equals(zone) && (withVault || !duty(inside).equals("vault"))) {
-                nodes.keySet().stream().filter(other -> !zone(other).equals(zone) || !withVault && duty(other).equals("vault"))
+            if (zone(inside).equals(zone) && (withVault || role(inside) != NodeRole.STORE)) {
+                nodes.keySet().stream().filter(other -> !zone(other).equals(zone) || !withVault && role(other) == NodeRole.STORE)
                     .forEach(other -> world.cut(inside, other));
             }
         }
@@ -162,7 +163,7 @@
     OperatorApi.Response insist(final String method, final String path, final long base, final String body, final int status) {
         final OperatorApi.Response[] got = new OperatorApi.Response[1];
         for (int attempt = 0; attempt < 60 && got[0] == null; attempt++) {
-            call(all("crux").get(attempt % all("crux").size()), method, path, base, body, answer -> {
+            call(all(NodeRole.CONTROL).get(attempt % all(NodeRole.CONTROL).size()), method, path, base, body, answer -> {
                 if (answer.status() == status) {
                     got[0] = answer;
                 }
--- a/src/test/java/yewjunction/system/SpareStoreSimulationTest.java
+++ b/src/test/java/yewjunction/system/SpareStoreSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -36,7 +37,7 @@
         for (int round = 0; round < 5; round++) {
             final long startMs = town.world.nowMs();
             town.world.meter.reset();
-            final List<String> vaults = town.all("vault");
+            final List<String> vaults = town.all(NodeRole.STORE);
             final String vault = vaults.get(town.world.luck.nextInt(vaults.size()));
             switch ((int) ((seed + round) % 6)) {
                 case 0 -> town.kill(vault);
--- a/src/test/java/yewjunction/system/SystemSimulationTest.java
+++ b/src/test/java/yewjunction/system/SystemSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -41,9 +42,9 @@
         begin(seed, 1_000);
         town.world.loss = 0.02;
         for (int round = 0; round < 6; round++) {
-            final String tide = any("tide");
-            final String vault = any("vault");
-            final String crux = any("crux");
+            final String tide = any(NodeRole.EDGE);
+            final String vault = any(NodeRole.STORE);
+            final String crux = any(NodeRole.CONTROL);
             switch (town.world.luck.nextInt(11)) {
                 case 0 -> town.kill(tide);
                 case 1 -> town.powerOff(tide);
@@ -61,7 +62,7 @@
                         customer.cut();
                     }
                 });
-                case 9 -> town.all("vault").forEach(other -> town.world.cut(vault, other));
+                case 9 -> town.all(NodeRole.STORE).forEach(other -> town.world.cut(vault, other));
                 default -> town.nodes.keySet().forEach(town::powerOff);
             }
             town.world.runFor(500 + town.world.luck.nextInt(3_000));
@@ -73,8 +74,8 @@
         assertTrue(judge.ackedCount() > 300, "acked " + judge.ackedCount());
     }
 
-    private String any(final String duty) {
-        final List<String> all = town.all(duty);
+    private String any(final NodeRole role) {
+        final List<String> all = town.all(role);
         return all.get(town.world.luck.nextInt(all.size()));
     }
 
@@ -84,7 +85,7 @@
         town.world.runFor(3_000);
         // One edge is cut off from every crux: its lease must end by itself.
         final String lonely = town.readyEdges("zone1").get(0);
-        town.all("crux").forEach(crux -> {
+        town.all(NodeRole.CONTROL).forEach(crux -> {
             if (!crux.startsWith(lonely.substring(0, lonely.indexOf(':')))) {
                 town.world.cut(lonely, crux);
             }
@@ -125,8 +126,8 @@
         begin(seed, 8);
         town.world.loss = 0.15;
         for (int round = 0; round < 12; round++) {
-            final String lead = town.all("vault").stream().filter(vault -> town.world.host(vault).up()
-                && ((yewjunction.node.StoreNode) town.nodes.get(vault)).leads()).findFirst().orElse(town.all("vault").get(0));
+            final String lead = town.all(NodeRole.STORE).stream().filter(vault -> town.world.host(vault).up()
+                && ((yewjunction.node.StoreNode) town.nodes.get(vault)).leads()).findFirst().orElse(town.all(NodeRole.STORE).get(0));
             town.stop(lead);
             town.world.runFor(1_500);
             town.bootAll();
--- a/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
+++ b/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
@@ -1,5 +1,6 @@
 package yewjunction.system;
 
+import yewjunction.membership.NodeRole;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -96,7 +97,7 @@
         troubles.quiet = true;
         troubles.replacePlanned(troubles.leader().replaceAll(":.*", ""));
         town.world.runFor(2_000);
-        return town.all("vault").stream().filter(vault -> vault.length() > "10.1.0.9:7000".length()).findFirst().orElseThrow();
+        return town.all(NodeRole.STORE).stream().filter(vault -> vault.length() > "10.1.0.9:7000".length()).findFirst().orElseThrow();
     }
 
     private void seated(final String fresh) {
@@ -121,12 +122,12 @@
     @Test
     void aSpareThatNobodyHearsShows() {
         replacedLeader(1);
-        town.all("vault").forEach(this::seated);
+        town.all(NodeRole.STORE).forEach(this::seated);
         town.world.hosts().forEach(host -> host.tampering = LogReader::drownJoins);
         final String machine = troubles.leader().replaceAll(":.*", "");
         troubles.replacePlanned(machine);
         town.world.runFor(2_000);
-        assertThrows(AssertionError.class, () -> town.all("vault").forEach(this::seated));
+        assertThrows(AssertionError.class, () -> town.all(NodeRole.STORE).forEach(this::seated));
     }
 
     /** All lose power once, with disks that call synced what is only written, or with sound ones. */
