--- a/src/main/java/yewjunction/cli/ControlPlaneCommand.java
+++ b/src/main/java/yewjunction/cli/ControlPlaneCommand.java
@@ -5,12 +5,14 @@
 import yewjunction.settings.Settings;
 
 /** Runs the control plane. */
-@Command(name = ControlPlaneCommand.NAME, description = "Control plane: configuration, replica ids and voters; serves the operator")
+@Command(
+    name = ControlPlaneCommand.NAME,
+    description = "Control plane: configuration, replica ids and voters; serves the operator")
 public final class ControlPlaneCommand extends ServerCommand {
-    static final String NAME = "control-plane";
+  static final String NAME = "control-plane";
 
-    @Override
-    NodeRole role(final Settings settings) {
-        return NodeRole.CONTROL;
-    }
+  @Override
+  NodeRole role(final Settings settings) {
+    return NodeRole.CONTROL;
+  }
 }
--- a/src/main/java/yewjunction/common/AgentContext.java
+++ b/src/main/java/yewjunction/common/AgentContext.java
@@ -4,23 +4,25 @@
 
 /** What an owner of state is given of the world: a clock, alarms, a queue of commands and luck. */
 public interface AgentContext {
-    /** Steady milliseconds; never the time of day, so a stepped clock moves no lease. */
-    long nowMs();
+  /** Steady milliseconds; never the time of day, so a stepped clock moves no lease. */
+  long nowMs();
 
-    /** Runs the task once on the owner's thread. */
-    void after(long delayMs, Runnable task);
+  /** Runs the task once on the owner's thread. */
+  void after(long delayMs, Runnable task);
 
-    /** Hands a command to the owner's thread from any thread. */
-    void post(Runnable command);
+  /** Hands a command to the owner's thread from any thread. */
+  void post(Runnable command);
 
-    Random luck();
+  Random luck();
 
-    /** Runs the task again and again; the first time after one period. */
-    default void every(final long periodMs, final Runnable task) {
-        after(periodMs, () -> {
-            // Re-arm before running, so that a defect in one turn does not end the rest.
-            every(periodMs, task);
-            task.run();
+  /** Runs the task again and again; the first time after one period. */
+  default void every(final long periodMs, final Runnable task) {
+    after(
+        periodMs,
+        () -> {
+          // Re-arm before running, so that a defect in one turn does not end the rest.
+          every(periodMs, task);
+          task.run();
         });
-    }
+  }
 }
--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -1,5 +1,8 @@
 package yewjunction.common;
 
+import static yewjunction.common.ErrorCode.MESSAGE_GARBLED;
+import static yewjunction.common.ErrorCode.MESSAGE_UNKNOWN;
+
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
 import io.protostuff.Schema;
@@ -7,56 +10,56 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import static yewjunction.common.ErrorCode.MESSAGE_GARBLED;
-import static yewjunction.common.ErrorCode.MESSAGE_UNKNOWN;
-
 /** Letters to bytes and back: one byte of kind, then Protostuff. One thread at a time. */
 public final class MessageCodec {
-    private final Map<Class<?>, Integer> kinds = new HashMap<>();
-    private final Map<Integer, Schema<?>> schemas = new HashMap<>();
-    private final LinkedBuffer scratch = LinkedBuffer.allocate(1024);
+  private final Map<Class<?>, Integer> kinds = new HashMap<>();
+  private final Map<Integer, Schema<?>> schemas = new HashMap<>();
+  private final LinkedBuffer scratch = LinkedBuffer.allocate(1024);
 
-    /** Kinds are numbered by hand: numbers outlive names when releases mix. */
-    public MessageCodec know(final int number, final Class<?> kind) {
-        if (schemas.containsKey(number)) {
-            throw new IllegalStateException("letter number " + number + " is taken");
-        }
-        kinds.put(kind, number);
-        schemas.put(number, RuntimeSchema.getSchema(kind));
-        return this;
+  /** Kinds are numbered by hand: numbers outlive names when releases mix. */
+  public MessageCodec know(final int number, final Class<?> kind) {
+    if (schemas.containsKey(number)) {
+      throw new IllegalStateException("letter number " + number + " is taken");
     }
+    kinds.put(kind, number);
+    schemas.put(number, RuntimeSchema.getSchema(kind));
+    return this;
+  }
 
-    @SuppressWarnings("unchecked")
-    public byte[] encode(final Object letter) {
-        final Integer number = kinds.get(letter.getClass());
-        if (number == null) {
-            throw new CodecException(MESSAGE_UNKNOWN, letter.getClass().getName());
-        }
-        final byte[] body;
-        try {
-            body = ProtostuffIOUtil.toByteArray(letter, (Schema<Object>) schemas.get(number), scratch);
-        } finally {
-            scratch.clear();
-        }
-        final byte[] whole = new byte[body.length + 1];
-        whole[0] = (byte) (int) number;
-        System.arraycopy(body, 0, whole, 1, body.length);
-        return whole;
+  @SuppressWarnings("unchecked")
+  public byte[] encode(final Object letter) {
+    final Integer number = kinds.get(letter.getClass());
+    if (number == null) {
+      throw new CodecException(MESSAGE_UNKNOWN, letter.getClass().getName());
     }
+    final byte[] body;
+    try {
+      body = ProtostuffIOUtil.toByteArray(letter, (Schema<Object>) schemas.get(number), scratch);
+    } finally {
+      scratch.clear();
+    }
+    final byte[] whole = new byte[body.length + 1];
+    whole[0] = (byte) (int) number;
+    System.arraycopy(body, 0, whole, 1, body.length);
+    return whole;
+  }
 
-    @SuppressWarnings("unchecked")
-    public Object decode(final byte[] bytes, final int offset, final int length) {
-        // An unknown kind is told apart from a broken one: it may come from a newer release and is skipped.
-        final Schema<Object> schema = length < 1 ? null : (Schema<Object>) schemas.get(bytes[offset] & 0xff);
-        if (schema == null) {
-            throw new CodecException(MESSAGE_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
-        }
-        try {
-            final Object letter = schema.newMessage();
-            ProtostuffIOUtil.mergeFrom(bytes, offset + 1, length - 1, letter, schema);
-            return letter;
-        } catch (final RuntimeException defect) {
-            throw new CodecException(MESSAGE_GARBLED, "kind " + (bytes[offset] & 0xff), defect);
-        }
+  @SuppressWarnings("unchecked")
+  public Object decode(final byte[] bytes, final int offset, final int length) {
+    // An unknown kind is told apart from a broken one: it may come from a newer release and is
+    // skipped.
+    final Schema<Object> schema =
+        length < 1 ? null : (Schema<Object>) schemas.get(bytes[offset] & 0xff);
+    if (schema == null) {
+      throw new CodecException(
+          MESSAGE_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
+    }
+    try {
+      final Object letter = schema.newMessage();
+      ProtostuffIOUtil.mergeFrom(bytes, offset + 1, length - 1, letter, schema);
+      return letter;
+    } catch (final RuntimeException defect) {
+      throw new CodecException(MESSAGE_GARBLED, "kind " + (bytes[offset] & 0xff), defect);
     }
+  }
 }
--- a/src/main/java/yewjunction/common/PeerConnection.java
+++ b/src/main/java/yewjunction/common/PeerConnection.java
@@ -2,13 +2,13 @@
 
 /** An ordered connection to a peer; letters are lost only together with the link. */
 public interface PeerConnection {
-    /** Queues a letter; false when the link is closed. */
-    boolean send(Object letter);
+  /** Queues a letter; false when the link is closed. */
+  boolean send(Object letter);
 
-    void close();
+  void close();
 
-    boolean open();
+  boolean open();
 
-    /** The far address, ip:port; for links taken in, the port is the peer's ephemeral one. */
-    String remote();
+  /** The far address, ip:port; for links taken in, the port is the peer's ephemeral one. */
+  String remote();
 }
--- a/src/main/java/yewjunction/common/PeerTransport.java
+++ b/src/main/java/yewjunction/common/PeerTransport.java
@@ -5,10 +5,10 @@
 
 /** Letters between peers over ordered links. */
 public interface PeerTransport {
-    /** The link to that address, dialled when there is none. */
-    PeerConnection dial(String address);
+  /** The link to that address, dialled when there is none. */
+  PeerConnection dial(String address);
 
-    <T> void on(Class<T> kind, BiConsumer<PeerConnection, T> handler);
+  <T> void on(Class<T> kind, BiConsumer<PeerConnection, T> handler);
 
-    void onClose(Consumer<PeerConnection> handler);
+  void onClose(Consumer<PeerConnection> handler);
 }
--- a/src/main/java/yewjunction/common/PendingRequests.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -1,70 +1,74 @@
 package yewjunction.common;
 
+import static yewjunction.common.ControlLimits.QUESTION_BITS;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
 
-import static yewjunction.common.ControlLimits.QUESTION_BITS;
-
 /**
- * Questions that one life of a process has asked and that are open, each by its number, with whom it was asked of. An answer
- * counts once, and only from that one. Numbers go on from a start that the life makes, so that an answer to an earlier life
- * meets none: the number alone says whose question it was, and the letters need no further field.
+ * Questions that one life of a process has asked and that are open, each by its number, with whom
+ * it was asked of. An answer counts once, and only from that one. Numbers go on from a start that
+ * the life makes, so that an answer to an earlier life meets none: the number alone says whose
+ * question it was, and the letters need no further field.
  *
- * @param <P> who is asked: a link, which ends with either process, or the address where datagrams leave nothing better
+ * @param <P> who is asked: a link, which ends with either process, or the address where datagrams
+ *     leave nothing better
  * @param <T> what the asker wants back with the answer
  */
 public final class PendingRequests<P, T> {
-    private final Map<Long, Pending<P, T>> open = new HashMap<>();
-    private long newest;
+  private final Map<Long, Pending<P, T>> open = new HashMap<>();
+  private long newest;
 
-    private record Pending<P, T>(P peer, T about) {
-    }
+  private record Pending<P, T>(P peer, T about) {}
 
-    /** Life: what the process drew for itself at its start. */
-    public PendingRequests(final long life) {
-        // Mixed as SplitMix64 does, so that lives near one another begin far apart.
-        long mixed = life * 0x9e3779b97f4a7c15L;
-        mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
-        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
-        newest = (mixed ^ mixed >>> 31) >>> Long.SIZE - QUESTION_BITS;
-    }
+  /** Life: what the process drew for itself at its start. */
+  public PendingRequests(final long life) {
+    // Mixed as SplitMix64 does, so that lives near one another begin far apart.
+    long mixed = life * 0x9e3779b97f4a7c15L;
+    mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
+    mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+    newest = (mixed ^ mixed >>> 31) >>> Long.SIZE - QUESTION_BITS;
+  }
 
-    /** The number that the answer is to repeat. */
-    public long ask(final P peer, final T about) {
-        open.put(++newest, new Pending<>(peer, about));
-        return newest;
-    }
+  /** The number that the answer is to repeat. */
+  public long ask(final P peer, final T about) {
+    open.put(++newest, new Pending<>(peer, about));
+    return newest;
+  }
 
-    /** What was asked; null when nothing open by that number was asked of that peer, and then nothing changes. */
-    public T answered(final long number, final P from) {
-        final Pending<P, T> question = open.get(number);
-        if (question == null || !question.peer.equals(from)) {
-            return null;
-        }
-        open.remove(number);
-        return question.about;
+  /**
+   * What was asked; null when nothing open by that number was asked of that peer, and then nothing
+   * changes.
+   */
+  public T answered(final long number, final P from) {
+    final Pending<P, T> question = open.get(number);
+    if (question == null || !question.peer.equals(from)) {
+      return null;
     }
+    open.remove(number);
+    return question.about;
+  }
 
-    public boolean none() {
-        return open.isEmpty();
-    }
+  public boolean none() {
+    return open.isEmpty();
+  }
 
-    /** No answer to it counts any more. */
-    public void drop(final long number) {
-        open.remove(number);
-    }
+  /** No answer to it counts any more. */
+  public void drop(final long number) {
+    open.remove(number);
+  }
 
-    public void dropAll() {
-        open.clear();
-    }
+  public void dropAll() {
+    open.clear();
+  }
 
-    /** Gives up all that it holds for, and says what they were about. */
-    public List<T> drop(final Predicate<T> over) {
-        final List<T> dropped = new ArrayList<>();
-        open.values().removeIf(question -> over.test(question.about) && dropped.add(question.about));
-        return dropped;
-    }
+  /** Gives up all that it holds for, and says what they were about. */
+  public List<T> drop(final Predicate<T> over) {
+    final List<T> dropped = new ArrayList<>();
+    open.values().removeIf(question -> over.test(question.about) && dropped.add(question.about));
+    return dropped;
+  }
 }
--- a/src/main/java/yewjunction/common/YewjunctionException.java
+++ b/src/main/java/yewjunction/common/YewjunctionException.java
@@ -1,19 +1,19 @@
 package yewjunction.common;
 
 /**
- * A failure with a code. Each layer throws its own subclass; the text says what went wrong and where, and
- * {@link ErrorCode#retriable()} whether trying again can help.
+ * A failure with a code. Each layer throws its own subclass; the text says what went wrong and
+ * where, and {@link ErrorCode#retriable()} whether trying again can help.
  */
 public abstract class YewjunctionException extends RuntimeException {
-    private static final long serialVersionUID = 1L;
-    private final ErrorCode code;
+  private static final long serialVersionUID = 1L;
+  private final ErrorCode code;
 
-    protected YewjunctionException(final ErrorCode code, final String text, final Throwable cause) {
-        super(text, cause);
-        this.code = code;
-    }
+  protected YewjunctionException(final ErrorCode code, final String text, final Throwable cause) {
+    super(text, cause);
+    this.code = code;
+  }
 
-    public ErrorCode code() {
-        return code;
-    }
+  public ErrorCode code() {
+    return code;
+  }
 }
--- a/src/main/java/yewjunction/common/package-info.java
+++ b/src/main/java/yewjunction/common/package-info.java
@@ -1,2 +1,5 @@
-/** What all aggregates share: the clock and queue they are given, links, letters, events, defects, constants. */
+/**
+ * What all aggregates share: the clock and queue they are given, links, letters, events, defects,
+ * constants.
+ */
 package yewjunction.common;
--- a/src/main/java/yewjunction/control/AccountBalance.java
+++ b/src/main/java/yewjunction/control/AccountBalance.java
@@ -3,30 +3,39 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What one vault holds of a tenant that borrows ahead, for operators; amounts in thousandths of a message. */
+/**
+ * What one vault holds of a tenant that borrows ahead, for operators; amounts in thousandths of a
+ * message.
+ */
 public final class AccountBalance {
-    /** Thousandths, and millionths of a share. */
-    private static final double ONE = 1_000, WHOLE = 1_000_000;
-    public String tenant = "";
-    /** The entry of the log that touched the account last: two vaults that name the same one hold the same account. */
-    public long index;
-    public long borrowMax;
-    public long repayPpm;
-    public long tokens;
-    public long debt;
-    public long borrowed;
-    public long repaid;
+  /** Thousandths, and millionths of a share. */
+  private static final double ONE = 1_000, WHOLE = 1_000_000;
 
-    Map<String, Object> row() {
-        final Map<String, Object> row = new LinkedHashMap<>();
-        row.put("Tenant", tenant);
-        row.put("Index", index);
-        row.put("BorrowMax", borrowMax / ONE);
-        row.put("RepayShare", repayPpm / WHOLE);
-        row.put("Tokens", tokens / ONE);
-        row.put("Debt", debt / ONE);
-        row.put("Borrowed", borrowed / ONE);
-        row.put("Repaid", repaid / ONE);
-        return row;
-    }
+  public String tenant = "";
+
+  /**
+   * The entry of the log that touched the account last: two vaults that name the same one hold the
+   * same account.
+   */
+  public long index;
+
+  public long borrowMax;
+  public long repayPpm;
+  public long tokens;
+  public long debt;
+  public long borrowed;
+  public long repaid;
+
+  Map<String, Object> row() {
+    final Map<String, Object> row = new LinkedHashMap<>();
+    row.put("Tenant", tenant);
+    row.put("Index", index);
+    row.put("BorrowMax", borrowMax / ONE);
+    row.put("RepayShare", repayPpm / WHOLE);
+    row.put("Tokens", tokens / ONE);
+    row.put("Debt", debt / ONE);
+    row.put("Borrowed", borrowed / ONE);
+    row.put("Repaid", repaid / ONE);
+    return row;
+  }
 }
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -10,164 +10,167 @@
 
 /** What the core has decided besides the configuration. */
 public final class ClusterState {
-    long number;
-    long newestReplica;
-    List<Replica> replicas = new ArrayList<>();
-    /** The first voters of the vaults' ledger; later changes are that ledger's own. */
-    List<String> vaults = new ArrayList<>();
-    /** Their zones, in the same order. */
-    List<String> vaultZones = new ArrayList<>();
-    List<Retirement> retiring = new ArrayList<>();
-    private transient Map<String, Replica> byAddress;
-
-    static final class Replica {
-        long name;
-        String address = "";
-        long life;
+  long number;
+  long newestReplica;
+  List<Replica> replicas = new ArrayList<>();
+
+  /** The first voters of the vaults' ledger; later changes are that ledger's own. */
+  List<String> vaults = new ArrayList<>();
+
+  /** Their zones, in the same order. */
+  List<String> vaultZones = new ArrayList<>();
+
+  List<Retirement> retiring = new ArrayList<>();
+  private transient Map<String, Replica> byAddress;
+
+  static final class Replica {
+    long name;
+    String address = "";
+    long life;
+  }
+
+  /** A store machine that is being emptied. */
+  static final class Retirement {
+    String node = "";
+    String address = "";
+    boolean finished;
+  }
+
+  /** One decision, on top of all before it. */
+  static final class Change {
+    long before;
+    long index;
+    ControlCommand deed = new ControlCommand();
+  }
+
+  public long number() {
+    return number;
+  }
+
+  /** The same at every crux, and at whoever is told of it; false when it changes nothing. */
+  boolean apply(final Change change) {
+    final boolean changed = apply(change.deed);
+    if (changed) {
+      number = change.index;
+      byAddress = null;
     }
-
-    /** A store machine that is being emptied. */
-    static final class Retirement {
-        String node = "";
-        String address = "";
-        boolean finished;
-    }
-
-    /** One decision, on top of all before it. */
-    static final class Change {
-        long before;
-        long index;
-        ControlCommand deed = new ControlCommand();
-    }
-
-    public long number() {
-        return number;
-    }
-
-    /** The same at every crux, and at whoever is told of it; false when it changes nothing. */
-    boolean apply(final Change change) {
-        final boolean changed = apply(change.deed);
-        if (changed) {
-            number = change.index;
-            byAddress = null;
+    return changed;
+  }
+
+  private boolean apply(final ControlCommand deed) {
+    switch (deed.kind) {
+      case ControlCommand.REPLICA -> {
+        if (replica(deed.address, deed.life) != 0) {
+          return false;
         }
-        return changed;
-    }
-
-    private boolean apply(final ControlCommand deed) {
-        switch (deed.kind) {
-            case ControlCommand.REPLICA -> {
-                if (replica(deed.address, deed.life) != 0) {
-                    return false;
-                }
-                // A new process at an address means that the old one there is gone for good.
-                replicas.removeIf(replica -> replica.address.equals(deed.address));
-                final Replica replica = new Replica();
-                replica.name = ++newestReplica;
-                replica.address = deed.address;
-                replica.life = deed.life;
-                replicas.add(replica);
-            }
-            case ControlCommand.REPLICA_GONE -> {
-                return replicas.removeIf(replica -> replica.name == deed.name);
-            }
-            case ControlCommand.VAULTS -> {
-                if (!vaults.isEmpty()) {
-                    return false;
-                }
-                vaults.addAll(deed.identities);
-                vaultZones.addAll(deed.zones);
-            }
-            case ControlCommand.RETIRE -> {
-                if (retiring(deed.node) != null) {
-                    return false;
-                }
-                final Retirement one = new Retirement();
-                one.node = deed.node;
-                one.address = deed.address;
-                retiring.add(one);
-            }
-            case ControlCommand.RETIRED -> {
-                final Retirement one = retiring(deed.node);
-                if (one == null || one.finished) {
-                    return false;
-                }
-                one.finished = true;
-            }
-            default -> throw new IllegalStateException("deed " + deed.kind);
+        // A new process at an address means that the old one there is gone for good.
+        replicas.removeIf(replica -> replica.address.equals(deed.address));
+        final Replica replica = new Replica();
+        replica.name = ++newestReplica;
+        replica.address = deed.address;
+        replica.life = deed.life;
+        replicas.add(replica);
+      }
+      case ControlCommand.REPLICA_GONE -> {
+        return replicas.removeIf(replica -> replica.name == deed.name);
+      }
+      case ControlCommand.VAULTS -> {
+        if (!vaults.isEmpty()) {
+          return false;
         }
-        return true;
-    }
-
-    public long newestReplica() {
-        return newestReplica;
-    }
-
-    public Set<Long> liveReplicas() {
-        final Set<Long> live = new HashSet<>();
-        replicas.forEach(replica -> live.add(replica.name));
-        return live;
-    }
-
-    /** The name of a process's replica, 0 when it has none yet. */
-    public long replica(final String address, final long life) {
-        // Asked with every lease of every process: found without looking at all.
-        if (byAddress == null) {
-            byAddress = new HashMap<>();
-            replicas.forEach(replica -> byAddress.put(replica.address, replica));
+        vaults.addAll(deed.identities);
+        vaultZones.addAll(deed.zones);
+      }
+      case ControlCommand.RETIRE -> {
+        if (retiring(deed.node) != null) {
+          return false;
         }
-        final Replica replica = byAddress.get(address);
-        return replica != null && replica.life == life ? replica.name : 0;
-    }
-
-    public String addressOf(final long name) {
-        for (final Replica replica : replicas) {
-            if (replica.name == name) {
-                return replica.address;
-            }
+        final Retirement one = new Retirement();
+        one.node = deed.node;
+        one.address = deed.address;
+        retiring.add(one);
+      }
+      case ControlCommand.RETIRED -> {
+        final Retirement one = retiring(deed.node);
+        if (one == null || one.finished) {
+          return false;
         }
-        return null;
+        one.finished = true;
+      }
+      default -> throw new IllegalStateException("deed " + deed.kind);
     }
-
-    public List<String> vaults() {
-        return vaults;
+    return true;
+  }
+
+  public long newestReplica() {
+    return newestReplica;
+  }
+
+  public Set<Long> liveReplicas() {
+    final Set<Long> live = new HashSet<>();
+    replicas.forEach(replica -> live.add(replica.name));
+    return live;
+  }
+
+  /** The name of a process's replica, 0 when it has none yet. */
+  public long replica(final String address, final long life) {
+    // Asked with every lease of every process: found without looking at all.
+    if (byAddress == null) {
+      byAddress = new HashMap<>();
+      replicas.forEach(replica -> byAddress.put(replica.address, replica));
     }
-
-    /** Addresses of the first voters in a zone, or in all others. */
-    public List<String> vaultAddresses(final String zone, final boolean inside) {
-        final List<String> addresses = new ArrayList<>();
-        for (int place = 0; place < vaults.size(); place++) {
-            final boolean there = place < vaultZones.size() && vaultZones.get(place).equals(zone);
-            if (there == inside) {
-                addresses.add(RaftNode.address(vaults.get(place)));
-            }
-        }
-        return addresses;
+    final Replica replica = byAddress.get(address);
+    return replica != null && replica.life == life ? replica.name : 0;
+  }
+
+  public String addressOf(final long name) {
+    for (final Replica replica : replicas) {
+      if (replica.name == name) {
+        return replica.address;
+      }
     }
-
-    /** Addresses of vaults that are to hold no duty. */
-    public Set<String> retiringAddresses() {
-        final Set<String> addresses = new HashSet<>();
-        retiring.forEach(one -> addresses.add(one.address));
-        return addresses;
+    return null;
+  }
+
+  public List<String> vaults() {
+    return vaults;
+  }
+
+  /** Addresses of the first voters in a zone, or in all others. */
+  public List<String> vaultAddresses(final String zone, final boolean inside) {
+    final List<String> addresses = new ArrayList<>();
+    for (int place = 0; place < vaults.size(); place++) {
+      final boolean there = place < vaultZones.size() && vaultZones.get(place).equals(zone);
+      if (there == inside) {
+        addresses.add(RaftNode.address(vaults.get(place)));
+      }
     }
-
-    /** The node at that address when it is being emptied and not yet finished, else null. */
-    public String retiringNode(final String address) {
-        for (final Retirement one : retiring) {
-            if (one.address.equals(address) && !one.finished) {
-                return one.node;
-            }
-        }
-        return null;
+    return addresses;
+  }
+
+  /** Addresses of vaults that are to hold no duty. */
+  public Set<String> retiringAddresses() {
+    final Set<String> addresses = new HashSet<>();
+    retiring.forEach(one -> addresses.add(one.address));
+    return addresses;
+  }
+
+  /** The node at that address when it is being emptied and not yet finished, else null. */
+  public String retiringNode(final String address) {
+    for (final Retirement one : retiring) {
+      if (one.address.equals(address) && !one.finished) {
+        return one.node;
+      }
     }
-
-    Retirement retiring(final String node) {
-        for (final Retirement one : retiring) {
-            if (one.node.equals(node)) {
-                return one;
-            }
-        }
-        return null;
+    return null;
+  }
+
+  Retirement retiring(final String node) {
+    for (final Retirement one : retiring) {
+      if (one.node.equals(node)) {
+        return one;
+      }
     }
+    return null;
+  }
 }
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -1,5 +1,18 @@
 package yewjunction.control;
 
+import static yewjunction.common.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.ErrorCode.CONFIG_KEY;
+import static yewjunction.common.ErrorCode.CONFIG_PLACE;
+import static yewjunction.common.ErrorCode.CONFIG_SERVICE;
+import static yewjunction.common.ErrorCode.CONFIG_TIMEOUT;
+import static yewjunction.common.ErrorCode.CONFIG_UNREADABLE;
+import static yewjunction.common.Limits.BORROW_MOST;
+import static yewjunction.common.Limits.REPAY_SHARE;
+import static yewjunction.control.FieldReader.items;
+import static yewjunction.control.FieldReader.names;
+import static yewjunction.control.FieldReader.number;
+import static yewjunction.control.FieldReader.text;
+
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
 import com.typesafe.config.ConfigFactory;
@@ -16,214 +29,273 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-import static yewjunction.common.ErrorCode.CONFIG_FIELD;
-import static yewjunction.common.ErrorCode.CONFIG_KEY;
-import static yewjunction.common.ErrorCode.CONFIG_PLACE;
-import static yewjunction.common.ErrorCode.CONFIG_SERVICE;
-import static yewjunction.common.ErrorCode.CONFIG_TIMEOUT;
-import static yewjunction.common.ErrorCode.CONFIG_UNREADABLE;
-import static yewjunction.common.Limits.BORROW_MOST;
-import static yewjunction.common.Limits.REPAY_SHARE;
-import static yewjunction.control.FieldReader.items;
-import static yewjunction.control.FieldReader.names;
-import static yewjunction.control.FieldReader.number;
-import static yewjunction.control.FieldReader.text;
-
 /** One version of the operator's configuration, checked; all fields are kept as they were sent. */
 public final class Configuration {
-    private final Config whole;
-    private final long version;
-    private final List<Route> spaces = new ArrayList<>();
-    private final Map<String, Tenant> tenantsByKey = new HashMap<>();
-    private final Map<String, Tenant> tenantsByName = new HashMap<>();
-    private int subs = Integer.MAX_VALUE;
-
-    /** A space of topics. */
-    public record Route(String name, String host, String prefix, long timeoutMs, long keepMs, boolean open, Set<String> after) {
-        /** Whether a message here comes to no subscriber of both before an earlier one of the other space. */
-        public boolean follows(final Route other) {
-            return after.contains(other.name);
-        }
-    }
+  private final Config whole;
+  private final long version;
+  private final List<Route> spaces = new ArrayList<>();
+  private final Map<String, Tenant> tenantsByKey = new HashMap<>();
+  private final Map<String, Tenant> tenantsByName = new HashMap<>();
+  private int subs = Integer.MAX_VALUE;
 
-    /** Borrow: whole messages it may owe, 0 for none; repay: millionths of its rate withheld while it owes. */
-    public record Tenant(String name, Set<String> keys, double perSecond, double burst, long borrowMax, long repayPpm) {
+  /** A space of topics. */
+  public record Route(
+      String name,
+      String host,
+      String prefix,
+      long timeoutMs,
+      long keepMs,
+      boolean open,
+      Set<String> after) {
+    /**
+     * Whether a message here comes to no subscriber of both before an earlier one of the other
+     * space.
+     */
+    public boolean follows(final Route other) {
+      return after.contains(other.name);
     }
+  }
 
-    private Configuration(final Config whole) {
-        this.whole = whole;
-        version = number(whole, "Ver", "Ver");
-        // A version is a whole number above 0: 0 stands for no configuration at all.
-        if (version <= 0) {
-            throw new ConfigurationException(CONFIG_FIELD, "Ver: must be above 0");
-        }
-    }
+  /**
+   * Borrow: whole messages it may owe, 0 for none; repay: millionths of its rate withheld while it
+   * owes.
+   */
+  public record Tenant(
+      String name,
+      Set<String> keys,
+      double perSecond,
+      double burst,
+      long borrowMax,
+      long repayPpm) {}
 
-    /** Reads JSON and checks all of it; a defect names the path. */
-    public static Configuration read(final String json) {
-        return of(parse(json));
+  private Configuration(final Config whole) {
+    this.whole = whole;
+    version = number(whole, "Ver", "Ver");
+    // A version is a whole number above 0: 0 stands for no configuration at all.
+    if (version <= 0) {
+      throw new ConfigurationException(CONFIG_FIELD, "Ver: must be above 0");
     }
+  }
 
-    public static Config parse(final String json) {
-        try {
-            return ConfigFactory.parseString(json, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.JSON));
-        } catch (final ConfigException defect) {
-            throw new ConfigurationException(CONFIG_UNREADABLE, defect.getMessage(), defect);
-        }
-    }
+  /** Reads JSON and checks all of it; a defect names the path. */
+  public static Configuration read(final String json) {
+    return of(parse(json));
+  }
 
-    public static Configuration of(final Config whole) {
-        try {
-            final Configuration charter = new Configuration(whole);
-            charter.readSpaces();
-            charter.readTenants();
-            if (whole.hasPath("Lims.Subs")) {
-                charter.subs = whole.getInt("Lims.Subs");
-            }
-            return charter;
-        } catch (final ConfigException defect) {
-            throw new ConfigurationException(CONFIG_FIELD, defect.getMessage(), defect);
-        }
+  public static Config parse(final String json) {
+    try {
+      return ConfigFactory.parseString(
+          json, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.JSON));
+    } catch (final ConfigException defect) {
+      throw new ConfigurationException(CONFIG_UNREADABLE, defect.getMessage(), defect);
     }
+  }
 
-    private void readSpaces() {
-        final Set<String> services = new HashSet<>();
-        for (final Config service : items(whole, "Svcs")) {
-            services.add(text(service, "Name", "Svcs", true));
-        }
-        final Set<String> names = new HashSet<>();
-        final Set<String> places = new HashSet<>();
-        for (final Config route : items(whole, "Routes")) {
-            final String name = text(route, "Name", "Routes", true);
-            final String path = "Routes." + name;
-            final String host = text(route, "Host", path, false);
-            final String prefix = text(route, "Pfx", path, true);
-            final String service = text(route, "Svc", path, false);
-            if (!names.add(name)) {
-                throw new ConfigurationException(CONFIG_PLACE, path + ": the name stands twice");
-            }
-            if (!places.add(host + " " + prefix)) {
-                throw new ConfigurationException(CONFIG_PLACE, path + ": another route has the same Host and Pfx");
-            }
-            if (!service.isEmpty() && !services.contains(service)) {
-                throw new ConfigurationException(CONFIG_SERVICE, path + ".Svc: there is no service " + service);
-            }
-            if (!route.hasPath("TimeoutMs") || route.getDouble("TimeoutMs") <= 0) {
-                throw new ConfigurationException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
-            }
-            final double keepS = route.hasPath("LingerS") ? route.getDouble("LingerS") : 0;
-            spaces.add(new Route(name, host, prefix, (long) route.getDouble("TimeoutMs"), (long) (keepS * 1_000),
-                route.hasPath("Public") && route.getBoolean("Public"), Set.copyOf(names(route, "After", path))));
-        }
-        for (final Route space : spaces) {
-            for (final String earlier : space.after) {
-                if (earlier.equals(space.name) || !names.contains(earlier)) {
-                    throw new ConfigurationException(CONFIG_FIELD, "Routes." + space.name + ".After: " + (earlier.equals(space.name)
-                        ? "names the route itself" : "there is no route " + earlier));
-                }
-            }
-        }
-        // The longest prefix wins: the first that fits is the one.
-        spaces.sort((one, other) -> other.prefix.length() - one.prefix.length());
+  public static Configuration of(final Config whole) {
+    try {
+      final Configuration charter = new Configuration(whole);
+      charter.readSpaces();
+      charter.readTenants();
+      if (whole.hasPath("Lims.Subs")) {
+        charter.subs = whole.getInt("Lims.Subs");
+      }
+      return charter;
+    } catch (final ConfigException defect) {
+      throw new ConfigurationException(CONFIG_FIELD, defect.getMessage(), defect);
     }
+  }
 
-    private void readTenants() {
-        for (final Config item : items(whole, "Tenants")) {
-            final String name = text(item, "Name", "Tenants", true);
-            final Set<String> keys = new HashSet<>(item.hasPath("Apikeys") ? item.getStringList("Apikeys") : List.of());
-            final Tenant tenant = tenant(name, keys, item);
-            if (tenantsByName.put(name, tenant) != null) {
-                throw new ConfigurationException(CONFIG_KEY, "Tenants." + name + ": the name stands twice");
-            }
-            for (final String key : keys) {
-                if (tenantsByKey.put(key, tenant) != null) {
-                    throw new ConfigurationException(CONFIG_KEY, "Tenants." + name + ".Apikeys: another tenant has the same key");
-                }
-            }
+  private void readSpaces() {
+    final Set<String> services = new HashSet<>();
+    for (final Config service : items(whole, "Svcs")) {
+      services.add(text(service, "Name", "Svcs", true));
+    }
+    final Set<String> names = new HashSet<>();
+    final Set<String> places = new HashSet<>();
+    for (final Config route : items(whole, "Routes")) {
+      final String name = text(route, "Name", "Routes", true);
+      final String path = "Routes." + name;
+      final String host = text(route, "Host", path, false);
+      final String prefix = text(route, "Pfx", path, true);
+      final String service = text(route, "Svc", path, false);
+      if (!names.add(name)) {
+        throw new ConfigurationException(CONFIG_PLACE, path + ": the name stands twice");
+      }
+      if (!places.add(host + " " + prefix)) {
+        throw new ConfigurationException(
+            CONFIG_PLACE, path + ": another route has the same Host and Pfx");
+      }
+      if (!service.isEmpty() && !services.contains(service)) {
+        throw new ConfigurationException(
+            CONFIG_SERVICE, path + ".Svc: there is no service " + service);
+      }
+      if (!route.hasPath("TimeoutMs") || route.getDouble("TimeoutMs") <= 0) {
+        throw new ConfigurationException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
+      }
+      final double keepS = route.hasPath("LingerS") ? route.getDouble("LingerS") : 0;
+      spaces.add(
+          new Route(
+              name,
+              host,
+              prefix,
+              (long) route.getDouble("TimeoutMs"),
+              (long) (keepS * 1_000),
+              route.hasPath("Public") && route.getBoolean("Public"),
+              Set.copyOf(names(route, "After", path))));
+    }
+    for (final Route space : spaces) {
+      for (final String earlier : space.after) {
+        if (earlier.equals(space.name) || !names.contains(earlier)) {
+          throw new ConfigurationException(
+              CONFIG_FIELD,
+              "Routes."
+                  + space.name
+                  + ".After: "
+                  + (earlier.equals(space.name)
+                      ? "names the route itself"
+                      : "there is no route " + earlier));
         }
+      }
     }
+    // The longest prefix wins: the first that fits is the one.
+    spaces.sort((one, other) -> other.prefix.length() - one.prefix.length());
+  }
 
-    private static Tenant tenant(final String name, final Set<String> keys, final Config item) {
-        final String path = "Tenants." + name;
-        final double rate = item.hasPath("RatePerS") ? item.getDouble("RatePerS") : 0;
-        final double borrowMax = number(item, "BorrowMax", path, 0);
-        final double repayShare = number(item, "RepayShare", path, REPAY_SHARE);
-        if (borrowMax < 0 || borrowMax > BORROW_MOST || borrowMax != Math.rint(borrowMax)) {
-            throw new ConfigurationException(CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + BORROW_MOST);
-        }
-        // A share that no millionth is left of would never repay anything.
-        if (!(repayShare >= 1e-6 && repayShare <= 1)) {
-            throw new ConfigurationException(CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
+  private void readTenants() {
+    for (final Config item : items(whole, "Tenants")) {
+      final String name = text(item, "Name", "Tenants", true);
+      final Set<String> keys =
+          new HashSet<>(item.hasPath("Apikeys") ? item.getStringList("Apikeys") : List.of());
+      final Tenant tenant = tenant(name, keys, item);
+      if (tenantsByName.put(name, tenant) != null) {
+        throw new ConfigurationException(CONFIG_KEY, "Tenants." + name + ": the name stands twice");
+      }
+      for (final String key : keys) {
+        if (tenantsByKey.put(key, tenant) != null) {
+          throw new ConfigurationException(
+              CONFIG_KEY, "Tenants." + name + ".Apikeys: another tenant has the same key");
         }
-        if (borrowMax > 0 && !(rate > 0 && rate <= BORROW_MOST)) {
-            throw new ConfigurationException(CONFIG_FIELD, path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + BORROW_MOST);
-        }
-        return new Tenant(name, keys, rate, item.hasPath("Burst") ? item.getDouble("Burst") : 0, (long) borrowMax,
-            Math.round(repayShare * 1e6));
+      }
     }
+  }
 
-    public long version() {
-        return version;
+  private static Tenant tenant(final String name, final Set<String> keys, final Config item) {
+    final String path = "Tenants." + name;
+    final double rate = item.hasPath("RatePerS") ? item.getDouble("RatePerS") : 0;
+    final double borrowMax = number(item, "BorrowMax", path, 0);
+    final double repayShare = number(item, "RepayShare", path, REPAY_SHARE);
+    if (borrowMax < 0 || borrowMax > BORROW_MOST || borrowMax != Math.rint(borrowMax)) {
+      throw new ConfigurationException(
+          CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + BORROW_MOST);
     }
-
-    public Route space(final String topic) {
-        for (final Route space : spaces) {
-            if (space.host.isEmpty() && topic.startsWith(space.prefix)) {
-                return space;
-            }
-        }
-        return null;
+    // A share that no millionth is left of would never repay anything.
+    if (!(repayShare >= 1e-6 && repayShare <= 1)) {
+      throw new ConfigurationException(
+          CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
     }
-
-    public Tenant tenantOfKey(final String key) {
-        return tenantsByKey.get(key);
+    if (borrowMax > 0 && !(rate > 0 && rate <= BORROW_MOST)) {
+      throw new ConfigurationException(
+          CONFIG_FIELD,
+          path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + BORROW_MOST);
     }
+    return new Tenant(
+        name,
+        keys,
+        rate,
+        item.hasPath("Burst") ? item.getDouble("Burst") : 0,
+        (long) borrowMax,
+        Math.round(repayShare * 1e6));
+  }
 
-    public Tenant tenant(final String name) {
-        return tenantsByName.get(name);
-    }
+  public long version() {
+    return version;
+  }
 
-    public Collection<Tenant> tenants() {
-        return Collections.unmodifiableCollection(tenantsByName.values());
+  public Route space(final String topic) {
+    for (final Route space : spaces) {
+      if (space.host.isEmpty() && topic.startsWith(space.prefix)) {
+        return space;
+      }
     }
+    return null;
+  }
 
-    public Collection<Route> spaces() {
-        return Collections.unmodifiableCollection(spaces);
-    }
+  public Tenant tenantOfKey(final String key) {
+    return tenantsByKey.get(key);
+  }
 
-    public int subs() {
-        return subs;
-    }
+  public Tenant tenant(final String name) {
+    return tenantsByName.get(name);
+  }
 
-    public String json() {
-        return render(whole);
-    }
+  public Collection<Tenant> tenants() {
+    return Collections.unmodifiableCollection(tenantsByName.values());
+  }
 
-    Config whole() {
-        return whole;
-    }
+  public Collection<Route> spaces() {
+    return Collections.unmodifiableCollection(spaces);
+  }
 
-    /** The same for two configurations that mean the same to whoever serves by them, in whatever order they say it. */
-    long digest() {
-        long sum = version * 31 + subs;
-        for (final Route space : spaces) {
-            // Spelt out: the order in which a set lists its names differs from process to process.
-            sum += (space.name + " " + space.host + " " + space.prefix + " " + space.timeoutMs + " " + space.keepMs + " " + space.open
-                + new TreeSet<>(space.after)).hashCode() * 0x9e3779b97f4a7c15L;
-        }
-        for (final Tenant tenant : tenantsByName.values()) {
-            sum += (tenant.name + " " + tenant.perSecond + " " + tenant.burst + " " + tenant.borrowMax + " " + tenant.repayPpm
-                + new TreeSet<>(tenant.keys)).hashCode() * 0xbf58476d1ce4e5b9L;
-        }
-        return sum;
-    }
+  public int subs() {
+    return subs;
+  }
 
-    static String render(final Config config) {
-        return config.root().render(ConfigRenderOptions.concise());
-    }
+  public String json() {
+    return render(whole);
+  }
+
+  Config whole() {
+    return whole;
+  }
 
-    /** What an update makes of this configuration: named items replaced, added or removed. */
-    Config updated(final Config update) {
-        return ConfigurationPatches.applied(whole, update);
+  /**
+   * The same for two configurations that mean the same to whoever serves by them, in whatever order
+   * they say it.
+   */
+  long digest() {
+    long sum = version * 31 + subs;
+    for (final Route space : spaces) {
+      // Spelt out: the order in which a set lists its names differs from process to process.
+      sum +=
+          (space.name
+                      + " "
+                      + space.host
+                      + " "
+                      + space.prefix
+                      + " "
+                      + space.timeoutMs
+                      + " "
+                      + space.keepMs
+                      + " "
+                      + space.open
+                      + new TreeSet<>(space.after))
+                  .hashCode()
+              * 0x9e3779b97f4a7c15L;
     }
+    for (final Tenant tenant : tenantsByName.values()) {
+      sum +=
+          (tenant.name
+                      + " "
+                      + tenant.perSecond
+                      + " "
+                      + tenant.burst
+                      + " "
+                      + tenant.borrowMax
+                      + " "
+                      + tenant.repayPpm
+                      + new TreeSet<>(tenant.keys))
+                  .hashCode()
+              * 0xbf58476d1ce4e5b9L;
+    }
+    return sum;
+  }
+
+  static String render(final Config config) {
+    return config.root().render(ConfigRenderOptions.concise());
+  }
+
+  /** What an update makes of this configuration: named items replaced, added or removed. */
+  Config updated(final Config update) {
+    return ConfigurationPatches.applied(whole, update);
+  }
 }
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -1,5 +1,9 @@
 package yewjunction.control;
 
+import static yewjunction.common.ErrorCode.CONFIG_FIELD;
+import static yewjunction.common.ErrorCode.CONFIG_UNREADABLE;
+import static yewjunction.common.ErrorCode.CONFIG_VERSION;
+
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
 import java.nio.charset.StandardCharsets;
@@ -7,152 +11,157 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-import static yewjunction.common.ErrorCode.CONFIG_FIELD;
-import static yewjunction.common.ErrorCode.CONFIG_UNREADABLE;
-import static yewjunction.common.ErrorCode.CONFIG_VERSION;
-
 /**
- * A change of the configuration as it was sent, and what can be said of it whatever version is current. It is read by
- * one thread at a time and handed on through queues; between two looks at it only its text is kept.
+ * A change of the configuration as it was sent, and what can be said of it whatever version is
+ * current. It is read by one thread at a time and handed on through queues; between two looks at it
+ * only its text is kept.
  */
 final class ConfigurationChange {
-    private final String shape;
-    private final byte[] body;
-    final long base;
-    /** 0 where it names none. */
-    private long version;
-    private String digest;
-    private Config sent;
-    /** What it makes of any base; null for an update, whose outcome its base decides. */
-    private Configuration replacement;
-    /** Why it can be valid on no base at all, null where it can. */
-    private ConfigurationException defect;
-    private boolean prepared;
-    private ControlCommand deed;
-    private Configuration next;
-
-    ConfigurationChange(final String shape, final String base, final byte[] body) {
-        this.shape = shape;
-        this.base = Long.parseLong(base.trim());
-        this.body = body;
-    }
-
-    /** A header that was sent twice comes as "5, 5", one that was not as null. */
-    static boolean basedOnOne(final String base) {
-        try {
-            Long.parseLong(String.valueOf(base).trim());
-            return true;
-        } catch (final NumberFormatException defect) {
-            return false;
-        }
-    }
-
-    /** Takes long for a large one, and no table: done on a thread beside the owner's. */
-    void read() {
-        try {
-            sent = Configuration.parse(new String(body, StandardCharsets.UTF_8));
-            version = sent.hasPath("Ver") ? sent.getLong("Ver") : 0;
-            digest = digest(shape + " " + base + " " + Configuration.render(sent));
-            check();
-        } catch (final ConfigurationException found) {
-            defect = found;
-        } catch (final ConfigException found) {
-            defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
-        } catch (final StackOverflowError found) {
-            // The reader calls itself for each level: a text that only opens brackets ends its stack, and nothing else.
-            defect = new ConfigurationException(CONFIG_UNREADABLE, "nested too deeply", found);
-        }
-    }
-
-    /** What was read goes, the text stays: many that wait must not fill the memory. */
-    void release() {
-        sent = null;
-        replacement = null;
-        prepared = false;
-        deed = null;
-        next = null;
+  private final String shape;
+  private final byte[] body;
+  final long base;
+
+  /** 0 where it names none. */
+  private long version;
+
+  private String digest;
+  private Config sent;
+
+  /** What it makes of any base; null for an update, whose outcome its base decides. */
+  private Configuration replacement;
+
+  /** Why it can be valid on no base at all, null where it can. */
+  private ConfigurationException defect;
+
+  private boolean prepared;
+  private ControlCommand deed;
+  private Configuration next;
+
+  ConfigurationChange(final String shape, final String base, final byte[] body) {
+    this.shape = shape;
+    this.base = Long.parseLong(base.trim());
+    this.body = body;
+  }
+
+  /** A header that was sent twice comes as "5, 5", one that was not as null. */
+  static boolean basedOnOne(final String base) {
+    try {
+      Long.parseLong(String.valueOf(base).trim());
+      return true;
+    } catch (final NumberFormatException defect) {
+      return false;
     }
-
-    long version() {
-        return version;
-    }
-
-    /** Null where it could not be read at all. */
-    String digest() {
-        return digest;
-    }
-
-    private void check() {
-        if (shape.equals("config replace")) {
-            replacement = Configuration.of(sent);
-        } else if (!sent.hasPath("Ver")) {
-            throw new ConfigurationException(CONFIG_FIELD, "Ver: is missing");
-        }
-    }
-
-    /** Versions only rise: what names none above its own base is taken on no base. */
-    boolean rises() {
-        return version > base;
+  }
+
+  /** Takes long for a large one, and no table: done on a thread beside the owner's. */
+  void read() {
+    try {
+      sent = Configuration.parse(new String(body, StandardCharsets.UTF_8));
+      version = sent.hasPath("Ver") ? sent.getLong("Ver") : 0;
+      digest = digest(shape + " " + base + " " + Configuration.render(sent));
+      check();
+    } catch (final ConfigurationException found) {
+      defect = found;
+    } catch (final ConfigException found) {
+      defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
+    } catch (final StackOverflowError found) {
+      // The reader calls itself for each level: a text that only opens brackets ends its stack, and
+      // nothing else.
+      defect = new ConfigurationException(CONFIG_UNREADABLE, "nested too deeply", found);
     }
-
-    ConfigurationException defect() {
-        return defect;
+  }
+
+  /** What was read goes, the text stays: many that wait must not fill the memory. */
+  void release() {
+    sent = null;
+    replacement = null;
+    prepared = false;
+    deed = null;
+    next = null;
+  }
+
+  long version() {
+    return version;
+  }
+
+  /** Null where it could not be read at all. */
+  String digest() {
+    return digest;
+  }
+
+  private void check() {
+    if (shape.equals("config replace")) {
+      replacement = Configuration.of(sent);
+    } else if (!sent.hasPath("Ver")) {
+      throw new ConfigurationException(CONFIG_FIELD, "Ver: is missing");
     }
-
-    /**
-     * What is to be agreed on, worked out on a base that is current, beside the owner's thread: a base's text never
-     * changes, so neither does this, nor a defect found here.
-     */
-    void prepare(final Configuration current) {
-        prepared = true;
-        if (sent == null) {
-            read();
-        }
-        try {
-            next = on(current);
-            final ControlCommand made = new ControlCommand(ControlCommand.CONFIG);
-            made.base = base;
-            made.digest = digest;
-            made.json = next.json();
-            made.version = next.version();
-            ConfigurationPatches.add(made, current, next);
-            deed = made;
-        } catch (final ConfigurationException found) {
-            defect = found;
-        } catch (final ConfigException found) {
-            defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
-        }
+  }
+
+  /** Versions only rise: what names none above its own base is taken on no base. */
+  boolean rises() {
+    return version > base;
+  }
+
+  ConfigurationException defect() {
+    return defect;
+  }
+
+  /**
+   * What is to be agreed on, worked out on a base that is current, beside the owner's thread: a
+   * base's text never changes, so neither does this, nor a defect found here.
+   */
+  void prepare(final Configuration current) {
+    prepared = true;
+    if (sent == null) {
+      read();
     }
-
-    private Configuration on(final Configuration current) {
-        if (!rises()) {
-            throw new ConfigurationException(CONFIG_VERSION, "Ver: must be above " + base);
-        }
-        if (replacement == null && current == null) {
-            throw new ConfigurationException(CONFIG_VERSION, "there is no configuration to update");
-        }
-        return replacement != null ? replacement : Configuration.of(current.updated(sent));
+    try {
+      next = on(current);
+      final ControlCommand made = new ControlCommand(ControlCommand.CONFIG);
+      made.base = base;
+      made.digest = digest;
+      made.json = next.json();
+      made.version = next.version();
+      ConfigurationPatches.add(made, current, next);
+      deed = made;
+    } catch (final ConfigurationException found) {
+      defect = found;
+    } catch (final ConfigException found) {
+      defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
     }
+  }
 
-    boolean prepared() {
-        return prepared;
+  private Configuration on(final Configuration current) {
+    if (!rises()) {
+      throw new ConfigurationException(CONFIG_VERSION, "Ver: must be above " + base);
     }
-
-    /** Null until it is prepared, or where it has a defect. */
-    ControlCommand deed() {
-        return deed;
+    if (replacement == null && current == null) {
+      throw new ConfigurationException(CONFIG_VERSION, "there is no configuration to update");
     }
-
-    /** What its base becomes by it. */
-    Configuration next() {
-        return next;
-    }
-
-    private static String digest(final String text) {
-        try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
-        } catch (final NoSuchAlgorithmException defect) {
-            throw new IllegalStateException(defect);
-        }
+    return replacement != null ? replacement : Configuration.of(current.updated(sent));
+  }
+
+  boolean prepared() {
+    return prepared;
+  }
+
+  /** Null until it is prepared, or where it has a defect. */
+  ControlCommand deed() {
+    return deed;
+  }
+
+  /** What its base becomes by it. */
+  Configuration next() {
+    return next;
+  }
+
+  private static String digest(final String text) {
+    try {
+      return HexFormat.of()
+          .formatHex(
+              MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
+    } catch (final NoSuchAlgorithmException defect) {
+      throw new IllegalStateException(defect);
     }
+  }
 }
--- a/src/main/java/yewjunction/control/ConfigurationException.java
+++ b/src/main/java/yewjunction/control/ConfigurationException.java
@@ -3,15 +3,18 @@
 import yewjunction.common.ErrorCode;
 import yewjunction.common.YewjunctionException;
 
-/** A configuration, or a change of it, is not valid. Trying again helps only with another text or another base version. */
+/**
+ * A configuration, or a change of it, is not valid. Trying again helps only with another text or
+ * another base version.
+ */
 public final class ConfigurationException extends YewjunctionException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public ConfigurationException(final ErrorCode code, final String text) {
-        this(code, text, null);
-    }
+  public ConfigurationException(final ErrorCode code, final String text) {
+    this(code, text, null);
+  }
 
-    public ConfigurationException(final ErrorCode code, final String text, final Throwable cause) {
-        super(code, text, cause);
-    }
+  public ConfigurationException(final ErrorCode code, final String text, final Throwable cause) {
+    super(code, text, cause);
+  }
 }
--- a/src/main/java/yewjunction/control/ConfigurationPatches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -1,5 +1,8 @@
 package yewjunction.control;
 
+import static yewjunction.control.FieldReader.items;
+import static yewjunction.control.FieldReader.text;
+
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
 import com.typesafe.config.ConfigFactory;
@@ -14,104 +17,107 @@
 import java.util.Map;
 import java.util.Set;
 
-import static yewjunction.control.FieldReader.items;
-import static yewjunction.control.FieldReader.text;
-
 /** What an update makes of a configuration, and which update makes one of another. */
 final class ConfigurationPatches {
-    private ConfigurationPatches() {
+  private ConfigurationPatches() {}
+
+  /** Adds the patch to the deed where there is one that leads to exactly the same. */
+  static void add(
+      final ControlCommand deed, final Configuration before, final Configuration after) {
+    if (before == null) {
+      return;
+    }
+    try {
+      final String patch = between(before.whole(), after.whole());
+      if (patch != null
+          && Configuration.of(before.updated(Configuration.parse(patch))).digest()
+              == after.digest()) {
+        deed.patch = patch;
+        deed.patchDigest = after.digest();
+      }
+    } catch (final ConfigException | ConfigurationException defect) {
+      // Without a patch all are told the whole: never a reason to deny what was checked already.
+      deed.patch = null;
     }
+  }
 
-    /** Adds the patch to the deed where there is one that leads to exactly the same. */
-    static void add(final ControlCommand deed, final Configuration before, final Configuration after) {
-        if (before == null) {
-            return;
+  private static String between(final Config before, final Config after) {
+    final Set<String> lists = new HashSet<>(before.root().keySet());
+    lists.addAll(after.root().keySet());
+    lists.remove("Ver");
+    Config patch = ConfigFactory.empty().withValue("Ver", after.getValue("Ver"));
+    for (final String list : lists) {
+      final ConfigValue old = before.root().get(list);
+      final ConfigValue fresh = after.root().get(list);
+      if (fresh == null || fresh.valueType() != ConfigValueType.LIST) {
+        // A field as a whole, or one that went: an Upsert says it only where it is an object.
+        if (!java.util.Objects.equals(old, fresh)) {
+          if (fresh == null || fresh.valueType() != ConfigValueType.OBJECT) {
+            return null;
+          }
+          patch = patch.withValue("Upsert." + list, fresh);
         }
-        try {
-            final String patch = between(before.whole(), after.whole());
-            if (patch != null && Configuration.of(before.updated(Configuration.parse(patch))).digest() == after.digest()) {
-                deed.patch = patch;
-                deed.patchDigest = after.digest();
+        continue;
+      }
+      final Map<String, ConfigValue> known = byName(before, list);
+      final Map<String, ConfigValue> wanted = byName(after, list);
+      final List<ConfigValue> upserts = new ArrayList<>();
+      wanted.forEach(
+          (name, item) -> {
+            if (!item.equals(known.get(name))) {
+              upserts.add(item);
             }
-        } catch (final ConfigException | ConfigurationException defect) {
-            // Without a patch all are told the whole: never a reason to deny what was checked already.
-            deed.patch = null;
-        }
+          });
+      known.keySet().removeAll(wanted.keySet());
+      if (!upserts.isEmpty()) {
+        patch = patch.withValue("Upsert." + list, ConfigValueFactory.fromIterable(upserts));
+      }
+      if (!known.isEmpty()) {
+        patch = patch.withValue("Del." + list, ConfigValueFactory.fromIterable(known.keySet()));
+      }
     }
+    return Configuration.render(patch);
+  }
 
-    private static String between(final Config before, final Config after) {
-        final Set<String> lists = new HashSet<>(before.root().keySet());
-        lists.addAll(after.root().keySet());
-        lists.remove("Ver");
-        Config patch = ConfigFactory.empty().withValue("Ver", after.getValue("Ver"));
-        for (final String list : lists) {
-            final ConfigValue old = before.root().get(list);
-            final ConfigValue fresh = after.root().get(list);
-            if (fresh == null || fresh.valueType() != ConfigValueType.LIST) {
-                // A field as a whole, or one that went: an Upsert says it only where it is an object.
-                if (!java.util.Objects.equals(old, fresh)) {
-                    if (fresh == null || fresh.valueType() != ConfigValueType.OBJECT) {
-                        return null;
-                    }
-                    patch = patch.withValue("Upsert." + list, fresh);
-                }
-                continue;
-            }
-            final Map<String, ConfigValue> known = byName(before, list);
-            final Map<String, ConfigValue> wanted = byName(after, list);
-            final List<ConfigValue> upserts = new ArrayList<>();
-            wanted.forEach((name, item) -> {
-                if (!item.equals(known.get(name))) {
-                    upserts.add(item);
-                }
-            });
-            known.keySet().removeAll(wanted.keySet());
-            if (!upserts.isEmpty()) {
-                patch = patch.withValue("Upsert." + list, ConfigValueFactory.fromIterable(upserts));
-            }
-            if (!known.isEmpty()) {
-                patch = patch.withValue("Del." + list, ConfigValueFactory.fromIterable(known.keySet()));
-            }
-        }
-        return Configuration.render(patch);
+  private static Map<String, ConfigValue> byName(final Config from, final String list) {
+    final Map<String, ConfigValue> items = new HashMap<>();
+    for (final Config item : items(from, list)) {
+      items.put(item.getString("Name"), item.root());
     }
+    return items;
+  }
 
-    private static Map<String, ConfigValue> byName(final Config from, final String list) {
-        final Map<String, ConfigValue> items = new HashMap<>();
-        for (final Config item : items(from, list)) {
-            items.put(item.getString("Name"), item.root());
-        }
-        return items;
+  /** What an update makes of a configuration: named items replaced, added or removed. */
+  static Config applied(final Config whole, final Config update) {
+    final Config upserts =
+        update.hasPath("Upsert") ? update.getConfig("Upsert") : ConfigFactory.empty();
+    final Config removals = update.hasPath("Del") ? update.getConfig("Del") : ConfigFactory.empty();
+    final Set<String> lists = new HashSet<>(upserts.root().keySet());
+    lists.addAll(removals.root().keySet());
+    Config changed = whole.withValue("Ver", update.getValue("Ver"));
+    for (final String list : lists) {
+      changed = changed.withValue(list, merged(whole, list, upserts, removals));
     }
+    return changed;
+  }
 
-    /** What an update makes of a configuration: named items replaced, added or removed. */
-    static Config applied(final Config whole, final Config update) {
-        final Config upserts = update.hasPath("Upsert") ? update.getConfig("Upsert") : ConfigFactory.empty();
-        final Config removals = update.hasPath("Del") ? update.getConfig("Del") : ConfigFactory.empty();
-        final Set<String> lists = new HashSet<>(upserts.root().keySet());
-        lists.addAll(removals.root().keySet());
-        Config changed = whole.withValue("Ver", update.getValue("Ver"));
-        for (final String list : lists) {
-            changed = changed.withValue(list, merged(whole, list, upserts, removals));
-        }
-        return changed;
+  private static ConfigValue merged(
+      final Config whole, final String list, final Config upserts, final Config removals) {
+    // Lims is no list of named items: an Upsert of it stands for the whole of it.
+    if (upserts.hasPath(list) && upserts.getValue(list).valueType() == ConfigValueType.OBJECT) {
+      return upserts.getValue(list);
     }
-
-    private static ConfigValue merged(final Config whole, final String list, final Config upserts, final Config removals) {
-        // Lims is no list of named items: an Upsert of it stands for the whole of it.
-        if (upserts.hasPath(list) && upserts.getValue(list).valueType() == ConfigValueType.OBJECT) {
-            return upserts.getValue(list);
-        }
-        final Map<String, ConfigValue> byName = new LinkedHashMap<>();
-        for (final Config item : items(whole, list)) {
-            byName.put(text(item, "Name", list, true), item.root());
-        }
-        for (final String name : removals.hasPath(list) ? removals.getStringList(list) : List.<String>of()) {
-            byName.remove(name);
-        }
-        for (final Config item : items(upserts, list)) {
-            byName.put(text(item, "Name", "Upsert." + list, true), item.root());
-        }
-        return ConfigValueFactory.fromIterable(byName.values());
+    final Map<String, ConfigValue> byName = new LinkedHashMap<>();
+    for (final Config item : items(whole, list)) {
+      byName.put(text(item, "Name", list, true), item.root());
+    }
+    for (final String name :
+        removals.hasPath(list) ? removals.getStringList(list) : List.<String>of()) {
+      byName.remove(name);
+    }
+    for (final Config item : items(upserts, list)) {
+      byName.put(text(item, "Name", "Upsert." + list, true), item.root());
     }
+    return ConfigValueFactory.fromIterable(byName.values());
+  }
 }
--- a/src/main/java/yewjunction/control/ControlCommand.java
+++ b/src/main/java/yewjunction/control/ControlCommand.java
@@ -5,36 +5,50 @@
 
 /** One entry of the core's ledger. */
 final class ControlCommand {
-    static final int CONFIG = 1;
-    static final int REPLICA = 2;
-    static final int REPLICA_GONE = 3;
-    static final int VAULTS = 4;
-    static final int RETIRE = 5;
-    static final int RETIRED = 6;
-
-    int kind;
-    /** CONFIG: the whole of it, the version it builds on, and the digest of the request that brought it. */
-    String json = "";
-    long version;
-    long base;
-    String digest = "";
-    /** REPLICA, RETIRE. */
-    String address = "";
-    String node = "";
-    long life;
-    /** REPLICA_GONE. */
-    long name;
-    /** VAULTS. */
-    List<String> identities = new ArrayList<>();
-    List<String> zones = new ArrayList<>();
-    /** CONFIG: what makes it of the one before, and the digest of the result; null where only the whole will do. */
-    String patch;
-    long patchDigest;
-
-    ControlCommand() {
-    }
-
-    ControlCommand(final int kind) {
-        this.kind = kind;
-    }
+  static final int CONFIG = 1;
+  static final int REPLICA = 2;
+  static final int REPLICA_GONE = 3;
+  static final int VAULTS = 4;
+  static final int RETIRE = 5;
+  static final int RETIRED = 6;
+
+  int kind;
+
+  /**
+   * CONFIG: the whole of it, the version it builds on, and the digest of the request that brought
+   * it.
+   */
+  String json = "";
+
+  long version;
+  long base;
+  String digest = "";
+
+  /** REPLICA, RETIRE. */
+  String address = "";
+
+  String node = "";
+  long life;
+
+  /** REPLICA_GONE. */
+  long name;
+
+  /** VAULTS. */
+  List<String> identities = new ArrayList<>();
+
+  List<String> zones = new ArrayList<>();
+
+  /**
+   * CONFIG: what makes it of the one before, and the digest of the result; null where only the
+   * whole will do.
+   */
+  String patch;
+
+  long patchDigest;
+
+  ControlCommand() {}
+
+  ControlCommand(final int kind) {
+    this.kind = kind;
+  }
 }
--- a/src/main/java/yewjunction/control/LeaseMessages.java
+++ b/src/main/java/yewjunction/control/LeaseMessages.java
@@ -6,79 +6,99 @@
 
 /** What tides, vaults and cruxes say to one another about configuration and leases. */
 public final class LeaseMessages {
-    private LeaseMessages() {
-    }
-
-    public static void know(final MessageCodec codec) {
-        codec.know(50, LeaseRequest.class).know(51, LeaseResponse.class).know(52, ConfirmLeadershipRequest.class).know(53, ConfirmLeadershipResponse.class)
-            .know(54, RegisterRequest.class);
-    }
-
-    /** Asks a home for a lease, says what is known already, and names this process. */
-    static final class LeaseRequest {
-        /** Stands for the asker's life and the moment it asked, which it keeps for itself. */
-        long request;
-        long version;
-        long factsNumber;
-        ProcessReport who = new ProcessReport();
-    }
-
-    /** Who asks: a tide that needs a replica name, or a vault. */
-    static final class ProcessReport {
-        String address = "";
-        String node = "";
-        String zone = "";
-        String duty = "";
-        long life;
-        /** A vault's ledger identity. */
-        String identity = "";
-        /** How far a vault has applied its ledger. */
-        long applied;
-        /** Its lease counts right now. */
-        boolean held;
-        /** Messages of an edge that wait for a leader's answer, and whether none answers. */
-        long waiting;
-        boolean dark;
-        /** For how long a vault's disk has owed its oldest write. */
-        long diskOwedMs;
-        /** Of the memory it may use. */
-        int memoryPct;
-        /** Nodes that hold no duty any more, told by the vault group's leader. */
-        List<String> emptied = new ArrayList<>();
-        /** What tenants that borrow ahead hold and owe at a vault. */
-        List<AccountBalance> balances = new ArrayList<>();
-        /** Breaks of the declared order that an edge met since its start. */
-        List<OrderViolations> disorders = new ArrayList<>();
-    }
-
-    /** A lease when held is set, else only news. */
-    static final class LeaseResponse {
-        boolean held;
-        /** The renewal that it answers. */
-        long request;
-        long version;
-        /** The configuration, when newer than what the asker has. */
-        String json;
-        /** The facts, when newer. */
-        ClusterState facts;
-        /** In their place, to an asker that knows what was before: the changes since, in order. */
-        List<RecentChanges.VersionPatch> patches = new ArrayList<>();
-        List<ClusterState.Change> changes = new ArrayList<>();
-    }
-
-    /** A home asks the leader to confirm its leadership with a majority. */
-    static final class ConfirmLeadershipRequest {
-        long number;
-    }
-
-    static final class ConfirmLeadershipResponse {
-        long number;
-        boolean held;
-        long commit;
-    }
-
-    /** A home tells the leader of a process that needs a name, or of a vault. */
-    static final class RegisterRequest {
-        ProcessReport who = new ProcessReport();
-    }
+  private LeaseMessages() {}
+
+  public static void know(final MessageCodec codec) {
+    codec
+        .know(50, LeaseRequest.class)
+        .know(51, LeaseResponse.class)
+        .know(52, ConfirmLeadershipRequest.class)
+        .know(53, ConfirmLeadershipResponse.class)
+        .know(54, RegisterRequest.class);
+  }
+
+  /** Asks a home for a lease, says what is known already, and names this process. */
+  static final class LeaseRequest {
+    /** Stands for the asker's life and the moment it asked, which it keeps for itself. */
+    long request;
+
+    long version;
+    long factsNumber;
+    ProcessReport who = new ProcessReport();
+  }
+
+  /** Who asks: a tide that needs a replica name, or a vault. */
+  static final class ProcessReport {
+    String address = "";
+    String node = "";
+    String zone = "";
+    String duty = "";
+    long life;
+
+    /** A vault's ledger identity. */
+    String identity = "";
+
+    /** How far a vault has applied its ledger. */
+    long applied;
+
+    /** Its lease counts right now. */
+    boolean held;
+
+    /** Messages of an edge that wait for a leader's answer, and whether none answers. */
+    long waiting;
+
+    boolean dark;
+
+    /** For how long a vault's disk has owed its oldest write. */
+    long diskOwedMs;
+
+    /** Of the memory it may use. */
+    int memoryPct;
+
+    /** Nodes that hold no duty any more, told by the vault group's leader. */
+    List<String> emptied = new ArrayList<>();
+
+    /** What tenants that borrow ahead hold and owe at a vault. */
+    List<AccountBalance> balances = new ArrayList<>();
+
+    /** Breaks of the declared order that an edge met since its start. */
+    List<OrderViolations> disorders = new ArrayList<>();
+  }
+
+  /** A lease when held is set, else only news. */
+  static final class LeaseResponse {
+    boolean held;
+
+    /** The renewal that it answers. */
+    long request;
+
+    long version;
+
+    /** The configuration, when newer than what the asker has. */
+    String json;
+
+    /** The facts, when newer. */
+    ClusterState facts;
+
+    /** In their place, to an asker that knows what was before: the changes since, in order. */
+    List<RecentChanges.VersionPatch> patches = new ArrayList<>();
+
+    List<ClusterState.Change> changes = new ArrayList<>();
+  }
+
+  /** A home asks the leader to confirm its leadership with a majority. */
+  static final class ConfirmLeadershipRequest {
+    long number;
+  }
+
+  static final class ConfirmLeadershipResponse {
+    long number;
+    boolean held;
+    long commit;
+  }
+
+  /** A home tells the leader of a process that needs a name, or of a vault. */
+  static final class RegisterRequest {
+    ProcessReport who = new ProcessReport();
+  }
 }
--- a/src/main/java/yewjunction/control/OrderViolations.java
+++ b/src/main/java/yewjunction/control/OrderViolations.java
@@ -5,18 +5,20 @@
 
 /** How often an edge met a break of a channel's declared order, for operators. */
 public final class OrderViolations {
-    public String topic = "";
-    /** Messages that would have come out of their declared place and were not written. */
-    public long breaks;
-    /** Subscriptions that could not be taken up because messages they lacked are no longer kept. */
-    public long gaps;
+  public String topic = "";
 
-    Map<String, Object> row(final String node) {
-        final Map<String, Object> row = new LinkedHashMap<>();
-        row.put("Topic", topic);
-        row.put("Nodename", node);
-        row.put("Breaks", breaks);
-        row.put("Gaps", gaps);
-        return row;
-    }
+  /** Messages that would have come out of their declared place and were not written. */
+  public long breaks;
+
+  /** Subscriptions that could not be taken up because messages they lacked are no longer kept. */
+  public long gaps;
+
+  Map<String, Object> row(final String node) {
+    final Map<String, Object> row = new LinkedHashMap<>();
+    row.put("Topic", topic);
+    row.put("Nodename", node);
+    row.put("Breaks", breaks);
+    row.put("Gaps", gaps);
+    return row;
+  }
 }
--- a/src/main/java/yewjunction/control/RecentChanges.java
+++ b/src/main/java/yewjunction/control/RecentChanges.java
@@ -1,78 +1,82 @@
 package yewjunction.control;
 
+import static yewjunction.common.Limits.NEWS_KEPT;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 
-import static yewjunction.common.Limits.NEWS_KEPT;
-
 /**
- * What changed lately at a crux. Whoever knows an earlier state is told of the changes alone: the whole grows with the
- * number of nodes and tenants, and every node would hear all of it at every change.
+ * What changed lately at a crux. Whoever knows an earlier state is told of the changes alone: the
+ * whole grows with the number of nodes and tenants, and every node would hear all of it at every
+ * change.
  */
 final class RecentChanges {
-    private final ArrayDeque<VersionPatch> patches = new ArrayDeque<>();
-    private final ArrayDeque<ClusterState.Change> changes = new ArrayDeque<>();
+  private final ArrayDeque<VersionPatch> patches = new ArrayDeque<>();
+  private final ArrayDeque<ClusterState.Change> changes = new ArrayDeque<>();
 
-    /** What makes one version of the configuration of the one before, and what the result must be. */
-    static final class VersionPatch {
-        long base;
-        long version;
-        String json = "";
-        long digest;
-    }
+  /** What makes one version of the configuration of the one before, and what the result must be. */
+  static final class VersionPatch {
+    long base;
+    long version;
+    String json = "";
+    long digest;
+  }
 
-    void changed(final ControlCommand deed) {
-        if (deed.patch == null) {
-            // Only the whole leads across this version.
-            patches.clear();
-            return;
-        }
-        final VersionPatch patch = new VersionPatch();
-        patch.base = deed.base;
-        patch.version = deed.version;
-        patch.json = deed.patch;
-        patch.digest = deed.patchDigest;
-        keep(patches, patch);
+  void changed(final ControlCommand deed) {
+    if (deed.patch == null) {
+      // Only the whole leads across this version.
+      patches.clear();
+      return;
     }
+    final VersionPatch patch = new VersionPatch();
+    patch.base = deed.base;
+    patch.version = deed.version;
+    patch.json = deed.patch;
+    patch.digest = deed.patchDigest;
+    keep(patches, patch);
+  }
 
-    void changed(final ClusterState.Change change) {
-        keep(changes, change);
-    }
+  void changed(final ClusterState.Change change) {
+    keep(changes, change);
+  }
 
-    private static <T> void keep(final ArrayDeque<T> kept, final T one) {
-        kept.add(one);
-        if (kept.size() > NEWS_KEPT) {
-            kept.poll();
-        }
+  private static <T> void keep(final ArrayDeque<T> kept, final T one) {
+    kept.add(one);
+    if (kept.size() > NEWS_KEPT) {
+      kept.poll();
     }
+  }
 
-    void forget() {
-        patches.clear();
-        changes.clear();
-    }
+  void forget() {
+    patches.clear();
+    changes.clear();
+  }
 
-    /** Patches from that version on, in order; null when only the whole leads from there, or is not much longer. */
-    List<VersionPatch> patchesFrom(final long version, final int wholeLength) {
-        final List<VersionPatch> found = new ArrayList<>();
-        int length = 0;
-        for (final VersionPatch patch : patches) {
-            if (!found.isEmpty() || patch.base == version) {
-                found.add(patch);
-                length += patch.json.length();
-            }
-        }
-        return found.isEmpty() || 2 * length > wholeLength ? null : found;
+  /**
+   * Patches from that version on, in order; null when only the whole leads from there, or is not
+   * much longer.
+   */
+  List<VersionPatch> patchesFrom(final long version, final int wholeLength) {
+    final List<VersionPatch> found = new ArrayList<>();
+    int length = 0;
+    for (final VersionPatch patch : patches) {
+      if (!found.isEmpty() || patch.base == version) {
+        found.add(patch);
+        length += patch.json.length();
+      }
     }
+    return found.isEmpty() || 2 * length > wholeLength ? null : found;
+  }
 
-    /** The same for facts. */
-    List<ClusterState.Change> changesFrom(final long number) {
-        final List<ClusterState.Change> found = new ArrayList<>();
-        for (final ClusterState.Change change : changes) {
-            if (!found.isEmpty() || change.before == number) {
-                found.add(change);
-            }
-        }
-        return found.isEmpty() ? null : found;
+  /** The same for facts. */
+  List<ClusterState.Change> changesFrom(final long number) {
+    final List<ClusterState.Change> found = new ArrayList<>();
+    for (final ClusterState.Change change : changes) {
+      if (!found.isEmpty() || change.before == number) {
+        found.add(change);
+      }
     }
+    return found.isEmpty() ? null : found;
+  }
 }
--- a/src/main/java/yewjunction/doctor/BorrowingCheck.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -9,36 +9,63 @@
 
 /** What the vaults say of the accounts of tenants that borrow ahead, held against one another. */
 final class BorrowingCheck {
-    private BorrowingCheck() {
-    }
+  private BorrowingCheck() {}
 
-    /** Rows of vaults as the leading crux shows them. */
-    static List<Finding> look(final List<? extends Config> vaults) {
-        final List<Finding> findings = new ArrayList<>();
-        final Map<String, String> told = new TreeMap<>();
-        final Map<String, Config> newest = new TreeMap<>();
-        for (final Config vault : vaults) {
-            for (final Config account : vault.hasPath("Accounts") ? vault.getConfigList("Accounts") : List.<Config>of()) {
-                final String tenant = account.getString("Tenant");
-                final String place = tenant + " at entry " + account.getLong("Index");
-                final String held = account.getDouble("Tokens") + " left, " + account.getDouble("Debt") + " owed, "
-                    + account.getDouble("Borrowed") + " borrowed, " + account.getDouble("Repaid") + " repaid";
-                // Accounts that the same entry touched last must be the same, whoever holds them.
-                final String other = told.putIfAbsent(place, held);
-                if (other != null && !other.equals(held)) {
-                    findings.add(new Finding(Code.ACCOUNTS_DIFFER, place + ": " + vault.getString("Nodename") + " holds " + held
-                        + ", another vault " + other, "report it with both ledger files; empty the folder of the vault that a third one contradicts"));
-                }
-                // A vault that lags says what was; the newest word counts.
-                newest.merge(tenant, account, (one, two) -> two.getLong("Index") > one.getLong("Index") ? two : one);
-            }
+  /** Rows of vaults as the leading crux shows them. */
+  static List<Finding> look(final List<? extends Config> vaults) {
+    final List<Finding> findings = new ArrayList<>();
+    final Map<String, String> told = new TreeMap<>();
+    final Map<String, Config> newest = new TreeMap<>();
+    for (final Config vault : vaults) {
+      for (final Config account :
+          vault.hasPath("Accounts") ? vault.getConfigList("Accounts") : List.<Config>of()) {
+        final String tenant = account.getString("Tenant");
+        final String place = tenant + " at entry " + account.getLong("Index");
+        final String held =
+            account.getDouble("Tokens")
+                + " left, "
+                + account.getDouble("Debt")
+                + " owed, "
+                + account.getDouble("Borrowed")
+                + " borrowed, "
+                + account.getDouble("Repaid")
+                + " repaid";
+        // Accounts that the same entry touched last must be the same, whoever holds them.
+        final String other = told.putIfAbsent(place, held);
+        if (other != null && !other.equals(held)) {
+          findings.add(
+              new Finding(
+                  Code.ACCOUNTS_DIFFER,
+                  place
+                      + ": "
+                      + vault.getString("Nodename")
+                      + " holds "
+                      + held
+                      + ", another vault "
+                      + other,
+                  "report it with both ledger files; empty the folder of the vault that a third one contradicts"));
         }
-        newest.forEach((tenant, account) -> {
-            if (account.getDouble("Debt") > 0 && account.getDouble("Debt") + 1 > account.getDouble("BorrowMax")) {
-                findings.add(new Finding(Code.BORROW_AT_LIMIT, tenant + " owes " + account.getDouble("Debt") + " of "
-                    + account.getDouble("BorrowMax") + " and is denied more", "nothing; or a higher RatePerS or BorrowMax"));
-            }
-        });
-        return findings;
+        // A vault that lags says what was; the newest word counts.
+        newest.merge(
+            tenant, account, (one, two) -> two.getLong("Index") > one.getLong("Index") ? two : one);
+      }
     }
+    newest.forEach(
+        (tenant, account) -> {
+          if (account.getDouble("Debt") > 0
+              && account.getDouble("Debt") + 1 > account.getDouble("BorrowMax")) {
+            findings.add(
+                new Finding(
+                    Code.BORROW_AT_LIMIT,
+                    tenant
+                        + " owes "
+                        + account.getDouble("Debt")
+                        + " of "
+                        + account.getDouble("BorrowMax")
+                        + " and is denied more",
+                    "nothing; or a higher RatePerS or BorrowMax"));
+          }
+        });
+    return findings;
+  }
 }
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -1,6 +1,14 @@
 package yewjunction.doctor;
 
-import yewjunction.membership.NodeRole;
+import static yewjunction.common.ToolLimits.DOCTOR_APART_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_BEHIND;
+import static yewjunction.common.ToolLimits.DOCTOR_CALL_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_FULL_SHARE;
+import static yewjunction.common.ToolLimits.DOCTOR_MEMORY_PCT;
+import static yewjunction.common.ToolLimits.DOCTOR_OWED_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_SILENT_MS;
+import static yewjunction.common.ToolLimits.DOCTOR_WAITING;
+
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
 import com.typesafe.config.ConfigFactory;
@@ -11,224 +19,335 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeMap;
-import yewjunction.doctor.HttpProbe.Response;
 import yewjunction.doctor.Finding.Code;
+import yewjunction.doctor.HttpProbe.Response;
+import yewjunction.maintenance.MaintenanceWindows;
+import yewjunction.membership.NodeRole;
 import yewjunction.raft.StorageInspection;
 import yewjunction.settings.Settings;
-import yewjunction.maintenance.MaintenanceWindows;
-
-import static yewjunction.common.ToolLimits.DOCTOR_APART_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_BEHIND;
-import static yewjunction.common.ToolLimits.DOCTOR_CALL_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_FULL_SHARE;
-import static yewjunction.common.ToolLimits.DOCTOR_MEMORY_PCT;
-import static yewjunction.common.ToolLimits.DOCTOR_OWED_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_SILENT_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_WAITING;
 
-/** Looks once from where it runs: at the operator's addresses, this machine's readiness and its data folder. */
+/**
+ * Looks once from where it runs: at the operator's addresses, this machine's readiness and its data
+ * folder.
+ */
 public final class Doctor {
-    private final Settings settings;
-    private final Path dataFolder;
-    private MaintenanceWindows windows;
-    private final HttpProbe caller = new HttpProbe(DOCTOR_CALL_MS);
-    private final List<Finding> findings = new ArrayList<>();
-    private final TreeMap<String, Config> outlooks = new TreeMap<>();
+  private final Settings settings;
+  private final Path dataFolder;
+  private MaintenanceWindows windows;
+  private final HttpProbe caller = new HttpProbe(DOCTOR_CALL_MS);
+  private final List<Finding> findings = new ArrayList<>();
+  private final TreeMap<String, Config> outlooks = new TreeMap<>();
 
-    /** The folder may be null: a machine without a disk, or not this machine's. */
-    public Doctor(final Settings settings, final Path dataFolder) {
-        this.settings = settings;
-        this.dataFolder = dataFolder;
-    }
+  /** The folder may be null: a machine without a disk, or not this machine's. */
+  public Doctor(final Settings settings, final Path dataFolder) {
+    this.settings = settings;
+    this.dataFolder = dataFolder;
+  }
 
-    /** Planned work that explains a finding is named beside it. */
-    public Doctor planned(final MaintenanceWindows chosenWindows) {
-        windows = chosenWindows;
-        return this;
-    }
+  /** Planned work that explains a finding is named beside it. */
+  public Doctor planned(final MaintenanceWindows chosenWindows) {
+    windows = chosenWindows;
+    return this;
+  }
 
-    private void found(final Code code, final String seen, final String todo, final String... names) {
-        final String planned = windows == null || names.length == 0 ? null : windows.explains(Instant.now(), List.of(names));
-        findings.add(planned == null ? new Finding(code, seen, todo) : new Finding(code, seen, todo, planned));
-    }
+  private void found(final Code code, final String seen, final String todo, final String... names) {
+    final String planned =
+        windows == null || names.length == 0
+            ? null
+            : windows.explains(Instant.now(), List.of(names));
+    findings.add(
+        planned == null ? new Finding(code, seen, todo) : new Finding(code, seen, todo, planned));
+  }
 
-    public List<Finding> examine() {
-        settings.seeds().stream().distinct().forEach(this::seed);
-        if (!outlooks.isEmpty()) {
-            core();
-            peers();
-            wards();
-            vaults();
-        }
-        if (!settings.ready().isEmpty()) {
-            final Response reply = caller.get(settings.ready(), "/-/readyz");
-            if (reply.status() == -1) {
-                found(Code.READY_SILENT, settings.ready() + ": " + reply.body(), "see whether the edge's process runs");
-            }
-        }
-        if (dataFolder != null) {
-            folder();
-        }
-        if (windows != null) {
-            windows.bad().forEach(one -> found(Code.CALENDAR_BAD, one, "mend the calendar file; the others count"));
-        }
-        return findings;
+  public List<Finding> examine() {
+    settings.seeds().stream().distinct().forEach(this::seed);
+    if (!outlooks.isEmpty()) {
+      core();
+      peers();
+      wards();
+      vaults();
+    }
+    if (!settings.ready().isEmpty()) {
+      final Response reply = caller.get(settings.ready(), "/-/readyz");
+      if (reply.status() == -1) {
+        found(
+            Code.READY_SILENT,
+            settings.ready() + ": " + reply.body(),
+            "see whether the edge's process runs");
+      }
+    }
+    if (dataFolder != null) {
+      folder();
+    }
+    if (windows != null) {
+      windows
+          .bad()
+          .forEach(
+              one -> found(Code.CALENDAR_BAD, one, "mend the calendar file; the others count"));
     }
+    return findings;
+  }
 
-    private void seed(final String seed) {
-        final Response reply = caller.get(seed, "/-/outlook/show");
-        if (reply.status() == -1) {
-            found(Code.SEED_SILENT, seed + ": " + reply.body(), "see whether the crux there runs and can be reached from here");
-            return;
-        }
-        if (reply.clockMs() != null && Math.abs(reply.clockMs()) > DOCTOR_APART_MS) {
-            found(Code.CLOCK_APART, seed + ": its clock is " + reply.clockMs() + " ms ahead of this one", "set the clocks");
-        }
-        try {
-            if (reply.status() != 200) {
-                throw new ConfigException.Generic("status " + reply.status());
-            }
-            final Config outlook = ConfigFactory.parseString(reply.body());
-            outlook.getBoolean("Leads");
-            outlooks.put(seed, outlook);
-        } catch (final ConfigException defect) {
-            found(Code.SEED_ODD, seed + ": " + defect.getMessage(), "see what listens there; releases too far apart?");
-        }
+  private void seed(final String seed) {
+    final Response reply = caller.get(seed, "/-/outlook/show");
+    if (reply.status() == -1) {
+      found(
+          Code.SEED_SILENT,
+          seed + ": " + reply.body(),
+          "see whether the crux there runs and can be reached from here");
+      return;
+    }
+    if (reply.clockMs() != null && Math.abs(reply.clockMs()) > DOCTOR_APART_MS) {
+      found(
+          Code.CLOCK_APART,
+          seed + ": its clock is " + reply.clockMs() + " ms ahead of this one",
+          "set the clocks");
+    }
+    try {
+      if (reply.status() != 200) {
+        throw new ConfigException.Generic("status " + reply.status());
+      }
+      final Config outlook = ConfigFactory.parseString(reply.body());
+      outlook.getBoolean("Leads");
+      outlooks.put(seed, outlook);
+    } catch (final ConfigException defect) {
+      found(
+          Code.SEED_ODD,
+          seed + ": " + defect.getMessage(),
+          "see what listens there; releases too far apart?");
     }
+  }
 
-    private void core() {
-        final List<String> leaders = new ArrayList<>();
-        final Set<Long> versions = new HashSet<>();
-        for (final var one : outlooks.entrySet()) {
-            final Config outlook = one.getValue();
-            if (outlook.getBoolean("Leads")) {
-                leaders.add(one.getKey());
-            }
-            // More cruxes than seats: the rest stand by.
-            if (!outlook.getBoolean("Votes") && outlook.getStringList("Voters").size() < settings.votersNeeded()) {
-                found(Code.CRUX_OUTSIDE, one.getKey() + " does not vote", "a wiped crux joins within seconds; if not, see its log");
-            }
-            versions.add(outlook.getLong("Ver"));
-        }
-        final Set<String> named = new HashSet<>();
-        outlooks.values().forEach(outlook -> named.add(outlook.getString("Leader")));
-        named.remove("");
-        if (leaders.isEmpty() && named.isEmpty()) {
-            found(Code.NO_LEADER, "no crux leads or knows who does", "bring back cruxes until more than half of the voters run");
-        } else if (leaders.size() > 1 || named.size() > 1) {
-            found(Code.LEADERS_DIFFER, leaders + " lead, " + named + " are named", "look again; if it stays, cruxes are cut off");
-        }
-        final Config first = outlooks.firstEntry().getValue();
-        final List<String> voters = first.getStringList("Voters");
-        if (outlooks.size() * 2 <= voters.size()) {
-            found(Code.VOTERS_FEW, outlooks.size() + " of " + voters.size() + " voters answer", "bring back the silent cruxes");
-        }
-        if (versions.size() > 1) {
-            found(Code.VERSIONS_DIFFER, "versions " + versions, "look again; if it stays, a crux is behind or cut off");
-        }
-        if (versions.equals(Set.of(0L))) {
-            found(Code.NO_CONFIG, "no configuration has been taken", "send one with Base-Version 0");
-        }
+  private void core() {
+    final List<String> leaders = new ArrayList<>();
+    final Set<Long> versions = new HashSet<>();
+    for (final var one : outlooks.entrySet()) {
+      final Config outlook = one.getValue();
+      if (outlook.getBoolean("Leads")) {
+        leaders.add(one.getKey());
+      }
+      // More cruxes than seats: the rest stand by.
+      if (!outlook.getBoolean("Votes")
+          && outlook.getStringList("Voters").size() < settings.votersNeeded()) {
+        found(
+            Code.CRUX_OUTSIDE,
+            one.getKey() + " does not vote",
+            "a wiped crux joins within seconds; if not, see its log");
+      }
+      versions.add(outlook.getLong("Ver"));
+    }
+    final Set<String> named = new HashSet<>();
+    outlooks.values().forEach(outlook -> named.add(outlook.getString("Leader")));
+    named.remove("");
+    if (leaders.isEmpty() && named.isEmpty()) {
+      found(
+          Code.NO_LEADER,
+          "no crux leads or knows who does",
+          "bring back cruxes until more than half of the voters run");
+    } else if (leaders.size() > 1 || named.size() > 1) {
+      found(
+          Code.LEADERS_DIFFER,
+          leaders + " lead, " + named + " are named",
+          "look again; if it stays, cruxes are cut off");
+    }
+    final Config first = outlooks.firstEntry().getValue();
+    final List<String> voters = first.getStringList("Voters");
+    if (outlooks.size() * 2 <= voters.size()) {
+      found(
+          Code.VOTERS_FEW,
+          outlooks.size() + " of " + voters.size() + " voters answer",
+          "bring back the silent cruxes");
+    }
+    if (versions.size() > 1) {
+      found(
+          Code.VERSIONS_DIFFER,
+          "versions " + versions,
+          "look again; if it stays, a crux is behind or cut off");
     }
+    if (versions.equals(Set.of(0L))) {
+      found(Code.NO_CONFIG, "no configuration has been taken", "send one with Base-Version 0");
+    }
+  }
 
-    private void peers() {
-        final TreeMap<String, Config> known = new TreeMap<>();
-        outlooks.values().forEach(outlook -> outlook.getConfigList("Siblings").forEach(one -> known.put(one.getString("Addr"), one)));
-        final Set<String> answering = new HashSet<>(known.keySet());
-        outlooks.values().forEach(outlook -> answering.add(outlook.hasPath("Addr") ? outlook.getString("Addr") : ""));
-        for (final String voter : outlooks.firstEntry().getValue().getStringList("Voters")) {
-            if (outlooks.firstEntry().getValue().hasPath("Addr") && !answering.contains(voter)) {
-                found(Code.VOTER_GONE, "nobody knows the voter at " + voter, "start a crux in its place: it takes the seat by itself");
-            }
-        }
-        for (final Config peer : known.values()) {
-            final String name = peer.getString("Nodename") + " (" + peer.getString("Duty") + ")";
-            if (peer.getBoolean("Suspect") || !peer.getBoolean("Up")) {
-                found(Code.SIBLING_SUSPECT, name + " does not answer probes", "see whether it runs; it may just be stopping",
-                    peer.getString("Nodename"), peer.getString("Az"));
-            } else if (NodeRole.EDGE.is(peer.getString("Duty")) && !peer.getBoolean("Ready")) {
-                found(Code.EDGE_NOT_READY, name + " takes no clients", "see its log: no lease, no home vault, or draining",
-                    peer.getString("Nodename"), peer.getString("Az"));
-            }
-        }
+  private void peers() {
+    final TreeMap<String, Config> known = new TreeMap<>();
+    outlooks
+        .values()
+        .forEach(
+            outlook ->
+                outlook
+                    .getConfigList("Siblings")
+                    .forEach(one -> known.put(one.getString("Addr"), one)));
+    final Set<String> answering = new HashSet<>(known.keySet());
+    outlooks
+        .values()
+        .forEach(
+            outlook -> answering.add(outlook.hasPath("Addr") ? outlook.getString("Addr") : ""));
+    for (final String voter : outlooks.firstEntry().getValue().getStringList("Voters")) {
+      if (outlooks.firstEntry().getValue().hasPath("Addr") && !answering.contains(voter)) {
+        found(
+            Code.VOTER_GONE,
+            "nobody knows the voter at " + voter,
+            "start a crux in its place: it takes the seat by itself");
+      }
+    }
+    for (final Config peer : known.values()) {
+      final String name = peer.getString("Nodename") + " (" + peer.getString("Duty") + ")";
+      if (peer.getBoolean("Suspect") || !peer.getBoolean("Up")) {
+        found(
+            Code.SIBLING_SUSPECT,
+            name + " does not answer probes",
+            "see whether it runs; it may just be stopping",
+            peer.getString("Nodename"),
+            peer.getString("Az"));
+      } else if (NodeRole.EDGE.is(peer.getString("Duty")) && !peer.getBoolean("Ready")) {
+        found(
+            Code.EDGE_NOT_READY,
+            name + " takes no clients",
+            "see its log: no lease, no home vault, or draining",
+            peer.getString("Nodename"),
+            peer.getString("Az"));
+      }
     }
+  }
 
-    /** What processes say of themselves to the crux they ask for leases. */
-    private void wards() {
-        for (final Config outlook : outlooks.values()) {
-            for (final Config ward : outlook.hasPath("Wards") ? outlook.getConfigList("Wards") : List.<Config>of()) {
-                ward(ward, ward.getString("Nodename") + " (" + ward.getString("Duty") + ")");
-            }
-            for (final Config channel : outlook.hasPath("Channels") ? outlook.getConfigList("Channels") : List.<Config>of()) {
-                if (channel.getLong("Breaks") > 0) {
-                    found(Code.ORDER_BROKEN, channel.getString("Nodename") + " met " + channel.getLong("Breaks") + " breaks of the order declared for "
-                        + channel.getString("Topic"), "nothing was written out of place; report its events 808 with the log", channel.getString("Nodename"));
-                }
-            }
+  /** What processes say of themselves to the crux they ask for leases. */
+  private void wards() {
+    for (final Config outlook : outlooks.values()) {
+      for (final Config ward :
+          outlook.hasPath("Wards") ? outlook.getConfigList("Wards") : List.<Config>of()) {
+        ward(ward, ward.getString("Nodename") + " (" + ward.getString("Duty") + ")");
+      }
+      for (final Config channel :
+          outlook.hasPath("Channels") ? outlook.getConfigList("Channels") : List.<Config>of()) {
+        if (channel.getLong("Breaks") > 0) {
+          found(
+              Code.ORDER_BROKEN,
+              channel.getString("Nodename")
+                  + " met "
+                  + channel.getLong("Breaks")
+                  + " breaks of the order declared for "
+                  + channel.getString("Topic"),
+              "nothing was written out of place; report its events 808 with the log",
+              channel.getString("Nodename"));
         }
+      }
     }
+  }
 
-    private void ward(final Config ward, final String name) {
-        final String node = ward.getString("Nodename");
-        final String zone = ward.getString("Az");
-        if (!ward.getBoolean("Held")) {
-            found(Code.LEASE_LAPSED, name + " asks and holds no lease", "no majority of cruxes confirms: see NO_LEADER, VOTERS_FEW", node, zone);
-        }
-        if (ward.getBoolean("Dark")) {
-            found(Code.EDGE_DARK, name + " reaches no leader of the vaults", "see the links of its zone; it denies new messages meanwhile", node, zone);
-        }
-        if (ward.getLong("Waiting") > DOCTOR_WAITING) {
-            found(Code.INTAKE_FILLS, name + " has " + ward.getLong("Waiting") + " messages waiting", "see the vaults' leader: its machine, disk and links", node, zone);
-        }
-        if (ward.getLong("DiskOwedMs") > DOCTOR_OWED_MS) {
-            found(Code.DISK_SLOW, name + ": its disk owes a write since " + ward.getLong("DiskOwedMs") + " ms", "make room, or replace the disk; see events 410 to 412", node, zone);
-        }
-        if (ward.getInt("MemoryPct") > DOCTOR_MEMORY_PCT) {
-            found(Code.MEMORY_NEAR_FULL, name + " uses " + ward.getInt("MemoryPct") + " % of its memory", "give it more, or spread its clients over more edges", node, zone);
-        }
+  private void ward(final Config ward, final String name) {
+    final String node = ward.getString("Nodename");
+    final String zone = ward.getString("Az");
+    if (!ward.getBoolean("Held")) {
+      found(
+          Code.LEASE_LAPSED,
+          name + " asks and holds no lease",
+          "no majority of cruxes confirms: see NO_LEADER, VOTERS_FEW",
+          node,
+          zone);
+    }
+    if (ward.getBoolean("Dark")) {
+      found(
+          Code.EDGE_DARK,
+          name + " reaches no leader of the vaults",
+          "see the links of its zone; it denies new messages meanwhile",
+          node,
+          zone);
+    }
+    if (ward.getLong("Waiting") > DOCTOR_WAITING) {
+      found(
+          Code.INTAKE_FILLS,
+          name + " has " + ward.getLong("Waiting") + " messages waiting",
+          "see the vaults' leader: its machine, disk and links",
+          node,
+          zone);
+    }
+    if (ward.getLong("DiskOwedMs") > DOCTOR_OWED_MS) {
+      found(
+          Code.DISK_SLOW,
+          name + ": its disk owes a write since " + ward.getLong("DiskOwedMs") + " ms",
+          "make room, or replace the disk; see events 410 to 412",
+          node,
+          zone);
+    }
+    if (ward.getInt("MemoryPct") > DOCTOR_MEMORY_PCT) {
+      found(
+          Code.MEMORY_NEAR_FULL,
+          name + " uses " + ward.getInt("MemoryPct") + " % of its memory",
+          "give it more, or spread its clients over more edges",
+          node,
+          zone);
     }
+  }
 
-    private void vaults() {
-        final List<? extends Config> rows = outlooks.values().stream().filter(outlook -> outlook.getBoolean("Leads"))
-            .findFirst().map(outlook -> outlook.getConfigList("Vaults")).orElse(null);
-        // Only the leader hears from all vaults: without its word nothing can be said of them.
-        if (rows == null) {
-            return;
-        }
-        findings.addAll(BorrowingCheck.look(rows));
-        final int needed = settings.votersNeeded();
-        long newest = 0;
-        int heard = 0;
-        for (final Config row : rows) {
-            newest = Math.max(newest, row.getLong("Applied"));
-            heard += row.getLong("SeenMs") < DOCTOR_SILENT_MS ? 1 : 0;
-        }
-        if (heard < needed) {
-            found(Code.VAULTS_FEW, heard + " vaults call, " + needed + " bear the losses named", "bring back or add store machines");
-        }
-        for (final Config row : rows) {
-            if (row.getLong("SeenMs") >= DOCTOR_SILENT_MS) {
-                found(Code.VAULT_SILENT, row.getString("Nodename") + " last called " + row.getLong("SeenMs") + " ms ago", "see whether it runs",
-                    row.getString("Nodename"));
-            } else if (newest - row.getLong("Applied") > DOCTOR_BEHIND) {
-                found(Code.VAULT_BEHIND, row.getString("Nodename") + " is " + (newest - row.getLong("Applied")) + " entries behind",
-                    "a spare one holds nothing; a voter catches up, else see its disk and links", row.getString("Nodename"));
-            }
-        }
+  private void vaults() {
+    final List<? extends Config> rows =
+        outlooks.values().stream()
+            .filter(outlook -> outlook.getBoolean("Leads"))
+            .findFirst()
+            .map(outlook -> outlook.getConfigList("Vaults"))
+            .orElse(null);
+    // Only the leader hears from all vaults: without its word nothing can be said of them.
+    if (rows == null) {
+      return;
     }
+    findings.addAll(BorrowingCheck.look(rows));
+    final int needed = settings.votersNeeded();
+    long newest = 0;
+    int heard = 0;
+    for (final Config row : rows) {
+      newest = Math.max(newest, row.getLong("Applied"));
+      heard += row.getLong("SeenMs") < DOCTOR_SILENT_MS ? 1 : 0;
+    }
+    if (heard < needed) {
+      found(
+          Code.VAULTS_FEW,
+          heard + " vaults call, " + needed + " bear the losses named",
+          "bring back or add store machines");
+    }
+    for (final Config row : rows) {
+      if (row.getLong("SeenMs") >= DOCTOR_SILENT_MS) {
+        found(
+            Code.VAULT_SILENT,
+            row.getString("Nodename") + " last called " + row.getLong("SeenMs") + " ms ago",
+            "see whether it runs",
+            row.getString("Nodename"));
+      } else if (newest - row.getLong("Applied") > DOCTOR_BEHIND) {
+        found(
+            Code.VAULT_BEHIND,
+            row.getString("Nodename")
+                + " is "
+                + (newest - row.getLong("Applied"))
+                + " entries behind",
+            "a spare one holds nothing; a voter catches up, else see its disk and links",
+            row.getString("Nodename"));
+      }
+    }
+  }
 
-    private void folder() {
-        for (final StorageInspection health : StorageInspection.look(dataFolder)) {
-            if (health.damaged()) {
-                found(Code.LEDGER_DAMAGED, health.file() + ": bad record at byte " + health.goodBytes(),
-                    "if the other voters are well, empty the folder: the machine joins anew");
-            } else if (health.goodBytes() < health.bytes()) {
-                found(Code.LEDGER_TORN, health.file() + ": " + (health.bytes() - health.goodBytes()) + " bytes at the end are no record",
-                    "nothing: a running process is writing, or they are cut at the next start");
-            }
-            if (settings.diskMb() > 0 && health.bytes() > DOCTOR_FULL_SHARE * settings.diskMb() * 1_048_576) {
-                found(Code.DISK_NEAR_FULL, health.file() + " has " + (health.bytes() >> 20) + " MB of " + settings.diskMb(), "give it a larger disk");
-            }
-        }
+  private void folder() {
+    for (final StorageInspection health : StorageInspection.look(dataFolder)) {
+      if (health.damaged()) {
+        found(
+            Code.LEDGER_DAMAGED,
+            health.file() + ": bad record at byte " + health.goodBytes(),
+            "if the other voters are well, empty the folder: the machine joins anew");
+      } else if (health.goodBytes() < health.bytes()) {
+        found(
+            Code.LEDGER_TORN,
+            health.file()
+                + ": "
+                + (health.bytes() - health.goodBytes())
+                + " bytes at the end are no record",
+            "nothing: a running process is writing, or they are cut at the next start");
+      }
+      if (settings.diskMb() > 0
+          && health.bytes() > DOCTOR_FULL_SHARE * settings.diskMb() * 1_048_576) {
+        found(
+            Code.DISK_NEAR_FULL,
+            health.file() + " has " + (health.bytes() >> 20) + " MB of " + settings.diskMb(),
+            "give it a larger disk");
+      }
     }
+  }
 }
--- a/src/main/java/yewjunction/gateway/CommandParser.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -1,160 +1,166 @@
 package yewjunction.gateway;
 
-import java.nio.charset.StandardCharsets;
-import org.agrona.concurrent.UnsafeBuffer;
-
 import static yewjunction.common.Limits.BODY_BYTES;
 import static yewjunction.common.Limits.BODY_LEAST_BYTES;
 import static yewjunction.common.Limits.BODY_SKIP_BYTES;
 import static yewjunction.common.Limits.HEAD_BYTES;
 
+import java.nio.charset.StandardCharsets;
+import org.agrona.concurrent.UnsafeBuffer;
+
 /** Flyweight over one client message: a head line of words, and for PUB a body. */
 final class CommandParser {
-    static final int MORE = 0;
-    static final int GOOD = 1;
-    /** Readable as a message, but not valid: refused, and the stream goes on. */
-    static final int BAD = 2;
-    static final int TOO_BIG = 3;
-    /** The stream can no longer be read. */
-    static final int LOST = 4;
-    private static final int MOST_WORDS = 6;
-
-    private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
-    private final int[] starts = new int[MOST_WORDS];
-    private final int[] ends = new int[MOST_WORDS];
-    private int count;
-    private int end;
-    private int bodyStart;
-    private int bodyLength;
-
-    /** Reads the message that begins at an offset; end() tells where the next one begins. */
-    int wrap(final byte[] bytes, final int offset, final int length) {
-        buffer.wrap(bytes, 0, length);
-        count = 0;
-        bodyLength = -1;
-        int at = offset;
-        while (at < length && buffer.getByte(at) != '\n') {
-            if (at - offset > HEAD_BYTES) {
-                return LOST;
-            }
-            at++;
-        }
-        if (at >= length) {
-            return MORE;
-        }
-        end = at + 1;
-        // A line that does not end with CRLF means that the two sides no longer agree where messages begin.
-        if (at == offset || buffer.getByte(at - 1) != '\r' || !split(offset, at - 1)) {
-            return LOST;
-        }
-        return is("PUB") ? body(length) : GOOD;
-    }
+  static final int MORE = 0;
+  static final int GOOD = 1;
 
-    private boolean split(final int from, final int to) {
-        int start = from;
-        for (int at = from; at <= to; at++) {
-            final byte one = at == to ? (byte) ' ' : buffer.getByte(at);
-            if (one < ' ' || one > '~') {
-                return false;
-            }
-            if (one == ' ') {
-                if (count == MOST_WORDS) {
-                    return false;
-                }
-                starts[count] = start;
-                ends[count++] = at;
-                start = at + 1;
-            }
-        }
-        return true;
-    }
+  /** Readable as a message, but not valid: refused, and the stream goes on. */
+  static final int BAD = 2;
 
-    private int body(final int length) {
-        final long announced = count < 2 ? -1 : number(count - 1);
-        if (announced < 0 || announced > BODY_SKIP_BYTES) {
-            return announced > BODY_SKIP_BYTES ? TOO_BIG : LOST;
-        }
-        if (end + announced + 2 > length) {
-            return MORE;
-        }
-        bodyStart = end;
-        bodyLength = (int) announced;
-        end += bodyLength + 2;
-        if (buffer.getByte(end - 2) != '\r' || buffer.getByte(end - 1) != '\n') {
-            return LOST;
-        }
-        if (bodyLength > BODY_BYTES) {
-            return TOO_BIG;
-        }
-        if (count != 4 || bodyLength < BODY_LEAST_BYTES || number(2) < 0) {
-            return BAD;
-        }
-        for (int at = bodyStart; at < bodyStart + bodyLength; at++) {
-            if (buffer.getByte(at) < ' ' || buffer.getByte(at) > '~') {
-                return BAD;
-            }
-        }
-        return GOOD;
-    }
+  static final int TOO_BIG = 3;
 
-    /** True when the body that was announced cannot be skipped. */
-    boolean bodyUnread() {
-        return bodyLength < 0;
-    }
+  /** The stream can no longer be read. */
+  static final int LOST = 4;
 
-    int end() {
-        return end;
-    }
+  private static final int MOST_WORDS = 6;
 
-    boolean is(final String word) {
-        if (count == 0 || ends[0] - starts[0] != word.length()) {
-            return false;
-        }
-        for (int i = 0; i < word.length(); i++) {
-            if (buffer.getByte(starts[0] + i) != word.charAt(i)) {
-                return false;
-            }
-        }
-        return true;
+  private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
+  private final int[] starts = new int[MOST_WORDS];
+  private final int[] ends = new int[MOST_WORDS];
+  private int count;
+  private int end;
+  private int bodyStart;
+  private int bodyLength;
+
+  /** Reads the message that begins at an offset; end() tells where the next one begins. */
+  int wrap(final byte[] bytes, final int offset, final int length) {
+    buffer.wrap(bytes, 0, length);
+    count = 0;
+    bodyLength = -1;
+    int at = offset;
+    while (at < length && buffer.getByte(at) != '\n') {
+      if (at - offset > HEAD_BYTES) {
+        return LOST;
+      }
+      at++;
+    }
+    if (at >= length) {
+      return MORE;
     }
+    end = at + 1;
+    // A line that does not end with CRLF means that the two sides no longer agree where messages
+    // begin.
+    if (at == offset || buffer.getByte(at - 1) != '\r' || !split(offset, at - 1)) {
+      return LOST;
+    }
+    return is("PUB") ? body(length) : GOOD;
+  }
 
-    /** A field as text, empty when it is absent or '-'. */
-    String text(final int place) {
-        if (place >= count) {
-            return "";
+  private boolean split(final int from, final int to) {
+    int start = from;
+    for (int at = from; at <= to; at++) {
+      final byte one = at == to ? (byte) ' ' : buffer.getByte(at);
+      if (one < ' ' || one > '~') {
+        return false;
+      }
+      if (one == ' ') {
+        if (count == MOST_WORDS) {
+          return false;
         }
-        final String text = buffer.getStringWithoutLengthAscii(starts[place], ends[place] - starts[place]);
-        return text.equals("-") ? "" : text;
+        starts[count] = start;
+        ends[count++] = at;
+        start = at + 1;
+      }
     }
+    return true;
+  }
 
-    /** A field as a whole number, -1 when it is none. */
-    long number(final int place) {
-        final int length = place >= count ? 0 : ends[place] - starts[place];
-        if (length < 1 || length > 18) {
-            return -1;
-        }
-        long value = 0;
-        for (int at = starts[place]; at < ends[place]; at++) {
-            final int digit = buffer.getByte(at) - '0';
-            if (digit < 0 || digit > 9) {
-                return -1;
-            }
-            value = value * 10 + digit;
-        }
-        return value;
+  private int body(final int length) {
+    final long announced = count < 2 ? -1 : number(count - 1);
+    if (announced < 0 || announced > BODY_SKIP_BYTES) {
+      return announced > BODY_SKIP_BYTES ? TOO_BIG : LOST;
+    }
+    if (end + announced + 2 > length) {
+      return MORE;
+    }
+    bodyStart = end;
+    bodyLength = (int) announced;
+    end += bodyLength + 2;
+    if (buffer.getByte(end - 2) != '\r' || buffer.getByte(end - 1) != '\n') {
+      return LOST;
     }
+    if (bodyLength > BODY_BYTES) {
+      return TOO_BIG;
+    }
+    if (count != 4 || bodyLength < BODY_LEAST_BYTES || number(2) < 0) {
+      return BAD;
+    }
+    for (int at = bodyStart; at < bodyStart + bodyLength; at++) {
+      if (buffer.getByte(at) < ' ' || buffer.getByte(at) > '~') {
+        return BAD;
+      }
+    }
+    return GOOD;
+  }
+
+  /** True when the body that was announced cannot be skipped. */
+  boolean bodyUnread() {
+    return bodyLength < 0;
+  }
+
+  int end() {
+    return end;
+  }
 
-    int count() {
-        return count;
+  boolean is(final String word) {
+    if (count == 0 || ends[0] - starts[0] != word.length()) {
+      return false;
     }
+    for (int i = 0; i < word.length(); i++) {
+      if (buffer.getByte(starts[0] + i) != word.charAt(i)) {
+        return false;
+      }
+    }
+    return true;
+  }
 
-    byte[] bodyBytes() {
-        final byte[] bytes = new byte[bodyLength];
-        buffer.getBytes(bodyStart, bytes);
-        return bytes;
+  /** A field as text, empty when it is absent or '-'. */
+  String text(final int place) {
+    if (place >= count) {
+      return "";
     }
+    final String text =
+        buffer.getStringWithoutLengthAscii(starts[place], ends[place] - starts[place]);
+    return text.equals("-") ? "" : text;
+  }
 
-    static byte[] ascii(final String text) {
-        return text.getBytes(StandardCharsets.US_ASCII);
+  /** A field as a whole number, -1 when it is none. */
+  long number(final int place) {
+    final int length = place >= count ? 0 : ends[place] - starts[place];
+    if (length < 1 || length > 18) {
+      return -1;
+    }
+    long value = 0;
+    for (int at = starts[place]; at < ends[place]; at++) {
+      final int digit = buffer.getByte(at) - '0';
+      if (digit < 0 || digit > 9) {
+        return -1;
+      }
+      value = value * 10 + digit;
     }
+    return value;
+  }
+
+  int count() {
+    return count;
+  }
+
+  byte[] bodyBytes() {
+    final byte[] bytes = new byte[bodyLength];
+    buffer.getBytes(bodyStart, bytes);
+    return bytes;
+  }
+
+  static byte[] ascii(final String text) {
+    return text.getBytes(StandardCharsets.US_ASCII);
+  }
 }
--- a/src/main/java/yewjunction/gateway/Filter.java
+++ b/src/main/java/yewjunction/gateway/Filter.java
@@ -1,107 +1,122 @@
 package yewjunction.gateway;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
-
 import static yewjunction.common.ErrorCode.FILTER_INVALID;
 import static yewjunction.common.ErrorCode.FILTER_TOO_LARGE;
 import static yewjunction.common.Limits.FILTER_BYTES;
 import static yewjunction.common.Limits.FILTER_PATTERNS;
 
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+
 /**
- * Which of a topic's messages one subscriber wants, judged by the key: the body's first word. A flyweight over bodies:
- * nothing is copied, and the work is two binary searches however many patterns there are.
+ * Which of a topic's messages one subscriber wants, judged by the key: the body's first word. A
+ * flyweight over bodies: nothing is copied, and the work is two binary searches however many
+ * patterns there are.
  */
 final class Filter {
-    /** Sorted. */
-    private final byte[][] exact;
-    /** Sorted, and none the beginning of another: then only the nearest one at or before a key can begin it. */
-    private final byte[][] beginnings;
+  /** Sorted. */
+  private final byte[][] exact;
 
-    /** As the client wrote it: answers name it, so that a client knows which of its filters one speaks of. */
-    final String text;
+  /**
+   * Sorted, and none the beginning of another: then only the nearest one at or before a key can
+   * begin it.
+   */
+  private final byte[][] beginnings;
 
-    private Filter(final String text, final byte[][] exact, final byte[][] beginnings) {
-        this.text = text;
-        this.exact = exact;
-        this.beginnings = beginnings;
-    }
+  /**
+   * As the client wrote it: answers name it, so that a client knows which of its filters one speaks
+   * of.
+   */
+  final String text;
 
-    /** Reads patterns with commas between them: a key, the beginning of a key and '*', or '*' alone for all. */
-    static Filter read(final String text) {
-        final String[] patterns = text.split(",", -1);
-        if (text.length() > FILTER_BYTES || patterns.length > FILTER_PATTERNS) {
-            throw new FilterException(FILTER_TOO_LARGE, "at most " + FILTER_PATTERNS + " patterns and " + FILTER_BYTES + " bytes");
-        }
-        final List<byte[]> exact = new ArrayList<>();
-        final List<byte[]> beginnings = new ArrayList<>();
-        for (final String pattern : patterns) {
-            final int star = pattern.indexOf('*');
-            if (pattern.isEmpty() || star >= 0 && star < pattern.length() - 1) {
-                throw new FilterException(FILTER_INVALID, "a pattern is a key, or its beginning and one * at the end");
-            }
-            if (star < 0) {
-                exact.add(CommandParser.ascii(pattern));
-            } else {
-                beginnings.add(CommandParser.ascii(pattern.substring(0, star)));
-            }
-        }
-        return new Filter(text, sorted(exact), withoutCovered(sorted(beginnings)));
-    }
+  private Filter(final String text, final byte[][] exact, final byte[][] beginnings) {
+    this.text = text;
+    this.exact = exact;
+    this.beginnings = beginnings;
+  }
 
-    private static byte[][] sorted(final List<byte[]> keys) {
-        keys.sort(Arrays::compareUnsigned);
-        return keys.toArray(new byte[0][]);
+  /**
+   * Reads patterns with commas between them: a key, the beginning of a key and '*', or '*' alone
+   * for all.
+   */
+  static Filter read(final String text) {
+    final String[] patterns = text.split(",", -1);
+    if (text.length() > FILTER_BYTES || patterns.length > FILTER_PATTERNS) {
+      throw new FilterException(
+          FILTER_TOO_LARGE,
+          "at most " + FILTER_PATTERNS + " patterns and " + FILTER_BYTES + " bytes");
     }
-
-    private static byte[][] withoutCovered(final byte[][] sorted) {
-        final List<byte[]> kept = new ArrayList<>();
-        for (final byte[] one : sorted) {
-            final byte[] last = kept.isEmpty() ? null : kept.get(kept.size() - 1);
-            if (last == null || !begins(last, one, one.length)) {
-                kept.add(one);
-            }
-        }
-        return kept.toArray(new byte[0][]);
+    final List<byte[]> exact = new ArrayList<>();
+    final List<byte[]> beginnings = new ArrayList<>();
+    for (final String pattern : patterns) {
+      final int star = pattern.indexOf('*');
+      if (pattern.isEmpty() || star >= 0 && star < pattern.length() - 1) {
+        throw new FilterException(
+            FILTER_INVALID, "a pattern is a key, or its beginning and one * at the end");
+      }
+      if (star < 0) {
+        exact.add(CommandParser.ascii(pattern));
+      } else {
+        beginnings.add(CommandParser.ascii(pattern.substring(0, star)));
+      }
     }
+    return new Filter(text, sorted(exact), withoutCovered(sorted(beginnings)));
+  }
+
+  private static byte[][] sorted(final List<byte[]> keys) {
+    keys.sort(Arrays::compareUnsigned);
+    return keys.toArray(new byte[0][]);
+  }
 
-    private static boolean begins(final byte[] beginning, final byte[] body, final int keyLength) {
-        return beginning.length <= keyLength
-            && Arrays.equals(beginning, 0, beginning.length, body, 0, beginning.length);
+  private static byte[][] withoutCovered(final byte[][] sorted) {
+    final List<byte[]> kept = new ArrayList<>();
+    for (final byte[] one : sorted) {
+      final byte[] last = kept.isEmpty() ? null : kept.get(kept.size() - 1);
+      if (last == null || !begins(last, one, one.length)) {
+        kept.add(one);
+      }
     }
+    return kept.toArray(new byte[0][]);
+  }
+
+  private static boolean begins(final byte[] beginning, final byte[] body, final int keyLength) {
+    return beginning.length <= keyLength
+        && Arrays.equals(beginning, 0, beginning.length, body, 0, beginning.length);
+  }
 
-    private static int keyLength(final byte[] body) {
-        int length = 0;
-        // No pattern is longer: what lies behind can't matter, except that the key goes on.
-        while (length < body.length && body[length] != ' ' && length <= FILTER_BYTES) {
-            length++;
-        }
-        return length;
+  private static int keyLength(final byte[] body) {
+    int length = 0;
+    // No pattern is longer: what lies behind can't matter, except that the key goes on.
+    while (length < body.length && body[length] != ' ' && length <= FILTER_BYTES) {
+      length++;
     }
+    return length;
+  }
 
-    boolean wants(final byte[] body) {
-        final int keyLength = keyLength(body);
-        final int place = floor(exact, body, keyLength);
-        if (place >= 0 && exact[place].length == keyLength && begins(exact[place], body, keyLength)) {
-            return true;
-        }
-        final int before = floor(beginnings, body, keyLength);
-        return before >= 0 && begins(beginnings[before], body, keyLength);
+  boolean wants(final byte[] body) {
+    final int keyLength = keyLength(body);
+    final int place = floor(exact, body, keyLength);
+    if (place >= 0 && exact[place].length == keyLength && begins(exact[place], body, keyLength)) {
+      return true;
     }
+    final int before = floor(beginnings, body, keyLength);
+    return before >= 0 && begins(beginnings[before], body, keyLength);
+  }
 
-    /** The place of the last one that is not behind the key, -1 for none. */
-    private static int floor(final byte[][] sorted, final byte[] body, final int keyLength) {
-        int low = 0;
-        int high = sorted.length - 1;
-        while (low <= high) {
-            final int middle = (low + high) >>> 1;
-            if (Arrays.compareUnsigned(sorted[middle], 0, sorted[middle].length, body, 0, keyLength) <= 0) {
-                low = middle + 1;
-            } else {
-                high = middle - 1;
-            }
-        }
-        return high;
+  /** The place of the last one that is not behind the key, -1 for none. */
+  private static int floor(final byte[][] sorted, final byte[] body, final int keyLength) {
+    int low = 0;
+    int high = sorted.length - 1;
+    while (low <= high) {
+      final int middle = (low + high) >>> 1;
+      if (Arrays.compareUnsigned(sorted[middle], 0, sorted[middle].length, body, 0, keyLength)
+          <= 0) {
+        low = middle + 1;
+      } else {
+        high = middle - 1;
+      }
     }
+    return high;
+  }
 }
--- a/src/main/java/yewjunction/gateway/FilterException.java
+++ b/src/main/java/yewjunction/gateway/FilterException.java
@@ -5,13 +5,13 @@
 
 /** A client's filter is malformed or too large. Trying again helps only with another filter. */
 public final class FilterException extends YewjunctionException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public FilterException(final ErrorCode code, final String text) {
-        this(code, text, null);
-    }
+  public FilterException(final ErrorCode code, final String text) {
+    this(code, text, null);
+  }
 
-    public FilterException(final ErrorCode code, final String text, final Throwable cause) {
-        super(code, text, cause);
-    }
+  public FilterException(final ErrorCode code, final String text, final Throwable cause) {
+    super(code, text, cause);
+  }
 }
--- a/src/main/java/yewjunction/gateway/OrderViolationCounters.java
+++ b/src/main/java/yewjunction/gateway/OrderViolationCounters.java
@@ -1,5 +1,7 @@
 package yewjunction.gateway;
 
+import static yewjunction.common.Limits.DISORDER_CHANNELS;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -7,35 +9,37 @@
 import yewjunction.common.LogEvent;
 import yewjunction.control.OrderViolations;
 
-import static yewjunction.common.Limits.DISORDER_CHANNELS;
-
 /** Breaks of the declared order that this edge met since its start, by channel. */
 public final class OrderViolationCounters {
-    /** Where all further channels are counted together. */
-    private static final String OTHERS = "*";
-    private final Map<String, OrderViolations> byTopic = new TreeMap<>();
-
-    private OrderViolations of(final String topic) {
-        final String key = byTopic.containsKey(topic) || byTopic.size() < DISORDER_CHANNELS ? topic : OTHERS;
-        return byTopic.computeIfAbsent(key, name -> {
-            final OrderViolations fresh = new OrderViolations();
-            fresh.topic = name;
-            return fresh;
+  /** Where all further channels are counted together. */
+  private static final String OTHERS = "*";
+
+  private final Map<String, OrderViolations> byTopic = new TreeMap<>();
+
+  private OrderViolations of(final String topic) {
+    final String key =
+        byTopic.containsKey(topic) || byTopic.size() < DISORDER_CHANNELS ? topic : OTHERS;
+    return byTopic.computeIfAbsent(
+        key,
+        name -> {
+          final OrderViolations fresh = new OrderViolations();
+          fresh.topic = name;
+          return fresh;
         });
-    }
-
-    void broken(final String topic, final String client, final String breach) {
-        of(topic).breaks++;
-        LogEvent.ORDER_BROKEN.warn(topic + " to " + client + ": " + breach);
-    }
-
-    /** What the client lacks is no longer kept: nothing can close the gap behind its cursor. */
-    void gap(final String topic, final String client, final long position) {
-        of(topic).gaps++;
-        LogEvent.ORDER_GAP.info(topic + " to " + client + ": nothing kept reaches back to " + position);
-    }
-
-    public List<OrderViolations> all() {
-        return new ArrayList<>(byTopic.values());
-    }
+  }
+
+  void broken(final String topic, final String client, final String breach) {
+    of(topic).breaks++;
+    LogEvent.ORDER_BROKEN.warn(topic + " to " + client + ": " + breach);
+  }
+
+  /** What the client lacks is no longer kept: nothing can close the gap behind its cursor. */
+  void gap(final String topic, final String client, final long position) {
+    of(topic).gaps++;
+    LogEvent.ORDER_GAP.info(topic + " to " + client + ": nothing kept reaches back to " + position);
+  }
+
+  public List<OrderViolations> all() {
+    return new ArrayList<>(byTopic.values());
+  }
 }
--- a/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
+++ b/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
@@ -1,5 +1,8 @@
 package yewjunction.maintenance;
 
+import static yewjunction.common.ToolLimits.WINDOW_FILE_BYTES;
+import static yewjunction.common.ToolLimits.WINDOW_TURNS;
+
 import biweekly.Biweekly;
 import biweekly.ICalendar;
 import biweekly.component.VEvent;
@@ -15,126 +18,130 @@
 import java.util.TimeZone;
 import java.util.stream.Stream;
 
-import static yewjunction.common.ToolLimits.WINDOW_FILE_BYTES;
-import static yewjunction.common.ToolLimits.WINDOW_TURNS;
-
-/** Planned work, read once. A file that can't be read is reported and left out; the others count. */
+/**
+ * Planned work, read once. A file that can't be read is reported and left out; the others count.
+ */
 public final class MaintenanceWindows {
-    private final List<PlannedWork> planned = new ArrayList<>();
-    private final List<String> bad = new ArrayList<>();
+  private final List<PlannedWork> planned = new ArrayList<>();
+  private final List<String> bad = new ArrayList<>();
 
-    private record PlannedWork(VEvent event, TimeZone zone, Duration length) {
-    }
+  private record PlannedWork(VEvent event, TimeZone zone, Duration length) {}
 
-    private MaintenanceWindows() {
-    }
+  private MaintenanceWindows() {}
 
-    /** A calendar file, or a folder of files that end in .ics. */
-    public static MaintenanceWindows read(final Path place) {
-        final MaintenanceWindows windows = new MaintenanceWindows();
-        if (Files.isDirectory(place)) {
-            try (Stream<Path> files = Files.list(place)) {
-                files.filter(file -> file.toString().endsWith(".ics")).sorted().forEach(windows::add);
-            } catch (final IOException defect) {
-                windows.bad.add(place + ": " + defect.getMessage());
-            }
-        } else {
-            windows.add(place);
-        }
-        return windows;
+  /** A calendar file, or a folder of files that end in .ics. */
+  public static MaintenanceWindows read(final Path place) {
+    final MaintenanceWindows windows = new MaintenanceWindows();
+    if (Files.isDirectory(place)) {
+      try (Stream<Path> files = Files.list(place)) {
+        files.filter(file -> file.toString().endsWith(".ics")).sorted().forEach(windows::add);
+      } catch (final IOException defect) {
+        windows.bad.add(place + ": " + defect.getMessage());
+      }
+    } else {
+      windows.add(place);
     }
+    return windows;
+  }
 
-    private void add(final Path file) {
-        try {
-            if (Files.size(file) > WINDOW_FILE_BYTES) {
-                bad.add(file + ": larger than " + WINDOW_FILE_BYTES + " bytes");
-                return;
-            }
-            final List<ICalendar> calendars = Biweekly.parse(Files.readString(file)).all();
-            if (calendars.isEmpty()) {
-                bad.add(file + ": holds no calendar");
-            }
-            for (final ICalendar calendar : calendars) {
-                calendar.getEvents().forEach(event -> add(file, calendar, event));
-            }
-        } catch (final IOException | RuntimeException defect) {
-            bad.add(file + ": " + defect.getMessage());
-        }
+  private void add(final Path file) {
+    try {
+      if (Files.size(file) > WINDOW_FILE_BYTES) {
+        bad.add(file + ": larger than " + WINDOW_FILE_BYTES + " bytes");
+        return;
+      }
+      final List<ICalendar> calendars = Biweekly.parse(Files.readString(file)).all();
+      if (calendars.isEmpty()) {
+        bad.add(file + ": holds no calendar");
+      }
+      for (final ICalendar calendar : calendars) {
+        calendar.getEvents().forEach(event -> add(file, calendar, event));
+      }
+    } catch (final IOException | RuntimeException defect) {
+      bad.add(file + ": " + defect.getMessage());
     }
+  }
 
-    private void add(final Path file, final ICalendar calendar, final VEvent event) {
-        if (event.getDateStart() == null || event.getDateStart().getValue() == null) {
-            bad.add(file + ": an event without a start");
-            return;
-        }
-        final Instant start = event.getDateStart().getValue().toInstant();
-        final Duration length;
-        if (event.getDateEnd() != null && event.getDateEnd().getValue() != null) {
-            length = Duration.between(start, event.getDateEnd().getValue().toInstant());
-        } else if (event.getDuration() != null && event.getDuration().getValue() != null) {
-            length = Duration.ofMillis(event.getDuration().getValue().toMillis());
-        } else {
-            // Without an end a day's event lasts that day, and one with a time has no length to explain anything by.
-            length = event.getDateStart().getValue().hasTime() ? Duration.ZERO : Duration.ofDays(1);
-        }
-        if (length.isNegative()) {
-            bad.add(file + ": an event that ends before it starts");
-            return;
-        }
-        final var assigned = calendar.getTimezoneInfo().getTimezone(event.getDateStart());
-        // A recurrence is reckoned where it was planned: at two at night there, in summer as in winter.
-        planned.add(new PlannedWork(event, assigned == null ? TimeZone.getDefault() : assigned.getTimeZone(), length));
+  private void add(final Path file, final ICalendar calendar, final VEvent event) {
+    if (event.getDateStart() == null || event.getDateStart().getValue() == null) {
+      bad.add(file + ": an event without a start");
+      return;
     }
-
-    public List<String> bad() {
-        return bad;
+    final Instant start = event.getDateStart().getValue().toInstant();
+    final Duration length;
+    if (event.getDateEnd() != null && event.getDateEnd().getValue() != null) {
+      length = Duration.between(start, event.getDateEnd().getValue().toInstant());
+    } else if (event.getDuration() != null && event.getDuration().getValue() != null) {
+      length = Duration.ofMillis(event.getDuration().getValue().toMillis());
+    } else {
+      // Without an end a day's event lasts that day, and one with a time has no length to explain
+      // anything by.
+      length = event.getDateStart().getValue().hasTime() ? Duration.ZERO : Duration.ofDays(1);
     }
-
-    /** What is planned at that moment for something with one of these names, or null. */
-    public String explains(final Instant moment, final List<String> names) {
-        for (final PlannedWork one : planned) {
-            final String text = text(one.event);
-            if (names.stream().anyMatch(name -> names(text, name)) && covers(one, moment)) {
-                return one.event.getSummary() == null ? "planned work" : one.event.getSummary().getValue();
-            }
-        }
-        return null;
+    if (length.isNegative()) {
+      bad.add(file + ": an event that ends before it starts");
+      return;
     }
+    final var assigned = calendar.getTimezoneInfo().getTimezone(event.getDateStart());
+    // A recurrence is reckoned where it was planned: at two at night there, in summer as in winter.
+    planned.add(
+        new PlannedWork(
+            event, assigned == null ? TimeZone.getDefault() : assigned.getTimeZone(), length));
+  }
 
-    private static String text(final VEvent event) {
-        return (event.getSummary() == null ? "" : event.getSummary().getValue()) + "\n"
-            + (event.getLocation() == null ? "" : event.getLocation().getValue()) + "\n"
-            + (event.getDescription() == null ? "" : event.getDescription().getValue());
-    }
+  public List<String> bad() {
+    return bad;
+  }
 
-    /** The name stands there as a word of its own: edge-a-1 is not meant by edge-a-12. */
-    private static boolean names(final String text, final String name) {
-        for (int at = text.indexOf(name); at >= 0; at = text.indexOf(name, at + 1)) {
-            final int end = at + name.length();
-            if ((at == 0 || !part(text.charAt(at - 1))) && (end == text.length() || !part(text.charAt(end)))) {
-                return true;
-            }
-        }
-        return false;
+  /** What is planned at that moment for something with one of these names, or null. */
+  public String explains(final Instant moment, final List<String> names) {
+    for (final PlannedWork one : planned) {
+      final String text = text(one.event);
+      if (names.stream().anyMatch(name -> names(text, name)) && covers(one, moment)) {
+        return one.event.getSummary() == null ? "planned work" : one.event.getSummary().getValue();
+      }
     }
+    return null;
+  }
+
+  private static String text(final VEvent event) {
+    return (event.getSummary() == null ? "" : event.getSummary().getValue())
+        + "\n"
+        + (event.getLocation() == null ? "" : event.getLocation().getValue())
+        + "\n"
+        + (event.getDescription() == null ? "" : event.getDescription().getValue());
+  }
 
-    private static boolean part(final char sign) {
-        return Character.isLetterOrDigit(sign) || sign == '-' || sign == '_';
+  /** The name stands there as a word of its own: edge-a-1 is not meant by edge-a-12. */
+  private static boolean names(final String text, final String name) {
+    for (int at = text.indexOf(name); at >= 0; at = text.indexOf(name, at + 1)) {
+      final int end = at + name.length();
+      if ((at == 0 || !part(text.charAt(at - 1)))
+          && (end == text.length() || !part(text.charAt(end)))) {
+        return true;
+      }
     }
+    return false;
+  }
+
+  private static boolean part(final char sign) {
+    return Character.isLetterOrDigit(sign) || sign == '-' || sign == '_';
+  }
 
-    private static boolean covers(final PlannedWork one, final Instant moment) {
-        final DateIterator starts = one.event.getDateIterator(one.zone);
-        // Jumps near the moment; the turns are bounded, since a rule may name a start each second for ever.
-        starts.advanceTo(Date.from(moment.minus(one.length)));
-        for (int turn = 0; turn < WINDOW_TURNS && starts.hasNext(); turn++) {
-            final Instant start = starts.next().toInstant();
-            if (start.isAfter(moment)) {
-                return false;
-            }
-            if (moment.isBefore(start.plus(one.length))) {
-                return true;
-            }
-        }
+  private static boolean covers(final PlannedWork one, final Instant moment) {
+    final DateIterator starts = one.event.getDateIterator(one.zone);
+    // Jumps near the moment; the turns are bounded, since a rule may name a start each second for
+    // ever.
+    starts.advanceTo(Date.from(moment.minus(one.length)));
+    for (int turn = 0; turn < WINDOW_TURNS && starts.hasNext(); turn++) {
+      final Instant start = starts.next().toInstant();
+      if (start.isAfter(moment)) {
         return false;
+      }
+      if (moment.isBefore(start.plus(one.length))) {
+        return true;
+      }
     }
+    return false;
+  }
 }
--- a/src/main/java/yewjunction/membership/Member.java
+++ b/src/main/java/yewjunction/membership/Member.java
@@ -2,61 +2,70 @@
 
 /** One process of the system as the roster knows it. */
 public final class Member {
-    static final int UP = 0;
-    static final int SUSPECT = 1;
-    static final int LEFT = 2;
-    static final int GONE = 3;
-
-    /** ip:port for peers; the key. */
-    public String address = "";
-    public String node = "";
-    public String zone = "";
-    /** tide, vault or crux. */
-    public String duty = "";
-    /** Where clients connect, empty where they do not. */
-    public String front = "";
-    /** Drawn at each start of the process: tells lives at one address apart. */
-    public long life;
-    public boolean ready;
-    long number;
-    int standing;
-
-    /** A life's first number, above all of earlier lives where clocks are about right; where not, refuting mends it. */
-    public void begin(final long firstNumber) {
-        number = firstNumber;
-    }
-
-    Member copy() {
-        final Member copied = new Member();
-        copied.address = address;
-        copied.node = node;
-        copied.zone = zone;
-        copied.duty = duty;
-        copied.front = front;
-        copied.life = life;
-        copied.ready = ready;
-        copied.number = number;
-        copied.standing = standing;
-        return copied;
-    }
-
-    /** Differs where two know different things of it. */
-    long digest() {
-        long mixed = (address.hashCode() * 31L + life) * 0x9e3779b97f4a7c15L + number * 2 + (ready ? 1 : 0);
-        mixed = (mixed ^ mixed >>> 29) * 0xbf58476d1ce4e5b9L;
-        return mixed ^ mixed >>> 32;
-    }
-
-    public boolean up() {
-        return standing <= SUSPECT;
-    }
-
-    public boolean suspect() {
-        return standing == SUSPECT;
-    }
-
-    /** Whether this news goes over what is known: a higher number wins, then the worse standing. */
-    boolean over(final Member known) {
-        return number > known.number || number == known.number && standing > known.standing;
-    }
+  static final int UP = 0;
+  static final int SUSPECT = 1;
+  static final int LEFT = 2;
+  static final int GONE = 3;
+
+  /** ip:port for peers; the key. */
+  public String address = "";
+
+  public String node = "";
+  public String zone = "";
+
+  /** tide, vault or crux. */
+  public String duty = "";
+
+  /** Where clients connect, empty where they do not. */
+  public String front = "";
+
+  /** Drawn at each start of the process: tells lives at one address apart. */
+  public long life;
+
+  public boolean ready;
+  long number;
+  int standing;
+
+  /**
+   * A life's first number, above all of earlier lives where clocks are about right; where not,
+   * refuting mends it.
+   */
+  public void begin(final long firstNumber) {
+    number = firstNumber;
+  }
+
+  Member copy() {
+    final Member copied = new Member();
+    copied.address = address;
+    copied.node = node;
+    copied.zone = zone;
+    copied.duty = duty;
+    copied.front = front;
+    copied.life = life;
+    copied.ready = ready;
+    copied.number = number;
+    copied.standing = standing;
+    return copied;
+  }
+
+  /** Differs where two know different things of it. */
+  long digest() {
+    long mixed =
+        (address.hashCode() * 31L + life) * 0x9e3779b97f4a7c15L + number * 2 + (ready ? 1 : 0);
+    mixed = (mixed ^ mixed >>> 29) * 0xbf58476d1ce4e5b9L;
+    return mixed ^ mixed >>> 32;
+  }
+
+  public boolean up() {
+    return standing <= SUSPECT;
+  }
+
+  public boolean suspect() {
+    return standing == SUSPECT;
+  }
+
+  /** Whether this news goes over what is known: a higher number wins, then the worse standing. */
+  boolean over(final Member known) {
+    return number > known.number || number == known.number && standing > known.standing;
+  }
 }
--- a/src/main/java/yewjunction/node/Node.java
+++ b/src/main/java/yewjunction/node/Node.java
@@ -1,39 +1,42 @@
 package yewjunction.node;
 
-import yewjunction.membership.NodeRole;
 import java.util.List;
 import yewjunction.control.LeaseClient;
-import yewjunction.membership.MembershipList;
 import yewjunction.membership.Member;
+import yewjunction.membership.MembershipList;
+import yewjunction.membership.NodeRole;
 import yewjunction.settings.Settings;
 import yewjunction.subscription.AddWinsSet;
 
 /** One process's duty. All calls on the owner's thread. */
 public interface Node {
-    void start();
+  void start();
 
-    /** Gives up its duties, then calls back when nothing is owed any more. */
-    void stop(Runnable ended);
+  /** Gives up its duties, then calls back when nothing is owed any more. */
+  void stop(Runnable ended);
 
-    /** The settings file changed. */
-    default void reread(final Settings fresh) {
-    }
+  /** The settings file changed. */
+  default void reread(final Settings fresh) {}
 
-    /** Cruxes, nearest first; before the roster knows any, those on the seeds' machines. */
-    static List<String> cruxes(final MembershipList roster, final Settings settings) {
-        final List<String> known = addresses(roster, NodeRole.CONTROL);
-        return known.isEmpty() ? settings.coreAddresses() : known;
-    }
+  /** Cruxes, nearest first; before the roster knows any, those on the seeds' machines. */
+  static List<String> cruxes(final MembershipList roster, final Settings settings) {
+    final List<String> known = addresses(roster, NodeRole.CONTROL);
+    return known.isEmpty() ? settings.coreAddresses() : known;
+  }
 
-    /** Peer addresses of a duty, own zone first, as the roster knows them now. */
-    static List<String> addresses(final MembershipList roster, final NodeRole role) {
-        return roster.up(role).stream().map(peer -> peer.address).toList();
-    }
+  /** Peer addresses of a duty, own zone first, as the roster knows them now. */
+  static List<String> addresses(final MembershipList roster, final NodeRole role) {
+    return roster.up(role).stream().map(peer -> peer.address).toList();
+  }
 
-    /** Whether a replica's clients count as there: its process is up, as far as the roster knows. */
-    static boolean live(final long replica, final AddWinsSet weave, final LeaseClient tenure, final MembershipList roster) {
-        final String address = tenure.facts().addressOf(replica);
-        final Member peer = address == null ? null : roster.at(address);
-        return replica == weave.self() || peer != null && peer.up();
-    }
+  /** Whether a replica's clients count as there: its process is up, as far as the roster knows. */
+  static boolean live(
+      final long replica,
+      final AddWinsSet weave,
+      final LeaseClient tenure,
+      final MembershipList roster) {
+    final String address = tenure.facts().addressOf(replica);
+    final Member peer = address == null ? null : roster.at(address);
+    return replica == weave.self() || peer != null && peer.up();
+  }
 }
--- a/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
+++ b/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
@@ -3,28 +3,31 @@
 import static yewjunction.common.ControlLimits.IMAGE_LEAST_BYTES;
 import static yewjunction.common.ControlLimits.IMAGE_PACE_MS;
 
-/** How much a peer far behind is sent at a time: more while its link takes it well within a beat, less where beats would wait. */
+/**
+ * How much a peer far behind is sent at a time: more while its link takes it well within a beat,
+ * less where beats would wait.
+ */
 final class AdaptiveChunkSize {
-    private final int mostBytes;
-    private int bytes = IMAGE_LEAST_BYTES;
-    private long roundTripMs = Long.MAX_VALUE;
+  private final int mostBytes;
+  private int bytes = IMAGE_LEAST_BYTES;
+  private long roundTripMs = Long.MAX_VALUE;
 
-    AdaptiveChunkSize(final int mostBytes) {
-        this.mostBytes = mostBytes;
-    }
+  AdaptiveChunkSize(final int mostBytes) {
+    this.mostBytes = mostBytes;
+  }
 
-    int bytes() {
-        return bytes;
-    }
+  int bytes() {
+    return bytes;
+  }
 
-    /** The last one was answered after so long. */
-    void took(final long ms) {
-        roundTripMs = Math.min(roundTripMs, ms);
-        final long onLinkMs = ms - roundTripMs;
-        if (onLinkMs <= IMAGE_PACE_MS) {
-            bytes = Math.min(2 * bytes, mostBytes);
-        } else if (onLinkMs > 2 * IMAGE_PACE_MS) {
-            bytes = Math.max(bytes / 2, IMAGE_LEAST_BYTES);
-        }
+  /** The last one was answered after so long. */
+  void took(final long ms) {
+    roundTripMs = Math.min(roundTripMs, ms);
+    final long onLinkMs = ms - roundTripMs;
+    if (onLinkMs <= IMAGE_PACE_MS) {
+      bytes = Math.min(2 * bytes, mostBytes);
+    } else if (onLinkMs > 2 * IMAGE_PACE_MS) {
+      bytes = Math.max(bytes / 2, IMAGE_LEAST_BYTES);
     }
+  }
 }
--- a/src/main/java/yewjunction/raft/Disk.java
+++ b/src/main/java/yewjunction/raft/Disk.java
@@ -2,15 +2,15 @@
 
 /** The few disk operations a ledger needs; names are inside one folder. */
 public interface Disk {
-    /** All bytes, or null when there is no such file. */
-    byte[] read(String name);
+  /** All bytes, or null when there is no such file. */
+  byte[] read(String name);
 
-    void append(String name, byte[] bytes);
+  void append(String name, byte[] bytes);
 
-    void cut(String name, long length);
+  void cut(String name, long length);
 
-    void sync(String name);
+  void sync(String name);
 
-    /** Writes a new file, syncs it, puts it in the place of the old one and syncs the folder. */
-    void replace(String name, byte[] bytes);
+  /** Writes a new file, syncs it, puts it in the place of the old one and syncs the folder. */
+  void replace(String name, byte[] bytes);
 }
--- a/src/main/java/yewjunction/raft/LocalDisk.java
+++ b/src/main/java/yewjunction/raft/LocalDisk.java
@@ -1,13 +1,5 @@
 package yewjunction.raft;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.HashMap;
-import java.util.Map;
-
 import static java.nio.file.StandardCopyOption.ATOMIC_MOVE;
 import static java.nio.file.StandardOpenOption.CREATE;
 import static java.nio.file.StandardOpenOption.READ;
@@ -16,112 +8,131 @@
 import static yewjunction.common.ErrorCode.STORAGE_FAILED;
 import static yewjunction.common.ErrorCode.STORAGE_FULL;
 
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.Map;
+
 /** The real disk: files in one folder. Used by one thread at a time. */
 public final class LocalDisk implements Disk {
-    private final Path folder;
-    private final Map<String, FileChannel> open = new HashMap<>();
+  private final Path folder;
+  private final Map<String, FileChannel> open = new HashMap<>();
 
-    public LocalDisk(final Path folder) {
-        this.folder = folder;
-        try {
-            Files.createDirectories(folder);
-        } catch (final IOException defect) {
-            throw new StorageException(STORAGE_FAILED, "cannot make " + folder, defect);
-        }
+  public LocalDisk(final Path folder) {
+    this.folder = folder;
+    try {
+      Files.createDirectories(folder);
+    } catch (final IOException defect) {
+      throw new StorageException(STORAGE_FAILED, "cannot make " + folder, defect);
     }
+  }
 
-    private interface IoOperation<T> {
-        T run() throws IOException;
-    }
+  private interface IoOperation<T> {
+    T run() throws IOException;
+  }
 
-    private static <T> T guard(final String what, final IoOperation<T> step) {
-        try {
-            return step.run();
-        } catch (final IOException defect) {
-            throw new StorageException(STORAGE_FAILED, what + ": " + defect.getMessage(), defect);
-        }
+  private static <T> T guard(final String what, final IoOperation<T> step) {
+    try {
+      return step.run();
+    } catch (final IOException defect) {
+      throw new StorageException(STORAGE_FAILED, what + ": " + defect.getMessage(), defect);
     }
+  }
 
-    private FileChannel channel(final String name) throws IOException {
-        FileChannel channel = open.get(name);
-        if (channel == null) {
-            channel = FileChannel.open(folder.resolve(name), CREATE, READ, WRITE);
-            channel.position(channel.size());
-            open.put(name, channel);
-        }
-        return channel;
+  private FileChannel channel(final String name) throws IOException {
+    FileChannel channel = open.get(name);
+    if (channel == null) {
+      channel = FileChannel.open(folder.resolve(name), CREATE, READ, WRITE);
+      channel.position(channel.size());
+      open.put(name, channel);
     }
+    return channel;
+  }
 
-    @Override
-    public byte[] read(final String name) {
-        return guard("read " + name, () -> Files.exists(folder.resolve(name)) ? Files.readAllBytes(folder.resolve(name)) : null);
-    }
+  @Override
+  public byte[] read(final String name) {
+    return guard(
+        "read " + name,
+        () -> Files.exists(folder.resolve(name)) ? Files.readAllBytes(folder.resolve(name)) : null);
+  }
 
-    @Override
-    public void append(final String name, final byte[] bytes) {
-        // Outside of what may be cut back: a file that cannot be opened keeps its length.
-        final FileChannel channel = guard("open " + name, () -> channel(name));
-        final long before = guard("position of " + name, channel::position);
-        try {
-            write(channel, bytes);
-        } catch (final IOException defect) {
-            // What was written in part goes again, so that the same can be tried once there is room.
-            guard("cut back " + name, () -> channel.truncate(before).position(before));
-            throw new StorageException(STORAGE_FULL, "append " + name + ": " + defect.getMessage(), defect);
-        }
+  @Override
+  public void append(final String name, final byte[] bytes) {
+    // Outside of what may be cut back: a file that cannot be opened keeps its length.
+    final FileChannel channel = guard("open " + name, () -> channel(name));
+    final long before = guard("position of " + name, channel::position);
+    try {
+      write(channel, bytes);
+    } catch (final IOException defect) {
+      // What was written in part goes again, so that the same can be tried once there is room.
+      guard("cut back " + name, () -> channel.truncate(before).position(before));
+      throw new StorageException(
+          STORAGE_FULL, "append " + name + ": " + defect.getMessage(), defect);
     }
+  }
 
-    private static void write(final FileChannel channel, final byte[] bytes) throws IOException {
-        final ByteBuffer buffer = ByteBuffer.wrap(bytes);
-        while (buffer.hasRemaining()) {
-            channel.write(buffer);
-        }
+  private static void write(final FileChannel channel, final byte[] bytes) throws IOException {
+    final ByteBuffer buffer = ByteBuffer.wrap(bytes);
+    while (buffer.hasRemaining()) {
+      channel.write(buffer);
     }
+  }
 
-    @Override
-    public void cut(final String name, final long length) {
-        guard("cut " + name, () -> channel(name).truncate(length).position(length));
-    }
+  @Override
+  public void cut(final String name, final long length) {
+    guard("cut " + name, () -> channel(name).truncate(length).position(length));
+  }
 
-    @Override
-    public void sync(final String name) {
-        guard("sync " + name, () -> {
-            channel(name).force(false);
-            return null;
+  @Override
+  public void sync(final String name) {
+    guard(
+        "sync " + name,
+        () -> {
+          channel(name).force(false);
+          return null;
         });
-    }
+  }
 
-    @Override
-    public void replace(final String name, final byte[] bytes) {
-        final Path fresh = folder.resolve(name + ".new");
-        FileChannel written = null;
-        try {
-            written = FileChannel.open(fresh, CREATE, TRUNCATE_EXISTING, READ, WRITE);
-            write(written, bytes);
-            written.force(true);
-            Files.move(fresh, folder.resolve(name), ATOMIC_MOVE);
-        } catch (final IOException defect) {
-            // The old file stands as it was; the new one gives its room back, which an open file would keep.
-            final FileChannel given = written;
-            guard("remove " + fresh, () -> {
-                if (given != null) {
-                    given.close();
-                }
-                return Files.deleteIfExists(fresh);
-            });
-            throw new StorageException(STORAGE_FULL, "replace " + name + ": " + defect.getMessage(), defect);
-        }
-        final FileChannel channel = written;
-        guard("replace " + name, () -> {
-            try (FileChannel folderChannel = FileChannel.open(folder, READ)) {
-                folderChannel.force(true);
-            }
-            // The moved file stays open under its new name.
-            final FileChannel old = open.put(name, channel);
-            if (old != null) {
-                old.close();
+  @Override
+  public void replace(final String name, final byte[] bytes) {
+    final Path fresh = folder.resolve(name + ".new");
+    FileChannel written = null;
+    try {
+      written = FileChannel.open(fresh, CREATE, TRUNCATE_EXISTING, READ, WRITE);
+      write(written, bytes);
+      written.force(true);
+      Files.move(fresh, folder.resolve(name), ATOMIC_MOVE);
+    } catch (final IOException defect) {
+      // The old file stands as it was; the new one gives its room back, which an open file would
+      // keep.
+      final FileChannel given = written;
+      guard(
+          "remove " + fresh,
+          () -> {
+            if (given != null) {
+              given.close();
             }
-            return null;
-        });
+            return Files.deleteIfExists(fresh);
+          });
+      throw new StorageException(
+          STORAGE_FULL, "replace " + name + ": " + defect.getMessage(), defect);
     }
+    final FileChannel channel = written;
+    guard(
+        "replace " + name,
+        () -> {
+          try (FileChannel folderChannel = FileChannel.open(folder, READ)) {
+            folderChannel.force(true);
+          }
+          // The moved file stays open under its new name.
+          final FileChannel old = open.put(name, channel);
+          if (old != null) {
+            old.close();
+          }
+          return null;
+        });
+  }
 }
--- a/src/main/java/yewjunction/raft/LogRecord.java
+++ b/src/main/java/yewjunction/raft/LogRecord.java
@@ -1,77 +1,84 @@
 package yewjunction.raft;
 
+import static java.nio.ByteOrder.BIG_ENDIAN;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
 import org.agrona.concurrent.UnsafeBuffer;
 
-import static java.nio.ByteOrder.BIG_ENDIAN;
-
-/** Flyweight over a checksummed record: length, sum, how far the file was synced then, kind, body. */
+/**
+ * Flyweight over a checksummed record: length, sum, how far the file was synced then, kind, body.
+ */
 final class LogRecord {
-    static final int HEAD = 4 + 4 + 8 + 1;
-    private static final int MOST = 64 << 20;
-    private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
-    private int offset;
+  static final int HEAD = 4 + 4 + 8 + 1;
+  private static final int MOST = 64 << 20;
+  private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
+  private int offset;
 
-    /** What a file holds: good records, where the good part ends, and whether synced records lie behind that. */
-    record ScanResult(List<Content> pieces, int goodBytes, boolean damaged) {
-    }
+  /**
+   * What a file holds: good records, where the good part ends, and whether synced records lie
+   * behind that.
+   */
+  record ScanResult(List<Content> pieces, int goodBytes, boolean damaged) {}
 
-    record Content(int kind, byte[] body) {
-    }
+  record Content(int kind, byte[] body) {}
 
-    static byte[] wrapBody(final int kind, final byte[] body, final long syncedTo) {
-        final byte[] whole = new byte[HEAD + body.length];
-        final UnsafeBuffer out = new UnsafeBuffer(whole);
-        out.putInt(0, body.length, BIG_ENDIAN);
-        out.putLong(8, syncedTo, BIG_ENDIAN);
-        out.putByte(16, (byte) kind);
-        out.putBytes(HEAD, body);
-        out.putInt(4, sum(whole, 8, whole.length - 8), BIG_ENDIAN);
-        return whole;
-    }
+  static byte[] wrapBody(final int kind, final byte[] body, final long syncedTo) {
+    final byte[] whole = new byte[HEAD + body.length];
+    final UnsafeBuffer out = new UnsafeBuffer(whole);
+    out.putInt(0, body.length, BIG_ENDIAN);
+    out.putLong(8, syncedTo, BIG_ENDIAN);
+    out.putByte(16, (byte) kind);
+    out.putBytes(HEAD, body);
+    out.putInt(4, sum(whole, 8, whole.length - 8), BIG_ENDIAN);
+    return whole;
+  }
 
-    private static int sum(final byte[] bytes, final int offset, final int length) {
-        final CRC32C crc = new CRC32C();
-        crc.update(bytes, offset, length);
-        return (int) crc.getValue();
-    }
+  private static int sum(final byte[] bytes, final int offset, final int length) {
+    final CRC32C crc = new CRC32C();
+    crc.update(bytes, offset, length);
+    return (int) crc.getValue();
+  }
 
-    private LogRecord wrap(final byte[] bytes, final int newOffset) {
-        buffer.wrap(bytes);
-        offset = newOffset;
-        return this;
-    }
+  private LogRecord wrap(final byte[] bytes, final int newOffset) {
+    buffer.wrap(bytes);
+    offset = newOffset;
+    return this;
+  }
 
-    private int length() {
-        return buffer.getInt(offset, BIG_ENDIAN);
-    }
+  private int length() {
+    return buffer.getInt(offset, BIG_ENDIAN);
+  }
 
-    private boolean good(final byte[] bytes) {
-        if (offset + HEAD > bytes.length) {
-            return false;
-        }
-        final int length = length();
-        return length >= 0 && length <= MOST && offset + HEAD + length <= bytes.length
-            && buffer.getInt(offset + 4, BIG_ENDIAN) == sum(bytes, offset + 8, HEAD - 8 + length);
+  private boolean good(final byte[] bytes) {
+    if (offset + HEAD > bytes.length) {
+      return false;
     }
+    final int length = length();
+    return length >= 0
+        && length <= MOST
+        && offset + HEAD + length <= bytes.length
+        && buffer.getInt(offset + 4, BIG_ENDIAN) == sum(bytes, offset + 8, HEAD - 8 + length);
+  }
 
-    static ScanResult read(final byte[] bytes) {
-        final LogRecord record = new LogRecord();
-        final List<Content> pieces = new ArrayList<>();
-        int at = 0;
-        while (at < bytes.length && record.wrap(bytes, at).good(bytes)) {
-            final byte[] body = new byte[record.length()];
-            System.arraycopy(bytes, at + HEAD, body, 0, body.length);
-            pieces.add(new Content(bytes[at + 16], body));
-            at += HEAD + body.length;
-        }
-        // A bad record is a torn tail, unless a later good one says that this place had been synced.
-        boolean damaged = false;
-        for (int later = at + 1; later < bytes.length && !damaged; later++) {
-            damaged = record.wrap(bytes, later).good(bytes) && record.buffer.getLong(later + 8, BIG_ENDIAN) > at;
-        }
-        return new ScanResult(pieces, at, damaged);
+  static ScanResult read(final byte[] bytes) {
+    final LogRecord record = new LogRecord();
+    final List<Content> pieces = new ArrayList<>();
+    int at = 0;
+    while (at < bytes.length && record.wrap(bytes, at).good(bytes)) {
+      final byte[] body = new byte[record.length()];
+      System.arraycopy(bytes, at + HEAD, body, 0, body.length);
+      pieces.add(new Content(bytes[at + 16], body));
+      at += HEAD + body.length;
+    }
+    // A bad record is a torn tail, unless a later good one says that this place had been synced.
+    boolean damaged = false;
+    for (int later = at + 1; later < bytes.length && !damaged; later++) {
+      damaged =
+          record.wrap(bytes, later).good(bytes)
+              && record.buffer.getLong(later + 8, BIG_ENDIAN) > at;
     }
+    return new ScanResult(pieces, at, damaged);
+  }
 }
--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -6,116 +6,143 @@
 
 /** What ledgers of one group say to one another. */
 public final class RaftMessages {
-    private RaftMessages() {
-    }
-
-    public static void know(final MessageCodec codec) {
-        codec.know(10, VoteRequest.class).know(11, VoteResponse.class).know(12, AppendEntriesRequest.class).know(13, AppendEntriesResponse.class)
-            .know(14, InstallSnapshotRequest.class).know(15, TimeoutNowRequest.class).know(16, JoinRequest.class)
-            .know(17, InstallSnapshotResponse.class).know(18, FetchRequest.class).know(19, FetchResponse.class);
-    }
-
-    /** Common to all: the group, who speaks, to whom, in which term. */
-    abstract static class RaftMessage {
-        int group;
-        /** Null, and nobody named as receiver, where the link's earlier letters said both. */
-        String from;
-        /** The receiver's identity, shortened: it only checks that the letter is for it, and most letters cross zones. */
-        long to;
-        long term;
-    }
-
-    static <T extends RaftMessage> T withTerm(final T letter, final long term) {
-        letter.term = term;
-        return letter;
-    }
-
-    /** 0 stands for anyone. */
-    static long shortened(final String identity) {
-        long hash = 0xcbf29ce484222325L;
-        for (int at = 0; at < identity.length(); at++) {
-            hash = (hash ^ identity.charAt(at)) * 0x100000001b3L;
-        }
-        return hash >>> 1 | 1;
-    }
-
-    /** For a vote, or, when pre is set, whether a vote would be given. */
-    static final class VoteRequest extends RaftMessage {
-        boolean pre;
-        boolean handedOver;
-        long lastIndex;
-        long lastTerm;
-    }
-
-    static final class VoteResponse extends RaftMessage {
-        boolean pre;
-        boolean granted;
-    }
-
-    static final class AppendEntriesRequest extends RaftMessage {
-        long prevIndex;
-        long prevTerm;
-        long commit;
-        long round;
-        /** No answer is needed when all is as the leader thinks. */
-        boolean quiet;
-        List<LogEntry> entries = new ArrayList<>();
-        /** Where the receiver fetches committed entries; null for one whom the leader serves itself. */
-        String relay;
-    }
-
-    /** A member without a vote asks one of its zone for what is committed behind its own end. */
-    static final class FetchRequest extends RaftMessage {
-        long next;
-        long lastTerm;
-    }
-
-    static final class FetchResponse extends RaftMessage {
-        long prevIndex;
-        long prevTerm;
-        List<LogEntry> entries = new ArrayList<>();
-    }
-
-    static final class AppendEntriesResponse extends RaftMessage {
-        boolean accepted;
-        long match;
-        long round;
-    }
-
-    /** A piece of a snapshot, for a peer too far behind; the next one follows its answer. */
-    static final class InstallSnapshotRequest extends RaftMessage {
-        long lastIndex;
-        long lastTerm;
-        List<String> voters = new ArrayList<>();
-        /** Where this piece begins, and how long the whole is. */
-        int offset;
-        int length;
-        byte[] piece = new byte[0];
-        /** Which of the sender's snapshots in its term: two of the same index may differ in their bytes. */
-        long number;
-        /** Which letter of this snapshot; one without a piece only asks what is held. */
-        int attempt;
-    }
-
-    /** How much of a snapshot a peer holds. */
-    static final class InstallSnapshotResponse extends RaftMessage {
-        long lastIndex;
-        int held;
-        /** Of the letter that it answers. */
-        long number;
-        int attempt;
-    }
-
-    /** The leader stops: stand for election now. */
-    static final class TimeoutNowRequest extends RaftMessage {
-    }
-
-    /** A newcomer asks whoever leads to bring it up to date and make it a voter when a place is free. */
-    static final class JoinRequest extends RaftMessage {
-        boolean wantsVote;
-        /** By a member that does not lead itself. */
-        Boolean passedOn;
-        /** Its process ends: a voter's seat is for somebody else. */
-        Boolean leaves;
+  private RaftMessages() {}
+
+  public static void know(final MessageCodec codec) {
+    codec
+        .know(10, VoteRequest.class)
+        .know(11, VoteResponse.class)
+        .know(12, AppendEntriesRequest.class)
+        .know(13, AppendEntriesResponse.class)
+        .know(14, InstallSnapshotRequest.class)
+        .know(15, TimeoutNowRequest.class)
+        .know(16, JoinRequest.class)
+        .know(17, InstallSnapshotResponse.class)
+        .know(18, FetchRequest.class)
+        .know(19, FetchResponse.class);
+  }
+
+  /** Common to all: the group, who speaks, to whom, in which term. */
+  abstract static class RaftMessage {
+    int group;
+
+    /** Null, and nobody named as receiver, where the link's earlier letters said both. */
+    String from;
+
+    /**
+     * The receiver's identity, shortened: it only checks that the letter is for it, and most
+     * letters cross zones.
+     */
+    long to;
+
+    long term;
+  }
+
+  static <T extends RaftMessage> T withTerm(final T letter, final long term) {
+    letter.term = term;
+    return letter;
+  }
+
+  /** 0 stands for anyone. */
+  static long shortened(final String identity) {
+    long hash = 0xcbf29ce484222325L;
+    for (int at = 0; at < identity.length(); at++) {
+      hash = (hash ^ identity.charAt(at)) * 0x100000001b3L;
     }
+    return hash >>> 1 | 1;
+  }
+
+  /** For a vote, or, when pre is set, whether a vote would be given. */
+  static final class VoteRequest extends RaftMessage {
+    boolean pre;
+    boolean handedOver;
+    long lastIndex;
+    long lastTerm;
+  }
+
+  static final class VoteResponse extends RaftMessage {
+    boolean pre;
+    boolean granted;
+  }
+
+  static final class AppendEntriesRequest extends RaftMessage {
+    long prevIndex;
+    long prevTerm;
+    long commit;
+    long round;
+
+    /** No answer is needed when all is as the leader thinks. */
+    boolean quiet;
+
+    List<LogEntry> entries = new ArrayList<>();
+
+    /** Where the receiver fetches committed entries; null for one whom the leader serves itself. */
+    String relay;
+  }
+
+  /** A member without a vote asks one of its zone for what is committed behind its own end. */
+  static final class FetchRequest extends RaftMessage {
+    long next;
+    long lastTerm;
+  }
+
+  static final class FetchResponse extends RaftMessage {
+    long prevIndex;
+    long prevTerm;
+    List<LogEntry> entries = new ArrayList<>();
+  }
+
+  static final class AppendEntriesResponse extends RaftMessage {
+    boolean accepted;
+    long match;
+    long round;
+  }
+
+  /** A piece of a snapshot, for a peer too far behind; the next one follows its answer. */
+  static final class InstallSnapshotRequest extends RaftMessage {
+    long lastIndex;
+    long lastTerm;
+    List<String> voters = new ArrayList<>();
+
+    /** Where this piece begins, and how long the whole is. */
+    int offset;
+
+    int length;
+    byte[] piece = new byte[0];
+
+    /**
+     * Which of the sender's snapshots in its term: two of the same index may differ in their bytes.
+     */
+    long number;
+
+    /** Which letter of this snapshot; one without a piece only asks what is held. */
+    int attempt;
+  }
+
+  /** How much of a snapshot a peer holds. */
+  static final class InstallSnapshotResponse extends RaftMessage {
+    long lastIndex;
+    int held;
+
+    /** Of the letter that it answers. */
+    long number;
+
+    int attempt;
+  }
+
+  /** The leader stops: stand for election now. */
+  static final class TimeoutNowRequest extends RaftMessage {}
+
+  /**
+   * A newcomer asks whoever leads to bring it up to date and make it a voter when a place is free.
+   */
+  static final class JoinRequest extends RaftMessage {
+    boolean wantsVote;
+
+    /** By a member that does not lead itself. */
+    Boolean passedOn;
+
+    /** Its process ends: a voter's seat is for somebody else. */
+    Boolean leaves;
+  }
 }
--- a/src/main/java/yewjunction/raft/RaftStorage.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -1,152 +1,176 @@
 package yewjunction.raft;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
 /** A ledger's records: identity, votes, entries, cuts, snapshots. */
 final class RaftStorage {
-    private static final int IDENTITY = 1;
-    private static final int VOTE = 2;
-    private static final int ENTRY = 3;
-    private static final int CUT = 4;
-    private static final int IMAGE = 5;
-    private final AppendOnlyFile shelf;
-
-    long term;
-    String votedFor = "";
-    String identity;
-    /** As it was read at the start, until it is taken: whoever owns the state needs no second one in memory. */
-    private byte[] state;
-    private long stateIndex;
-    final RaftLog log = new RaftLog();
-
-    RaftStorage(final AppendOnlyFile shelf) {
-        this.shelf = shelf;
-        for (final LogRecord.Content piece : shelf.open()) {
-            replay(piece.kind(), ByteBuffer.wrap(piece.body()));
-        }
-    }
-
-    private void replay(final int kind, final ByteBuffer body) {
-        switch (kind) {
-            case IDENTITY -> identity = text(body);
-            case VOTE -> {
-                term = body.getLong();
-                votedFor = text(body);
-            }
-            case ENTRY -> {
-                final LogEntry entry = new LogEntry(body.getLong(), body.getLong(), body.get(), null);
-                entry.data = rest(body);
-                log.append(entry);
-            }
-            case CUT -> log.cutFrom(body.getLong());
-            case IMAGE -> {
-                stateIndex = body.getLong();
-                final long baseIndex = body.getLong();
-                final long baseTerm = body.getLong();
-                final byte[] voters = new byte[body.getInt()];
-                body.get(voters);
-                state = rest(body);
-                log.reset(baseIndex, baseTerm, votersOf(voters));
-            }
-            default -> {
-                // Written by a newer release: skipping it could lose a vote, so the ledger stays shut.
-                throw new IllegalStateException("record kind " + kind);
-            }
-        }
-    }
-
-    private static String text(final ByteBuffer body) {
-        return new String(rest(body), UTF_8);
-    }
-
-    private static byte[] rest(final ByteBuffer body) {
-        final byte[] bytes = new byte[body.remaining()];
-        body.get(bytes);
-        return bytes;
-    }
-
-    static byte[] votersData(final List<String> voters) {
-        return String.join("\n", voters).getBytes(UTF_8);
-    }
-
-    static List<String> votersOf(final byte[] data) {
-        return data.length == 0 ? List.of() : Arrays.asList(new String(data, UTF_8).split("\n"));
-    }
-
-    long stateIndex() {
-        return stateIndex;
-    }
-
-    /** The state that was read, once; null where there was none. */
-    byte[] takeState() {
-        final byte[] taken = state;
-        state = null;
-        return taken;
-    }
-
-    void saveIdentity(final String newIdentity, final Runnable synced) {
-        identity = newIdentity;
-        shelf.append(IDENTITY, identity.getBytes(UTF_8), synced);
-    }
-
-    void saveVote(final long newTerm, final String newVote, final Runnable synced) {
-        // Invariant: a term never falls, and a vote once given in a term stays.
-        if (newTerm < term || newTerm == term && !votedFor.isEmpty() && !votedFor.equals(newVote)) {
-            throw new IllegalStateException("vote " + newTerm + " " + newVote + " after " + term + " " + votedFor);
-        }
-        term = newTerm;
-        votedFor = newVote;
-        shelf.append(VOTE, voteBody(), synced);
-    }
-
-    private byte[] voteBody() {
-        final byte[] vote = votedFor.getBytes(UTF_8);
-        return ByteBuffer.allocate(8 + vote.length).putLong(term).put(vote).array();
-    }
-
-    private static byte[] entryBody(final LogEntry entry) {
-        return ByteBuffer.allocate(17 + entry.data.length).putLong(entry.index).putLong(entry.term)
-            .put((byte) entry.kind).put(entry.data).array();
-    }
-
-    void append(final List<LogEntry> entries, final Runnable synced) {
-        for (int i = 0; i < entries.size(); i++) {
-            log.append(entries.get(i));
-            shelf.append(ENTRY, entryBody(entries.get(i)), i == entries.size() - 1 ? synced : () -> { });
-        }
-    }
-
-    void cutFrom(final long index) {
-        log.cutFrom(index);
-        shelf.append(CUT, ByteBuffer.allocate(8).putLong(index).array(), () -> { });
-    }
-
-    long bytes() {
-        return shelf.length();
-    }
-
-    /** Puts a snapshot and the log behind it in the place of the whole file. */
-    void rewrite(final long newStateIndex, final byte[] newState, final Runnable synced) {
-        final List<LogRecord.Content> content = new ArrayList<>();
-        content.add(new LogRecord.Content(IDENTITY, identity.getBytes(UTF_8)));
-        content.add(new LogRecord.Content(VOTE, voteBody()));
-        final byte[] voters = votersData(log.votersAt(log.baseIndex()));
-        content.add(new LogRecord.Content(IMAGE, ByteBuffer.allocate(28 + voters.length + newState.length).putLong(newStateIndex)
-            .putLong(log.baseIndex()).putLong(log.termAt(log.baseIndex())).putInt(voters.length).put(voters).put(newState).array()));
-        for (long at = log.baseIndex() + 1; at <= log.lastIndex(); at++) {
-            content.add(new LogRecord.Content(ENTRY, entryBody(log.get(at))));
-        }
-        shelf.rewrite(content, synced);
-    }
-
-    /** Takes over a snapshot from the leader: nothing of the own log stays. */
-    void install(final long index, final long newTerm, final List<String> voters, final byte[] newState, final Runnable synced) {
-        log.reset(index, newTerm, voters);
-        rewrite(index, newState, synced);
-    }
+  private static final int IDENTITY = 1;
+  private static final int VOTE = 2;
+  private static final int ENTRY = 3;
+  private static final int CUT = 4;
+  private static final int IMAGE = 5;
+  private final AppendOnlyFile shelf;
+
+  long term;
+  String votedFor = "";
+  String identity;
+
+  /**
+   * As it was read at the start, until it is taken: whoever owns the state needs no second one in
+   * memory.
+   */
+  private byte[] state;
+
+  private long stateIndex;
+  final RaftLog log = new RaftLog();
+
+  RaftStorage(final AppendOnlyFile shelf) {
+    this.shelf = shelf;
+    for (final LogRecord.Content piece : shelf.open()) {
+      replay(piece.kind(), ByteBuffer.wrap(piece.body()));
+    }
+  }
+
+  private void replay(final int kind, final ByteBuffer body) {
+    switch (kind) {
+      case IDENTITY -> identity = text(body);
+      case VOTE -> {
+        term = body.getLong();
+        votedFor = text(body);
+      }
+      case ENTRY -> {
+        final LogEntry entry = new LogEntry(body.getLong(), body.getLong(), body.get(), null);
+        entry.data = rest(body);
+        log.append(entry);
+      }
+      case CUT -> log.cutFrom(body.getLong());
+      case IMAGE -> {
+        stateIndex = body.getLong();
+        final long baseIndex = body.getLong();
+        final long baseTerm = body.getLong();
+        final byte[] voters = new byte[body.getInt()];
+        body.get(voters);
+        state = rest(body);
+        log.reset(baseIndex, baseTerm, votersOf(voters));
+      }
+      default -> {
+        // Written by a newer release: skipping it could lose a vote, so the ledger stays shut.
+        throw new IllegalStateException("record kind " + kind);
+      }
+    }
+  }
+
+  private static String text(final ByteBuffer body) {
+    return new String(rest(body), UTF_8);
+  }
+
+  private static byte[] rest(final ByteBuffer body) {
+    final byte[] bytes = new byte[body.remaining()];
+    body.get(bytes);
+    return bytes;
+  }
+
+  static byte[] votersData(final List<String> voters) {
+    return String.join("\n", voters).getBytes(UTF_8);
+  }
+
+  static List<String> votersOf(final byte[] data) {
+    return data.length == 0 ? List.of() : Arrays.asList(new String(data, UTF_8).split("\n"));
+  }
+
+  long stateIndex() {
+    return stateIndex;
+  }
+
+  /** The state that was read, once; null where there was none. */
+  byte[] takeState() {
+    final byte[] taken = state;
+    state = null;
+    return taken;
+  }
+
+  void saveIdentity(final String newIdentity, final Runnable synced) {
+    identity = newIdentity;
+    shelf.append(IDENTITY, identity.getBytes(UTF_8), synced);
+  }
+
+  void saveVote(final long newTerm, final String newVote, final Runnable synced) {
+    // Invariant: a term never falls, and a vote once given in a term stays.
+    if (newTerm < term || newTerm == term && !votedFor.isEmpty() && !votedFor.equals(newVote)) {
+      throw new IllegalStateException(
+          "vote " + newTerm + " " + newVote + " after " + term + " " + votedFor);
+    }
+    term = newTerm;
+    votedFor = newVote;
+    shelf.append(VOTE, voteBody(), synced);
+  }
+
+  private byte[] voteBody() {
+    final byte[] vote = votedFor.getBytes(UTF_8);
+    return ByteBuffer.allocate(8 + vote.length).putLong(term).put(vote).array();
+  }
+
+  private static byte[] entryBody(final LogEntry entry) {
+    return ByteBuffer.allocate(17 + entry.data.length)
+        .putLong(entry.index)
+        .putLong(entry.term)
+        .put((byte) entry.kind)
+        .put(entry.data)
+        .array();
+  }
+
+  void append(final List<LogEntry> entries, final Runnable synced) {
+    for (int i = 0; i < entries.size(); i++) {
+      log.append(entries.get(i));
+      shelf.append(ENTRY, entryBody(entries.get(i)), i == entries.size() - 1 ? synced : () -> {});
+    }
+  }
+
+  void cutFrom(final long index) {
+    log.cutFrom(index);
+    shelf.append(CUT, ByteBuffer.allocate(8).putLong(index).array(), () -> {});
+  }
+
+  long bytes() {
+    return shelf.length();
+  }
+
+  /** Puts a snapshot and the log behind it in the place of the whole file. */
+  void rewrite(final long newStateIndex, final byte[] newState, final Runnable synced) {
+    final List<LogRecord.Content> content = new ArrayList<>();
+    content.add(new LogRecord.Content(IDENTITY, identity.getBytes(UTF_8)));
+    content.add(new LogRecord.Content(VOTE, voteBody()));
+    final byte[] voters = votersData(log.votersAt(log.baseIndex()));
+    content.add(
+        new LogRecord.Content(
+            IMAGE,
+            ByteBuffer.allocate(28 + voters.length + newState.length)
+                .putLong(newStateIndex)
+                .putLong(log.baseIndex())
+                .putLong(log.termAt(log.baseIndex()))
+                .putInt(voters.length)
+                .put(voters)
+                .put(newState)
+                .array()));
+    for (long at = log.baseIndex() + 1; at <= log.lastIndex(); at++) {
+      content.add(new LogRecord.Content(ENTRY, entryBody(log.get(at))));
+    }
+    shelf.rewrite(content, synced);
+  }
+
+  /** Takes over a snapshot from the leader: nothing of the own log stays. */
+  void install(
+      final long index,
+      final long newTerm,
+      final List<String> voters,
+      final byte[] newState,
+      final Runnable synced) {
+    log.reset(index, newTerm, voters);
+    rewrite(index, newState, synced);
+  }
 }
--- a/src/main/java/yewjunction/raft/ReadIndexRequests.java
+++ b/src/main/java/yewjunction/raft/ReadIndexRequests.java
@@ -5,52 +5,56 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Questions whether this member still leads, each answered by a majority's answers to later appends. */
+/**
+ * Questions whether this member still leads, each answered by a majority's answers to later
+ * appends.
+ */
 final class ReadIndexRequests {
-    private final RaftNode ledger;
-    private final List<PendingRead> questions = new ArrayList<>();
-    private long newest;
+  private final RaftNode ledger;
+  private final List<PendingRead> questions = new ArrayList<>();
+  private long newest;
 
-    private record PendingRead(long round, Consumer<Boolean> done) {
-    }
+  private record PendingRead(long round, Consumer<Boolean> done) {}
 
-    ReadIndexRequests(final RaftNode ledger) {
-        this.ledger = ledger;
-    }
+  ReadIndexRequests(final RaftNode ledger) {
+    this.ledger = ledger;
+  }
 
-    long newest() {
-        return newest;
-    }
+  long newest() {
+    return newest;
+  }
 
-    long next() {
-        return ++newest;
-    }
+  long next() {
+    return ++newest;
+  }
 
-    void ask(final Consumer<Boolean> done) {
-        questions.add(new PendingRead(next(), done));
-    }
+  void ask(final Consumer<Boolean> done) {
+    questions.add(new PendingRead(next(), done));
+  }
 
-    /** Answers what a majority has answered by now. */
-    void look(final LeaderState leading) {
-        if (questions.isEmpty()) {
-            return;
-        }
-        final List<String> voters = ledger.voters();
-        final long[] rounds = new long[voters.size()];
-        for (int i = 0; i < rounds.length; i++) {
-            rounds[i] = voters.get(i).equals(ledger.identity()) ? newest : leading.standing(voters.get(i)).round;
-        }
-        Arrays.sort(rounds);
-        final long majority = rounds[(rounds.length - 1) / 2];
-        final List<PendingRead> answered = questions.stream().filter(question -> question.round <= majority).toList();
-        questions.removeAll(answered);
-        answered.forEach(question -> question.done.accept(true));
+  /** Answers what a majority has answered by now. */
+  void look(final LeaderState leading) {
+    if (questions.isEmpty()) {
+      return;
     }
-
-    /** The leadership is over: whoever asked is told no. */
-    void drop() {
-        final List<PendingRead> owed = new ArrayList<>(questions);
-        questions.clear();
-        owed.forEach(question -> question.done.accept(false));
+    final List<String> voters = ledger.voters();
+    final long[] rounds = new long[voters.size()];
+    for (int i = 0; i < rounds.length; i++) {
+      rounds[i] =
+          voters.get(i).equals(ledger.identity()) ? newest : leading.standing(voters.get(i)).round;
     }
+    Arrays.sort(rounds);
+    final long majority = rounds[(rounds.length - 1) / 2];
+    final List<PendingRead> answered =
+        questions.stream().filter(question -> question.round <= majority).toList();
+    questions.removeAll(answered);
+    answered.forEach(question -> question.done.accept(true));
+  }
+
+  /** The leadership is over: whoever asked is told no. */
+  void drop() {
+    final List<PendingRead> owed = new ArrayList<>(questions);
+    questions.clear();
+    owed.forEach(question -> question.done.accept(false));
+  }
 }
--- a/src/main/java/yewjunction/raft/StorageException.java
+++ b/src/main/java/yewjunction/raft/StorageException.java
@@ -3,15 +3,18 @@
 import yewjunction.common.ErrorCode;
 import yewjunction.common.YewjunctionException;
 
-/** A file cannot be read or written. Only a full disk is worth another try; after any other failure the process must end. */
+/**
+ * A file cannot be read or written. Only a full disk is worth another try; after any other failure
+ * the process must end.
+ */
 public final class StorageException extends YewjunctionException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public StorageException(final ErrorCode code, final String text) {
-        this(code, text, null);
-    }
+  public StorageException(final ErrorCode code, final String text) {
+    this(code, text, null);
+  }
 
-    public StorageException(final ErrorCode code, final String text, final Throwable cause) {
-        super(code, text, cause);
-    }
+  public StorageException(final ErrorCode code, final String text, final Throwable cause) {
+    super(code, text, cause);
+  }
 }
--- a/src/main/java/yewjunction/raft/StorageInspection.java
+++ b/src/main/java/yewjunction/raft/StorageInspection.java
@@ -9,21 +9,23 @@
 
 /** A ledger file as the daemons would read it; only read. */
 public record StorageInspection(String file, long bytes, long goodBytes, boolean damaged) {
-    /** All ledger files of a folder. */
-    public static List<StorageInspection> look(final Path folder) {
-        final List<StorageInspection> found = new ArrayList<>();
-        for (final String name : List.of("charter", "messages")) {
-            final Path file = folder.resolve(name);
-            if (Files.isRegularFile(file)) {
-                try {
-                    final byte[] bytes = Files.readAllBytes(file);
-                    final LogRecord.ScanResult reading = LogRecord.read(bytes);
-                    found.add(new StorageInspection(file.toString(), bytes.length, reading.goodBytes(), reading.damaged()));
-                } catch (final IOException defect) {
-                    throw new UncheckedIOException(defect);
-                }
-            }
+  /** All ledger files of a folder. */
+  public static List<StorageInspection> look(final Path folder) {
+    final List<StorageInspection> found = new ArrayList<>();
+    for (final String name : List.of("charter", "messages")) {
+      final Path file = folder.resolve(name);
+      if (Files.isRegularFile(file)) {
+        try {
+          final byte[] bytes = Files.readAllBytes(file);
+          final LogRecord.ScanResult reading = LogRecord.read(bytes);
+          found.add(
+              new StorageInspection(
+                  file.toString(), bytes.length, reading.goodBytes(), reading.damaged()));
+        } catch (final IOException defect) {
+          throw new UncheckedIOException(defect);
         }
-        return found;
+      }
     }
+    return found;
+  }
 }
--- a/src/main/java/yewjunction/raft/VoterPlacement.java
+++ b/src/main/java/yewjunction/raft/VoterPlacement.java
@@ -8,6 +8,7 @@
  * How many vote in a group, which addresses are to hold no vote, and in which zone an address lies.
  * Without a number of seats whoever wants a vote gets one.
  */
-public record VoterPlacement(int seats, Supplier<Set<String>> leaving, UnaryOperator<String> zoneOf) {
-    static final VoterPlacement OPEN = new VoterPlacement(Integer.MAX_VALUE, Set::of, address -> "");
+public record VoterPlacement(
+    int seats, Supplier<Set<String>> leaving, UnaryOperator<String> zoneOf) {
+  static final VoterPlacement OPEN = new VoterPlacement(Integer.MAX_VALUE, Set::of, address -> "");
 }
