--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -1,71 +1,82 @@
 package yewjunction.server;
 
-import yewjunction.common.ExitCode;
+import static yewjunction.common.ErrorCode.STORAGE_FULL;
+import static yewjunction.common.Limits.DISK_AGAIN_MS;
+
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.IntConsumer;
-import yewjunction.common.YewjunctionException;
-import yewjunction.common.LogEvent;
 import yewjunction.common.AgentContext;
+import yewjunction.common.ExitCode;
+import yewjunction.common.LogEvent;
+import yewjunction.common.YewjunctionException;
 import yewjunction.raft.TaskExecutor;
 
-import static yewjunction.common.ErrorCode.STORAGE_FULL;
-import static yewjunction.common.Limits.DISK_AGAIN_MS;
-
-/** The pool for blocking work: disk syncs, in order. It shares no table with the owner, so there is no lock to order. */
+/**
+ * The pool for blocking work: disk syncs, in order. It shares no table with the owner, so there is
+ * no lock to order.
+ */
 final class BlockingTaskExecutor implements TaskExecutor {
-    private final AgentContext pulse;
-    private final IntConsumer ending;
-    private final ExecutorService pool = Executors.newSingleThreadExecutor(task -> {
-        final Thread thread = new Thread(null, task, "worker", 128 << 10);
-        thread.setDaemon(true);
-        return thread;
-    });
+  private final AgentContext pulse;
+  private final IntConsumer ending;
+  private final ExecutorService pool =
+      Executors.newSingleThreadExecutor(
+          task -> {
+            final Thread thread = new Thread(null, task, "worker", 128 << 10);
+            thread.setDaemon(true);
+            return thread;
+          });
 
-    /** Ending ends the process with a code, at once. */
-    BlockingTaskExecutor(final AgentContext pulse, final IntConsumer ending) {
-        this.pulse = pulse;
-        this.ending = ending;
-    }
+  /** Ending ends the process with a code, at once. */
+  BlockingTaskExecutor(final AgentContext pulse, final IntConsumer ending) {
+    this.pulse = pulse;
+    this.ending = ending;
+  }
 
-    @Override
-    public void work(final Runnable blocking, final Runnable afterwards) {
-        pool.execute(() -> {
+  @Override
+  public void work(final Runnable blocking, final Runnable afterwards) {
+    pool.execute(
+        () -> {
+          try {
+            insist(blocking);
+            pulse.post(afterwards);
+          } catch (final Throwable defect) {
+            // A disk that fails a sync can no longer be trusted: better down than wrong. An error
+            // too, as of memory: the
+            // pool would go on with another thread, and the owner would wait for this work for
+            // ever.
             try {
-                insist(blocking);
-                pulse.post(afterwards);
-            } catch (final Throwable defect) {
-                // A disk that fails a sync can no longer be trusted: better down than wrong. An error too, as of memory: the
-                // pool would go on with another thread, and the owner would wait for this work for ever.
-                try {
-                    LogEvent.DISK_FAILED.warn(String.valueOf(defect.getMessage()), defect);
-                } finally {
-                    ending.accept(ExitCode.DISK_FAILED);
-                }
+              LogEvent.DISK_FAILED.warn(String.valueOf(defect.getMessage()), defect);
+            } finally {
+              ending.accept(ExitCode.DISK_FAILED);
             }
+          }
         });
-    }
+  }
 
-    /** A full disk takes nothing and nothing is acknowledged; once there is room the very same is written. */
-    private static void insist(final Runnable blocking) throws InterruptedException {
-        boolean told = false;
-        while (true) {
-            try {
-                blocking.run();
-                if (told) {
-                    LogEvent.DISK_TAKES.info("after a while without room");
-                }
-                return;
-            } catch (final YewjunctionException defect) {
-                if (defect.code() != STORAGE_FULL) {
-                    throw defect;
-                }
-                if (!told) {
-                    LogEvent.DISK_FULL.warn(defect.getMessage());
-                    told = true;
-                }
-                Thread.sleep(DISK_AGAIN_MS);
-            }
+  /**
+   * A full disk takes nothing and nothing is acknowledged; once there is room the very same is
+   * written.
+   */
+  private static void insist(final Runnable blocking) throws InterruptedException {
+    boolean told = false;
+    while (true) {
+      try {
+        blocking.run();
+        if (told) {
+          LogEvent.DISK_TAKES.info("after a while without room");
+        }
+        return;
+      } catch (final YewjunctionException defect) {
+        if (defect.code() != STORAGE_FULL) {
+          throw defect;
+        }
+        if (!told) {
+          LogEvent.DISK_FULL.warn(defect.getMessage());
+          told = true;
         }
+        Thread.sleep(DISK_AGAIN_MS);
+      }
     }
+  }
 }
--- a/src/main/java/yewjunction/server/HttpEndpoint.java
+++ b/src/main/java/yewjunction/server/HttpEndpoint.java
@@ -1,5 +1,12 @@
 package yewjunction.server;
 
+import static yewjunction.common.ControlLimits.CALL_READ_MOST;
+import static yewjunction.common.ControlLimits.CALL_THREAD_IDLE_MS;
+import static yewjunction.common.ControlLimits.CALL_TRANSFER_S;
+import static yewjunction.common.ControlLimits.READY_THREADS;
+import static yewjunction.common.Limits.CALL_THREADS;
+import static yewjunction.common.Limits.CONFIG_BYTES;
+
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpHandler;
 import com.sun.net.httpserver.HttpServer;
@@ -16,133 +23,157 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import yewjunction.common.LogEvent;
 import yewjunction.common.AgentContext;
+import yewjunction.common.LogEvent;
 import yewjunction.control.OperatorApi;
 import yewjunction.raft.TaskExecutor;
 import yewjunction.transport.SocketAddresses;
 
-import static yewjunction.common.ControlLimits.CALL_READ_MOST;
-import static yewjunction.common.ControlLimits.CALL_THREAD_IDLE_MS;
-import static yewjunction.common.ControlLimits.CALL_TRANSFER_S;
-import static yewjunction.common.ControlLimits.READY_THREADS;
-import static yewjunction.common.Limits.CALL_THREADS;
-import static yewjunction.common.Limits.CONFIG_BYTES;
-
 /** The HTTP side of a process, on the JDK's own small server. */
 final class HttpEndpoint {
-    private static final OperatorApi.Response NO_ANSWER = new OperatorApi.Response(503, "{\"Err\":\"NO_ANSWER\"}", null);
+  private static final OperatorApi.Response NO_ANSWER =
+      new OperatorApi.Response(503, "{\"Err\":\"NO_ANSWER\"}", null);
 
-    private HttpEndpoint() {
-    }
+  private HttpEndpoint() {}
 
-    private static HttpServer server(final String address, final HttpHandler handler, final Executor pool) {
-        // Read by the server when it is made: else a caller that was cut off half way would keep its thread.
-        System.setProperty("sun.net.httpserver.maxReqTime", String.valueOf(CALL_TRANSFER_S));
-        System.setProperty("sun.net.httpserver.maxRspTime", String.valueOf(CALL_TRANSFER_S));
-        try {
-            final HttpServer server = HttpServer.create(SocketAddresses.parse(address), 64);
-            server.createContext("/", handler);
-            server.setExecutor(pool);
-            server.start();
-            return server;
-        } catch (final IOException defect) {
-            throw new UncheckedIOException("cannot listen on " + address, defect);
-        }
+  private static HttpServer server(
+      final String address, final HttpHandler handler, final Executor pool) {
+    // Read by the server when it is made: else a caller that was cut off half way would keep its
+    // thread.
+    System.setProperty("sun.net.httpserver.maxReqTime", String.valueOf(CALL_TRANSFER_S));
+    System.setProperty("sun.net.httpserver.maxRspTime", String.valueOf(CALL_TRANSFER_S));
+    try {
+      final HttpServer server = HttpServer.create(SocketAddresses.parse(address), 64);
+      server.createContext("/", handler);
+      server.setExecutor(pool);
+      server.start();
+      return server;
+    } catch (final IOException defect) {
+      throw new UncheckedIOException("cannot listen on " + address, defect);
     }
+  }
 
-    /** Says whether the node takes clients. */
-    static HttpServer readiness(final String address, final BooleanSupplier ready) {
-        // Not on the one thread that takes connections: half a request would hold up every later look.
-        return server(address, exchange -> {
-            final boolean known = exchange.getRequestURI().getPath().equals("/-/readyz");
-            answer(exchange, !known ? 404 : ready.getAsBoolean() ? 200 : 503, "");
-        }, pool("ready", READY_THREADS));
-    }
+  /** Says whether the node takes clients. */
+  static HttpServer readiness(final String address, final BooleanSupplier ready) {
+    // Not on the one thread that takes connections: half a request would hold up every later look.
+    return server(
+        address,
+        exchange -> {
+          final boolean known = exchange.getRequestURI().getPath().equals("/-/readyz");
+          answer(exchange, !known ? 404 : ready.getAsBoolean() ? 200 : 503, "");
+        },
+        pool("ready", READY_THREADS));
+  }
 
-    /** What the owner of the tables does with a call; it answers once, maybe later. */
-    interface Owner {
-        void take(OperatorApi.Request request, Consumer<OperatorApi.Response> answer);
-    }
+  /** What the owner of the tables does with a call; it answers once, maybe later. */
+  interface Owner {
+    void take(OperatorApi.Request request, Consumer<OperatorApi.Response> answer);
+  }
 
-    /** The operator's calls, each handed to the owner of the tables; a thread is held only while bytes travel. */
-    static HttpServer operator(final String address, final AgentContext pulse, final Owner owner) {
-        final Executor pool = pool("call", CALL_THREADS);
-        return server(address, exchange -> {
-            final OperatorApi.Request request = read(exchange);
-            final CompletableFuture<OperatorApi.Response> promise = new CompletableFuture<>();
-            promise.thenAcceptAsync(answer -> reply(exchange, answer), pool);
-            pulse.post(() -> {
+  /**
+   * The operator's calls, each handed to the owner of the tables; a thread is held only while bytes
+   * travel.
+   */
+  static HttpServer operator(final String address, final AgentContext pulse, final Owner owner) {
+    final Executor pool = pool("call", CALL_THREADS);
+    return server(
+        address,
+        exchange -> {
+          final OperatorApi.Request request = read(exchange);
+          final CompletableFuture<OperatorApi.Response> promise = new CompletableFuture<>();
+          promise.thenAcceptAsync(answer -> reply(exchange, answer), pool);
+          pulse.post(
+              () -> {
                 pulse.after(request.patienceMs(), () -> promise.complete(NO_ANSWER));
                 try {
-                    owner.take(request, promise::complete);
+                  owner.take(request, promise::complete);
                 } catch (final RuntimeException defect) {
-                    LogEvent.TURN_DEFECT.warn("an operator's call", defect);
-                    promise.complete(NO_ANSWER);
+                  LogEvent.TURN_DEFECT.warn("an operator's call", defect);
+                  promise.complete(NO_ANSWER);
                 }
-            });
-        }, pool);
-    }
+              });
+        },
+        pool);
+  }
 
-    /** Reads large bodies on a thread of its own, which shares nothing with the owner. */
-    static TaskExecutor reader(final AgentContext pulse) {
-        final Executor pool = pool("reader", 1);
-        return (blocking, afterwards) -> pool.execute(() -> {
-            try {
+  /** Reads large bodies on a thread of its own, which shares nothing with the owner. */
+  static TaskExecutor reader(final AgentContext pulse) {
+    final Executor pool = pool("reader", 1);
+    return (blocking, afterwards) ->
+        pool.execute(
+            () -> {
+              try {
                 blocking.run();
-            } finally {
+              } finally {
                 pulse.post(afterwards);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    private static Executor pool(final String name, final int threads) {
-        final ThreadPoolExecutor pool = new ThreadPoolExecutor(threads, threads, CALL_THREAD_IDLE_MS,
-            TimeUnit.MILLISECONDS, new LinkedBlockingQueue<>(), task -> {
-                final Thread thread = new Thread(null, task, name, 128 << 10);
-                thread.setDaemon(true);
-                return thread;
+  private static Executor pool(final String name, final int threads) {
+    final ThreadPoolExecutor pool =
+        new ThreadPoolExecutor(
+            threads,
+            threads,
+            CALL_THREAD_IDLE_MS,
+            TimeUnit.MILLISECONDS,
+            new LinkedBlockingQueue<>(),
+            task -> {
+              final Thread thread = new Thread(null, task, name, 128 << 10);
+              thread.setDaemon(true);
+              return thread;
             });
-        pool.allowCoreThreadTimeOut(true);
-        return pool;
-    }
+    pool.allowCoreThreadTimeOut(true);
+    return pool;
+  }
 
-    private static OperatorApi.Request read(final HttpExchange exchange) throws IOException {
-        final InputStream in = exchange.getRequestBody();
-        final byte[] body = in.readNBytes(CONFIG_BYTES + 1);
-        final byte[] rest = new byte[16 << 10];
-        for (int more = body.length; more > CONFIG_BYTES && more < CALL_READ_MOST;) {
-            final int count = in.read(rest);
-            more = count < 0 ? CALL_READ_MOST : more + count;
-        }
-        // As HTTP joins a header that was sent more than once: whoever reads it sees that.
-        final List<String> bases = exchange.getRequestHeaders().get("Base-Version");
-        return new OperatorApi.Request(exchange.getRequestMethod(), exchange.getRequestURI().getPath(),
-            bases == null ? null : String.join(", ", bases), body);
+  private static OperatorApi.Request read(final HttpExchange exchange) throws IOException {
+    final InputStream in = exchange.getRequestBody();
+    final byte[] body = in.readNBytes(CONFIG_BYTES + 1);
+    final byte[] rest = new byte[16 << 10];
+    for (int more = body.length; more > CONFIG_BYTES && more < CALL_READ_MOST; ) {
+      final int count = in.read(rest);
+      more = count < 0 ? CALL_READ_MOST : more + count;
     }
+    // As HTTP joins a header that was sent more than once: whoever reads it sees that.
+    final List<String> bases = exchange.getRequestHeaders().get("Base-Version");
+    return new OperatorApi.Request(
+        exchange.getRequestMethod(),
+        exchange.getRequestURI().getPath(),
+        bases == null ? null : String.join(", ", bases),
+        body);
+  }
 
-    private static void reply(final HttpExchange exchange, final OperatorApi.Response answer) {
-        try {
-            if (answer.status() == 307) {
-                exchange.getResponseHeaders().set("Location", "http://" + SocketAddresses.ip(answer.leaderAddress()) + ":"
-                    + exchange.getLocalAddress().getPort() + exchange.getRequestURI());
-            }
-            answer(exchange, answer.status(), answer.json());
-        } catch (final IOException defect) {
-            // Its caller has gone, and asks again where it wants to know.
-            exchange.close();
-        }
+  private static void reply(final HttpExchange exchange, final OperatorApi.Response answer) {
+    try {
+      if (answer.status() == 307) {
+        exchange
+            .getResponseHeaders()
+            .set(
+                "Location",
+                "http://"
+                    + SocketAddresses.ip(answer.leaderAddress())
+                    + ":"
+                    + exchange.getLocalAddress().getPort()
+                    + exchange.getRequestURI());
+      }
+      answer(exchange, answer.status(), answer.json());
+    } catch (final IOException defect) {
+      // Its caller has gone, and asks again where it wants to know.
+      exchange.close();
     }
+  }
 
-    private static void answer(final HttpExchange exchange, final int status, final String json) throws IOException {
-        final byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > 0) {
-            exchange.getResponseHeaders().set("Content-Type", "application/json");
-        }
-        exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
-        try (OutputStream out = exchange.getResponseBody()) {
-            out.write(bytes);
-        }
-        exchange.close();
+  private static void answer(final HttpExchange exchange, final int status, final String json)
+      throws IOException {
+    final byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
+    if (bytes.length > 0) {
+      exchange.getResponseHeaders().set("Content-Type", "application/json");
+    }
+    exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
+    try (OutputStream out = exchange.getResponseBody()) {
+      out.write(bytes);
     }
+    exchange.close();
+  }
 }
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -1,7 +1,7 @@
 package yewjunction.server;
 
-import yewjunction.common.ExitCode;
-import yewjunction.membership.NodeRole;
+import static yewjunction.common.Limits.SETTINGS_LOOK_MS;
+
 import java.nio.file.Path;
 import java.time.Instant;
 import java.util.List;
@@ -9,199 +9,218 @@
 import java.util.function.IntConsumer;
 import org.agrona.concurrent.AgentRunner;
 import org.agrona.concurrent.NoOpIdleStrategy;
+import yewjunction.common.ExitCode;
+import yewjunction.common.LogEvent;
 import yewjunction.common.MessageCodec;
 import yewjunction.common.YewjunctionException;
-import yewjunction.common.LogEvent;
-import yewjunction.transport.SocketAddresses;
-import yewjunction.transport.UdpTransport;
-import yewjunction.raft.Disk;
-import yewjunction.raft.LocalDisk;
-import yewjunction.raft.InMemoryDisk;
-import yewjunction.transport.EventLoopAgent;
-import yewjunction.transport.TcpClientConnection;
-import yewjunction.transport.TcpPeerTransport;
+import yewjunction.maintenance.MaintenanceWindows;
+import yewjunction.membership.Member;
+import yewjunction.membership.MembershipList;
+import yewjunction.membership.NodeRole;
 import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
 import yewjunction.node.StoreNode;
-import yewjunction.membership.MembershipList;
-import yewjunction.membership.Member;
+import yewjunction.raft.Disk;
+import yewjunction.raft.InMemoryDisk;
+import yewjunction.raft.LocalDisk;
 import yewjunction.settings.Settings;
-import yewjunction.maintenance.MaintenanceWindows;
-
-import static yewjunction.common.Limits.SETTINGS_LOOK_MS;
+import yewjunction.transport.EventLoopAgent;
+import yewjunction.transport.SocketAddresses;
+import yewjunction.transport.TcpClientConnection;
+import yewjunction.transport.TcpPeerTransport;
+import yewjunction.transport.UdpTransport;
 
 /** What all processes share: the agent, peer links, the roster, signals, the settings file. */
 public final class ServerProcess {
-    private final Settings settings;
-    private final EventLoopAgent loom;
-    private final MembershipList roster;
-    private final Node node;
-    private final SettingsReloader file;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private SignalHandlers signals = new SignalHandlers();
-    private String calendar;
-    private boolean stopping;
-    /** Written by the owner before it ends, read by whoever awaited that. */
-    private RuntimeException startDefect;
-
-    public ServerProcess(final SettingsReloader file, final Settings settings, final NodeRole role) {
-        this.file = file;
-        this.settings = settings;
-        final String address = settings.address(role == NodeRole.CONTROL ? Settings.CONTROL_PORT_OFFSET : Settings.DATA_PORT_OFFSET);
-        // Drawn anew at each start: tells two lives at one address apart.
-        final long life = new java.security.SecureRandom().nextLong() >>> 1;
-        loom = new EventLoopAgent(life ^ System.nanoTime());
-        final MessageCodec codec = new MessageCodec();
-        yewjunction.raft.RaftMessages.know(codec);
-        yewjunction.membership.MembershipMessages.know(codec);
-        yewjunction.control.LeaseMessages.know(codec);
-        yewjunction.store.AdmissionMessages.know(codec);
-        yewjunction.fanout.FanoutMessages.know(codec);
-        final TcpPeerTransport wires = new TcpPeerTransport(loom, codec, SocketAddresses.parse(address));
-        final Member self = new Member();
-        self.address = address;
-        self.node = settings.node();
-        self.zone = settings.zone();
-        self.duty = role.wireName();
-        self.front = settings.front();
-        self.life = life;
-        self.begin(System.currentTimeMillis());
-        final UdpTransport datagrams = new UdpTransport(loom, codec, SocketAddresses.parse(address));
-        roster = new MembershipList(loom, self, datagrams::send);
-        datagrams.onLetter(roster::take);
-        node = switch (role) {
-            case CONTROL -> new ControlNode(loom, wires, disk(), worker(), roster, settings, life);
-            case STORE -> new StoreNode(loom, wires, disk(), worker(), roster, settings, life);
-            case EDGE -> new EdgeNode(loom, wires, roster, settings, life);
+  private final Settings settings;
+  private final EventLoopAgent loom;
+  private final MembershipList roster;
+  private final Node node;
+  private final SettingsReloader file;
+  private final CountDownLatch ended = new CountDownLatch(1);
+  private SignalHandlers signals = new SignalHandlers();
+  private String calendar;
+  private boolean stopping;
+
+  /** Written by the owner before it ends, read by whoever awaited that. */
+  private RuntimeException startDefect;
+
+  public ServerProcess(final SettingsReloader file, final Settings settings, final NodeRole role) {
+    this.file = file;
+    this.settings = settings;
+    final String address =
+        settings.address(
+            role == NodeRole.CONTROL ? Settings.CONTROL_PORT_OFFSET : Settings.DATA_PORT_OFFSET);
+    // Drawn anew at each start: tells two lives at one address apart.
+    final long life = new java.security.SecureRandom().nextLong() >>> 1;
+    loom = new EventLoopAgent(life ^ System.nanoTime());
+    final MessageCodec codec = new MessageCodec();
+    yewjunction.raft.RaftMessages.know(codec);
+    yewjunction.membership.MembershipMessages.know(codec);
+    yewjunction.control.LeaseMessages.know(codec);
+    yewjunction.store.AdmissionMessages.know(codec);
+    yewjunction.fanout.FanoutMessages.know(codec);
+    final TcpPeerTransport wires =
+        new TcpPeerTransport(loom, codec, SocketAddresses.parse(address));
+    final Member self = new Member();
+    self.address = address;
+    self.node = settings.node();
+    self.zone = settings.zone();
+    self.duty = role.wireName();
+    self.front = settings.front();
+    self.life = life;
+    self.begin(System.currentTimeMillis());
+    final UdpTransport datagrams = new UdpTransport(loom, codec, SocketAddresses.parse(address));
+    roster = new MembershipList(loom, self, datagrams::send);
+    datagrams.onLetter(roster::take);
+    node =
+        switch (role) {
+          case CONTROL -> new ControlNode(loom, wires, disk(), worker(), roster, settings, life);
+          case STORE -> new StoreNode(loom, wires, disk(), worker(), roster, settings, life);
+          case EDGE -> new EdgeNode(loom, wires, roster, settings, life);
         };
+  }
+
+  private BlockingTaskExecutor worker() {
+    return new BlockingTaskExecutor(loom, Runtime.getRuntime()::halt);
+  }
+
+  /** Whose signals it takes; those of a process of its own. */
+  public ServerProcess signalled(final SignalHandlers chosenSignals) {
+    signals = chosenSignals;
+    return this;
+  }
+
+  /** Planned work from calendar files; read again with the settings. */
+  public ServerProcess planned(final String chosenCalendar) {
+    calendar = chosenCalendar;
+    readCalendar();
+    return this;
+  }
+
+  private void readCalendar() {
+    if (calendar != null) {
+      final MaintenanceWindows windows = MaintenanceWindows.read(Path.of(calendar));
+      windows.bad().forEach(LogEvent.CALENDAR_BAD::warn);
+      roster.planned(peer -> windows.explains(Instant.now(), List.of(peer.node, peer.zone)));
     }
-
-    private BlockingTaskExecutor worker() {
-        return new BlockingTaskExecutor(loom, Runtime.getRuntime()::halt);
-    }
-
-    /** Whose signals it takes; those of a process of its own. */
-    public ServerProcess signalled(final SignalHandlers chosenSignals) {
-        signals = chosenSignals;
-        return this;
-    }
-
-    /** Planned work from calendar files; read again with the settings. */
-    public ServerProcess planned(final String chosenCalendar) {
-        calendar = chosenCalendar;
-        readCalendar();
-        return this;
-    }
-
-    private void readCalendar() {
-        if (calendar != null) {
-            final MaintenanceWindows windows = MaintenanceWindows.read(Path.of(calendar));
-            windows.bad().forEach(LogEvent.CALENDAR_BAD::warn);
-            roster.planned(peer -> windows.explains(Instant.now(), List.of(peer.node, peer.zone)));
-        }
+  }
+
+  private Disk disk() {
+    return settings.dataFolder().isEmpty()
+        ? new InMemoryDisk()
+        : new LocalDisk(Path.of(settings.dataFolder()));
+  }
+
+  /** Opens the doors to the outside that this duty has. */
+  private void listen() {
+    if (node instanceof ControlNode crux) {
+      crux.desk().readBy(HttpEndpoint.reader(loom));
+      HttpEndpoint.operator(settings.control(), loom, crux.desk()::take);
+    } else if (node instanceof EdgeNode edge) {
+      TcpClientConnection.listen(loom, SocketAddresses.parse(settings.front()), edge::greet);
+      HttpEndpoint.readiness(settings.ready(), edge::ready);
     }
-
-    private Disk disk() {
-        return settings.dataFolder().isEmpty() ? new InMemoryDisk() : new LocalDisk(Path.of(settings.dataFolder()));
-    }
-
-    /** Opens the doors to the outside that this duty has. */
-    private void listen() {
-        if (node instanceof ControlNode crux) {
-            crux.desk().readBy(HttpEndpoint.reader(loom));
-            HttpEndpoint.operator(settings.control(), loom, crux.desk()::take);
-        } else if (node instanceof EdgeNode edge) {
-            TcpClientConnection.listen(loom, SocketAddresses.parse(settings.front()), edge::greet);
-            HttpEndpoint.readiness(settings.ready(), edge::ready);
-        }
-    }
-
-    /** Runs until told to stop. */
-    public int run() {
-        final AgentRunner runner = new AgentRunner(NoOpIdleStrategy.INSTANCE,
-            defect -> broken(defect, Runtime.getRuntime()::halt), null, loom);
-        loom.post(this::start);
-        // Behind the start: a signal that came early finds a process that has started.
-        signals.deliver(kind -> loom.post(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::hungUp));
-        loom.every(SETTINGS_LOOK_MS, () -> {
-            if (file.due()) {
-                reread();
-            }
+  }
+
+  /** Runs until told to stop. */
+  public int run() {
+    final AgentRunner runner =
+        new AgentRunner(
+            NoOpIdleStrategy.INSTANCE,
+            defect -> broken(defect, Runtime.getRuntime()::halt),
+            null,
+            loom);
+    loom.post(this::start);
+    // Behind the start: a signal that came early finds a process that has started.
+    signals.deliver(
+        kind -> loom.post(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::hungUp));
+    loom.every(
+        SETTINGS_LOOK_MS,
+        () -> {
+          if (file.due()) {
+            reread();
+          }
         });
-        AgentRunner.startOnThread(runner);
-        try {
-            ended.await();
-        } catch (final InterruptedException defect) {
-            Thread.currentThread().interrupt();
-        }
-        if (startDefect != null) {
-            throw startDefect;
-        }
-        return ExitCode.OK;
-    }
-
-    private void start() {
-        try {
-            roster.start(settings.coreAddresses());
-            node.start();
-            listen();
-            LogEvent.STARTED.info(settings.node() + " " + settings.role());
-        } catch (final RuntimeException defect) {
-            // A process without its doors serves nobody, and nobody would notice: it ends and says why.
-            stopping = true;
-            startDefect = defect;
-            ended.countDown();
-        }
+    AgentRunner.startOnThread(runner);
+    try {
+      ended.await();
+    } catch (final InterruptedException defect) {
+      Thread.currentThread().interrupt();
     }
-
-    /** What one turn can't contain: after an error tables may be half changed, and only the disk says what was promised. */
-    static void broken(final Throwable defect, final IntConsumer ending) {
-        try {
-            LogEvent.TURN_DEFECT.warn("loom", defect);
-        } finally {
-            if (defect instanceof Error) {
-                ending.accept(ExitCode.UNEXPECTED_ERROR);
-            }
-        }
+    if (startDefect != null) {
+      throw startDefect;
     }
-
-    private void stopOnce() {
-        if (!stopping) {
-            stopping = true;
-            LogEvent.STOPPING.info(settings.node() + " " + settings.role());
-            try {
-                node.stop(this::end);
-            } catch (final RuntimeException defect) {
-                // What it could not give up in order ends as by a kill, and at once rather than after the platform's grace.
-                LogEvent.TURN_DEFECT.warn("stop", defect);
-                end();
-            }
-        }
+    return ExitCode.OK;
+  }
+
+  private void start() {
+    try {
+      roster.start(settings.coreAddresses());
+      node.start();
+      listen();
+      LogEvent.STARTED.info(settings.node() + " " + settings.role());
+    } catch (final RuntimeException defect) {
+      // A process without its doors serves nobody, and nobody would notice: it ends and says why.
+      stopping = true;
+      startDefect = defect;
+      ended.countDown();
     }
-
-    private void end() {
-        // One more turn, so that what is written in this one leaves; armed first, so that it ends whatever fails here.
-        loom.after(20, ended::countDown);
-        roster.leave();
-        LogEvent.STOPPED.info(settings.node() + " " + settings.role());
+  }
+
+  /**
+   * What one turn can't contain: after an error tables may be half changed, and only the disk says
+   * what was promised.
+   */
+  static void broken(final Throwable defect, final IntConsumer ending) {
+    try {
+      LogEvent.TURN_DEFECT.warn("loom", defect);
+    } finally {
+      if (defect instanceof Error) {
+        ending.accept(ExitCode.UNEXPECTED_ERROR);
+      }
     }
-
-    private void hungUp() {
-        file.lookAgain();
-        reread();
+  }
+
+  private void stopOnce() {
+    if (!stopping) {
+      stopping = true;
+      LogEvent.STOPPING.info(settings.node() + " " + settings.role());
+      try {
+        node.stop(this::end);
+      } catch (final RuntimeException defect) {
+        // What it could not give up in order ends as by a kill, and at once rather than after the
+        // platform's grace.
+        LogEvent.TURN_DEFECT.warn("stop", defect);
+        end();
+      }
     }
-
-    private void reread() {
-        try {
-            final Settings fresh = file.load();
-            roster.seeds(fresh.coreAddresses());
-            node.reread(fresh);
-            readCalendar();
-            LogEvent.SETTINGS_REREAD.info(file.toString());
-        } catch (final YewjunctionException defect) {
-            // The settings in force stay: a bad file must not stop a node that works.
-            LogEvent.SETTINGS_BAD.warn(defect.code() + " " + defect.getMessage());
-        }
+  }
+
+  private void end() {
+    // One more turn, so that what is written in this one leaves; armed first, so that it ends
+    // whatever fails here.
+    loom.after(20, ended::countDown);
+    roster.leave();
+    LogEvent.STOPPED.info(settings.node() + " " + settings.role());
+  }
+
+  private void hungUp() {
+    file.lookAgain();
+    reread();
+  }
+
+  private void reread() {
+    try {
+      final Settings fresh = file.load();
+      roster.seeds(fresh.coreAddresses());
+      node.reread(fresh);
+      readCalendar();
+      LogEvent.SETTINGS_REREAD.info(file.toString());
+    } catch (final YewjunctionException defect) {
+      // The settings in force stay: a bad file must not stop a node that works.
+      LogEvent.SETTINGS_BAD.warn(defect.code() + " " + defect.getMessage());
     }
+  }
 }
--- a/src/main/java/yewjunction/server/SettingsReloader.java
+++ b/src/main/java/yewjunction/server/SettingsReloader.java
@@ -8,47 +8,55 @@
 
 /** The settings file, which somebody else writes at any moment, with a signal or without. */
 public final class SettingsReloader {
-    private final Path file;
-    /** The file's time and size before it was last read; null where it could not be looked at. */
-    private String readState;
-    /** The writer may still have been at it, within one tick of the file's clock: read once more at the next look. */
-    private boolean again;
-
-    public SettingsReloader(final Path file) {
-        this.file = file;
+  private final Path file;
+
+  /** The file's time and size before it was last read; null where it could not be looked at. */
+  private String readState;
+
+  /**
+   * The writer may still have been at it, within one tick of the file's clock: read once more at
+   * the next look.
+   */
+  private boolean again;
+
+  public SettingsReloader(final Path file) {
+    this.file = file;
+  }
+
+  /**
+   * Looked at first and read then: what is written between the two shows as a change at the next
+   * look.
+   */
+  public Settings load() {
+    readState = state();
+    return Settings.load(file);
+  }
+
+  /** To be read at the next look, whatever its time says. */
+  void lookAgain() {
+    again = true;
+  }
+
+  /** Whether it is to be read: once for a change, and once more a look later. */
+  boolean due() {
+    final String state = state();
+    final boolean changed = state != null && !state.equals(readState);
+    final boolean due = changed || again;
+    again = changed;
+    return due;
+  }
+
+  private String state() {
+    try {
+      final BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+      return attributes.lastModifiedTime().toMillis() + " " + attributes.size();
+    } catch (final IOException defect) {
+      return null;
     }
+  }
 
-    /** Looked at first and read then: what is written between the two shows as a change at the next look. */
-    public Settings load() {
-        readState = state();
-        return Settings.load(file);
-    }
-
-    /** To be read at the next look, whatever its time says. */
-    void lookAgain() {
-        again = true;
-    }
-
-    /** Whether it is to be read: once for a change, and once more a look later. */
-    boolean due() {
-        final String state = state();
-        final boolean changed = state != null && !state.equals(readState);
-        final boolean due = changed || again;
-        again = changed;
-        return due;
-    }
-
-    private String state() {
-        try {
-            final BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
-            return attributes.lastModifiedTime().toMillis() + " " + attributes.size();
-        } catch (final IOException defect) {
-            return null;
-        }
-    }
-
-    @Override
-    public String toString() {
-        return file.toString();
-    }
+  @Override
+  public String toString() {
+    return file.toString();
+  }
 }
--- a/src/main/java/yewjunction/settings/Settings.java
+++ b/src/main/java/yewjunction/settings/Settings.java
@@ -1,5 +1,9 @@
 package yewjunction.settings;
 
+import static yewjunction.common.ErrorCode.SETTINGS_FIELD;
+import static yewjunction.common.ErrorCode.SETTINGS_MISSING;
+import static yewjunction.common.ErrorCode.SETTINGS_UNREADABLE;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,138 +16,177 @@
 import org.yaml.snakeyaml.error.YAMLException;
 import yewjunction.transport.SocketAddresses;
 
-import static yewjunction.common.ErrorCode.SETTINGS_FIELD;
-import static yewjunction.common.ErrorCode.SETTINGS_MISSING;
-import static yewjunction.common.ErrorCode.SETTINGS_UNREADABLE;
-
 /** What a process is told. Unknown fields are ignored; missing or bad ones are named. */
-public record Settings(String node, String role, List<String> serves, String ip, String zone, String front, String ready,
-        String control, int firstPort, int lastPort, List<String> seeds, boolean founding, String dataFolder,
-        int lossesBorne, double pingS, double quotaWindowS, double quotaExcess, double quotaSlack,
-        long diskMb) {
-    /** Which of the program's ports of a machine is whose: two processes share one machine. */
-    public static final int DATA_PORT_OFFSET = 0;
-    public static final int CONTROL_PORT_OFFSET = 1;
-
-    public static Settings load(final Path file) {
-        final String text;
-        try {
-            text = Files.readString(file);
-        } catch (final IOException defect) {
-            throw new SettingsException(SETTINGS_MISSING, "cannot read " + file, defect);
-        }
-        return read(text);
-    }
-
-    public static Settings read(final String text) {
-        final Object tree;
-        try {
-            tree = new Yaml(new SafeConstructor(new LoaderOptions())).load(text);
-        } catch (final YAMLException defect) {
-            throw new SettingsException(SETTINGS_UNREADABLE, defect.getMessage(), defect);
-        }
-        if (!(tree instanceof Map<?, ?> map)) {
-            throw new SettingsException(SETTINGS_UNREADABLE, "not a map of fields");
-        }
-        return of(map);
+public record Settings(
+    String node,
+    String role,
+    List<String> serves,
+    String ip,
+    String zone,
+    String front,
+    String ready,
+    String control,
+    int firstPort,
+    int lastPort,
+    List<String> seeds,
+    boolean founding,
+    String dataFolder,
+    int lossesBorne,
+    double pingS,
+    double quotaWindowS,
+    double quotaExcess,
+    double quotaSlack,
+    long diskMb) {
+  /** Which of the program's ports of a machine is whose: two processes share one machine. */
+  public static final int DATA_PORT_OFFSET = 0;
+
+  public static final int CONTROL_PORT_OFFSET = 1;
+
+  public static Settings load(final Path file) {
+    final String text;
+    try {
+      text = Files.readString(file);
+    } catch (final IOException defect) {
+      throw new SettingsException(SETTINGS_MISSING, "cannot read " + file, defect);
     }
-
-    private static Settings of(final Map<?, ?> map) {
-        final Map<?, ?> listen = map(map, "Listen");
-        final Map<?, ?> bounds = map(map, "Bounds");
-        final Map<?, ?> tolerate = map(map, "Tolerate");
-        final List<String> serves = texts(map, "Serves");
-        final List<?> ports = list(map, "PortRange");
-        if (ports.size() != 2 || !(ports.get(0) instanceof Integer first) || !(ports.get(1) instanceof Integer last)
-            || first < 1 || last > 65_535 || last - first < CONTROL_PORT_OFFSET) {
-            throw new SettingsException(SETTINGS_FIELD, "PortRange: must be two ports with at least two numbers between them");
-        }
-        final boolean edge = serves.contains("edge");
-        final boolean disk = serves.contains("store") || serves.contains("ctl") && map.get("Datadir") != null;
-        final List<String> seeds = texts(map, "Seeds");
-        seeds.forEach(seed -> address(seed, "Seeds"));
-        final String ip = text(map, "Ip");
-        address(ip + ":1", "Ip");
-        return new Settings(text(map, "Nodename"), text(map, "Role"), serves, ip, text(map, "Az"),
-            edge ? listening(listen, "Fe") : "", edge ? listening(listen, "Ready") : "",
-            serves.contains("ctl") ? listening(listen, "Ctl") : "", first, last, seeds,
-            Boolean.TRUE.equals(map.get("Bootstrap")), disk ? text(map, "Datadir") : "",
-            (int) number(tolerate, "Mach", "Tolerate.Mach", 1), number(bounds, "PingS", "Bounds.PingS", 2),
-            number(bounds, "QuotaWinS", "Bounds.QuotaWinS", 5), number(bounds, "QuotaExcess", "Bounds.QuotaExcess", 0),
-            number(bounds, "QuotaSlack", "Bounds.QuotaSlack", 0), (long) number(map(map, "Lims"), "DiskMb", "Lims.DiskMb", 0));
+    return read(text);
+  }
+
+  public static Settings read(final String text) {
+    final Object tree;
+    try {
+      tree = new Yaml(new SafeConstructor(new LoaderOptions())).load(text);
+    } catch (final YAMLException defect) {
+      throw new SettingsException(SETTINGS_UNREADABLE, defect.getMessage(), defect);
     }
-
-    private static Map<?, ?> map(final Map<?, ?> from, final String field) {
-        final Object value = from.get(field);
-        if (value == null) {
-            return Map.of();
-        }
-        if (!(value instanceof Map<?, ?> map)) {
-            throw new SettingsException(SETTINGS_FIELD, field + ": must be a map");
-        }
-        return map;
+    if (!(tree instanceof Map<?, ?> map)) {
+      throw new SettingsException(SETTINGS_UNREADABLE, "not a map of fields");
     }
-
-    private static List<?> list(final Map<?, ?> from, final String field) {
-        if (!(from.get(field) instanceof List<?> list)) {
-            throw new SettingsException(SETTINGS_FIELD, field + ": must be a list");
-        }
-        return list;
+    return of(map);
+  }
+
+  private static Settings of(final Map<?, ?> map) {
+    final Map<?, ?> listen = map(map, "Listen");
+    final Map<?, ?> bounds = map(map, "Bounds");
+    final Map<?, ?> tolerate = map(map, "Tolerate");
+    final List<String> serves = texts(map, "Serves");
+    final List<?> ports = list(map, "PortRange");
+    if (ports.size() != 2
+        || !(ports.get(0) instanceof Integer first)
+        || !(ports.get(1) instanceof Integer last)
+        || first < 1
+        || last > 65_535
+        || last - first < CONTROL_PORT_OFFSET) {
+      throw new SettingsException(
+          SETTINGS_FIELD, "PortRange: must be two ports with at least two numbers between them");
     }
-
-    private static List<String> texts(final Map<?, ?> from, final String field) {
-        final List<String> texts = new ArrayList<>();
-        list(from, field).forEach(item -> texts.add(String.valueOf(item)));
-        return texts;
+    final boolean edge = serves.contains("edge");
+    final boolean disk =
+        serves.contains("store") || serves.contains("ctl") && map.get("Datadir") != null;
+    final List<String> seeds = texts(map, "Seeds");
+    seeds.forEach(seed -> address(seed, "Seeds"));
+    final String ip = text(map, "Ip");
+    address(ip + ":1", "Ip");
+    return new Settings(
+        text(map, "Nodename"),
+        text(map, "Role"),
+        serves,
+        ip,
+        text(map, "Az"),
+        edge ? listening(listen, "Fe") : "",
+        edge ? listening(listen, "Ready") : "",
+        serves.contains("ctl") ? listening(listen, "Ctl") : "",
+        first,
+        last,
+        seeds,
+        Boolean.TRUE.equals(map.get("Bootstrap")),
+        disk ? text(map, "Datadir") : "",
+        (int) number(tolerate, "Mach", "Tolerate.Mach", 1),
+        number(bounds, "PingS", "Bounds.PingS", 2),
+        number(bounds, "QuotaWinS", "Bounds.QuotaWinS", 5),
+        number(bounds, "QuotaExcess", "Bounds.QuotaExcess", 0),
+        number(bounds, "QuotaSlack", "Bounds.QuotaSlack", 0),
+        (long) number(map(map, "Lims"), "DiskMb", "Lims.DiskMb", 0));
+  }
+
+  private static Map<?, ?> map(final Map<?, ?> from, final String field) {
+    final Object value = from.get(field);
+    if (value == null) {
+      return Map.of();
     }
-
-    private static String text(final Map<?, ?> from, final String field) {
-        final Object value = from.get(field);
-        if (value == null || String.valueOf(value).isBlank()) {
-            throw new SettingsException(SETTINGS_FIELD, field + ": is missing");
-        }
-        return String.valueOf(value);
+    if (!(value instanceof Map<?, ?> map)) {
+      throw new SettingsException(SETTINGS_FIELD, field + ": must be a map");
     }
+    return map;
+  }
 
-    private static String listening(final Map<?, ?> listen, final String field) {
-        final Object value = listen.get(field);
-        if (value == null) {
-            throw new SettingsException(SETTINGS_FIELD, "Listen." + field + ": is missing");
-        }
-        address(String.valueOf(value), "Listen." + field);
-        return String.valueOf(value);
+  private static List<?> list(final Map<?, ?> from, final String field) {
+    if (!(from.get(field) instanceof List<?> list)) {
+      throw new SettingsException(SETTINGS_FIELD, field + ": must be a list");
     }
-
-    private static void address(final String text, final String field) {
-        try {
-            SocketAddresses.parse(text);
-        } catch (final IllegalArgumentException defect) {
-            throw new SettingsException(SETTINGS_FIELD, field + ": not an address ip:port: " + text, defect);
-        }
+    return list;
+  }
+
+  private static List<String> texts(final Map<?, ?> from, final String field) {
+    final List<String> texts = new ArrayList<>();
+    list(from, field).forEach(item -> texts.add(String.valueOf(item)));
+    return texts;
+  }
+
+  private static String text(final Map<?, ?> from, final String field) {
+    final Object value = from.get(field);
+    if (value == null || String.valueOf(value).isBlank()) {
+      throw new SettingsException(SETTINGS_FIELD, field + ": is missing");
     }
+    return String.valueOf(value);
+  }
 
-    private static double number(final Map<?, ?> from, final String field, final String path, final double otherwise) {
-        final Object value = from.get(field);
-        if (value == null) {
-            return otherwise;
-        }
-        if (!(value instanceof Number number) || number.doubleValue() < 0) {
-            throw new SettingsException(SETTINGS_FIELD, path + ": must be a number of 0 or more");
-        }
-        return number.doubleValue();
+  private static String listening(final Map<?, ?> listen, final String field) {
+    final Object value = listen.get(field);
+    if (value == null) {
+      throw new SettingsException(SETTINGS_FIELD, "Listen." + field + ": is missing");
     }
-
-    /** Peer addresses of the cruxes on the seeds' machines: ports are alike on all. */
-    public List<String> coreAddresses() {
-        return seeds.stream().map(seed -> SocketAddresses.ip(seed) + ":" + (firstPort + CONTROL_PORT_OFFSET)).distinct().toList();
+    address(String.valueOf(value), "Listen." + field);
+    return String.valueOf(value);
+  }
+
+  private static void address(final String text, final String field) {
+    try {
+      SocketAddresses.parse(text);
+    } catch (final IllegalArgumentException defect) {
+      throw new SettingsException(
+          SETTINGS_FIELD, field + ": not an address ip:port: " + text, defect);
     }
+  }
 
-    /** Two copies must outlast the losses to be borne: so many voters make a majority without them. */
-    public int votersNeeded() {
-        return 2 * Math.max(1, lossesBorne) + 1;
+  private static double number(
+      final Map<?, ?> from, final String field, final String path, final double otherwise) {
+    final Object value = from.get(field);
+    if (value == null) {
+      return otherwise;
     }
-
-    public String address(final int offset) {
-        return ip + ":" + (firstPort + offset);
+    if (!(value instanceof Number number) || number.doubleValue() < 0) {
+      throw new SettingsException(SETTINGS_FIELD, path + ": must be a number of 0 or more");
     }
+    return number.doubleValue();
+  }
+
+  /** Peer addresses of the cruxes on the seeds' machines: ports are alike on all. */
+  public List<String> coreAddresses() {
+    return seeds.stream()
+        .map(seed -> SocketAddresses.ip(seed) + ":" + (firstPort + CONTROL_PORT_OFFSET))
+        .distinct()
+        .toList();
+  }
+
+  /**
+   * Two copies must outlast the losses to be borne: so many voters make a majority without them.
+   */
+  public int votersNeeded() {
+    return 2 * Math.max(1, lossesBorne) + 1;
+  }
+
+  public String address(final int offset) {
+    return ip + ":" + (firstPort + offset);
+  }
 }
--- a/src/main/java/yewjunction/store/AdmissionMessages.java
+++ b/src/main/java/yewjunction/store/AdmissionMessages.java
@@ -4,28 +4,33 @@
 
 /** What edges and the leading vault say to one another about new messages. */
 public final class AdmissionMessages {
-    private AdmissionMessages() {
-    }
-
-    public static final int ACCEPTED = 1;
-    /** A promise: this number is not accepted and never will be. */
-    public static final int DENIED = 2;
-    /** Not the leader: nothing was done here. */
-    public static final int ELSEWHERE = 3;
-
-    public static void know(final MessageCodec codec) {
-        codec.know(70, AdmitRequest.class).know(71, AdmitResponse.class);
-    }
-
-    public static final class AdmitRequest {
-        public long request;
-        public StoredMessage message;
-        /** Not to be accepted any more: asks for the leader's promise that it never will be, or for its word that it was. */
-        public Boolean revoked;
-    }
-
-    public static final class AdmitResponse {
-        public long request;
-        public int what;
-    }
+  private AdmissionMessages() {}
+
+  public static final int ACCEPTED = 1;
+
+  /** A promise: this number is not accepted and never will be. */
+  public static final int DENIED = 2;
+
+  /** Not the leader: nothing was done here. */
+  public static final int ELSEWHERE = 3;
+
+  public static void know(final MessageCodec codec) {
+    codec.know(70, AdmitRequest.class).know(71, AdmitResponse.class);
+  }
+
+  public static final class AdmitRequest {
+    public long request;
+    public StoredMessage message;
+
+    /**
+     * Not to be accepted any more: asks for the leader's promise that it never will be, or for its
+     * word that it was.
+     */
+    public Boolean revoked;
+  }
+
+  public static final class AdmitResponse {
+    public long request;
+    public int what;
+  }
 }
--- a/src/main/java/yewjunction/store/BorrowingAccounts.java
+++ b/src/main/java/yewjunction/store/BorrowingAccounts.java
@@ -10,157 +10,183 @@
 import yewjunction.common.LogEvent;
 import yewjunction.control.AccountBalance;
 
-/** The accounts of all tenants that borrow ahead or still owe: part of the state that the vaults' log drives. */
+/**
+ * The accounts of all tenants that borrow ahead or still owe: part of the state that the vaults'
+ * log drives.
+ */
 final class BorrowingAccounts {
-    private final Map<String, BorrowingAccount> byTenant = new TreeMap<>();
-    /** The configuration whose terms are in force. */
-    private long version;
-    /** The newest log time, and when this vault heard it by its own steady clock. */
-    private long stampMs;
-    private long heardMs;
-    /** Told of an account that ends, with what it held; null in a leader's copy, which also logs nothing. */
-    private final BiConsumer<String, Long> ended;
-
-    BorrowingAccounts(final BiConsumer<String, Long> ended) {
-        this.ended = ended;
-    }
-
-    /** As a snapshot holds it. */
-    static final class Snapshot {
-        long version;
-        long stampMs;
-        List<BorrowingAccount> accounts = new ArrayList<>();
-    }
-
-    boolean none() {
-        return byTenant.isEmpty();
-    }
-
-    long version() {
-        return version;
-    }
-
-    BorrowingAccount of(final String tenant) {
-        return byTenant.get(tenant);
-    }
-
-    Iterable<BorrowingAccount> all() {
-        return byTenant.values();
-    }
-
-    /**
-     * Log time as far as this vault can tell: the newest stamp and what has passed here since. What was not counted, as
-     * between two leaders or while all were down, makes a debt fall later, never sooner.
-     */
-    long timeMs(final long nowMs) {
-        return stampMs + Math.max(0, nowMs - heardMs);
-    }
-
-    /** What the accounts will be once all that is in flight is applied; its time goes on from here. */
-    BorrowingAccounts ahead() {
-        final BorrowingAccounts copy = new BorrowingAccounts(null);
-        byTenant.forEach((tenant, account) -> copy.byTenant.put(tenant, account.copy()));
-        copy.version = version;
-        copy.stampMs = stampMs;
-        copy.heardMs = heardMs;
-        return copy;
-    }
-
-    /** An entry that was admitted while the tenant had no account bears no stamp and changes nothing. */
-    void apply(final long index, final StoredMessage message, final long nowMs) {
-        if (message.stampMs == null) {
-            return;
-        }
-        // Invariant: log time never goes back.
-        if (message.stampMs < stampMs) {
-            throw new IllegalStateException("stamp " + message.stampMs + " after " + stampMs);
-        }
-        stampMs = message.stampMs;
-        heardMs = nowMs;
-        if (message.change == null) {
-            charge(index, message.tenant, stampMs);
-        } else {
-            change(index, message.change, stampMs);
-        }
-    }
-
-    void charge(final long index, final String tenant, final long atMs) {
-        final BorrowingAccount account = byTenant.get(tenant);
-        final long before = account.debt;
-        account.charge(atMs);
-        account.index = index;
-        told(account, before);
-    }
-
-    private void told(final BorrowingAccount account, final long before) {
-        if (ended != null && before == 0 && account.debt > 0) {
-            LogEvent.BORROWING_BEGAN.info(account.terms.tenant + " at " + account.index);
-        } else if (ended != null && before > 0 && account.debt == 0) {
-            LogEvent.DEBT_REPAID.info(account.terms.tenant + " at " + account.index + ", in all " + account.repaid / BorrowingAccount.ONE);
-        }
-    }
-
-    void change(final long index, final BorrowingTerms.TermsChange change, final long atMs) {
-        byTenant.values().forEach(account -> {
-            final long before = account.debt;
-            account.refill(atMs);
-            account.index = index;
-            told(account, before);
-        });
-        if (change.version >= version && change.version > 0) {
-            version = change.version;
-            agree(index, change.terms, atMs);
-        }
-    }
-
-    private void agree(final long index, final List<BorrowingTerms> all, final long atMs) {
-        final Set<String> named = new HashSet<>();
-        for (final BorrowingTerms terms : all) {
-            named.add(terms.tenant);
-            final BorrowingAccount account = byTenant.computeIfAbsent(terms.tenant, key -> {
+  private final Map<String, BorrowingAccount> byTenant = new TreeMap<>();
+
+  /** The configuration whose terms are in force. */
+  private long version;
+
+  /** The newest log time, and when this vault heard it by its own steady clock. */
+  private long stampMs;
+
+  private long heardMs;
+
+  /**
+   * Told of an account that ends, with what it held; null in a leader's copy, which also logs
+   * nothing.
+   */
+  private final BiConsumer<String, Long> ended;
+
+  BorrowingAccounts(final BiConsumer<String, Long> ended) {
+    this.ended = ended;
+  }
+
+  /** As a snapshot holds it. */
+  static final class Snapshot {
+    long version;
+    long stampMs;
+    List<BorrowingAccount> accounts = new ArrayList<>();
+  }
+
+  boolean none() {
+    return byTenant.isEmpty();
+  }
+
+  long version() {
+    return version;
+  }
+
+  BorrowingAccount of(final String tenant) {
+    return byTenant.get(tenant);
+  }
+
+  Iterable<BorrowingAccount> all() {
+    return byTenant.values();
+  }
+
+  /**
+   * Log time as far as this vault can tell: the newest stamp and what has passed here since. What
+   * was not counted, as between two leaders or while all were down, makes a debt fall later, never
+   * sooner.
+   */
+  long timeMs(final long nowMs) {
+    return stampMs + Math.max(0, nowMs - heardMs);
+  }
+
+  /**
+   * What the accounts will be once all that is in flight is applied; its time goes on from here.
+   */
+  BorrowingAccounts ahead() {
+    final BorrowingAccounts copy = new BorrowingAccounts(null);
+    byTenant.forEach((tenant, account) -> copy.byTenant.put(tenant, account.copy()));
+    copy.version = version;
+    copy.stampMs = stampMs;
+    copy.heardMs = heardMs;
+    return copy;
+  }
+
+  /**
+   * An entry that was admitted while the tenant had no account bears no stamp and changes nothing.
+   */
+  void apply(final long index, final StoredMessage message, final long nowMs) {
+    if (message.stampMs == null) {
+      return;
+    }
+    // Invariant: log time never goes back.
+    if (message.stampMs < stampMs) {
+      throw new IllegalStateException("stamp " + message.stampMs + " after " + stampMs);
+    }
+    stampMs = message.stampMs;
+    heardMs = nowMs;
+    if (message.change == null) {
+      charge(index, message.tenant, stampMs);
+    } else {
+      change(index, message.change, stampMs);
+    }
+  }
+
+  void charge(final long index, final String tenant, final long atMs) {
+    final BorrowingAccount account = byTenant.get(tenant);
+    final long before = account.debt;
+    account.charge(atMs);
+    account.index = index;
+    told(account, before);
+  }
+
+  private void told(final BorrowingAccount account, final long before) {
+    if (ended != null && before == 0 && account.debt > 0) {
+      LogEvent.BORROWING_BEGAN.info(account.terms.tenant + " at " + account.index);
+    } else if (ended != null && before > 0 && account.debt == 0) {
+      LogEvent.DEBT_REPAID.info(
+          account.terms.tenant
+              + " at "
+              + account.index
+              + ", in all "
+              + account.repaid / BorrowingAccount.ONE);
+    }
+  }
+
+  void change(final long index, final BorrowingTerms.TermsChange change, final long atMs) {
+    byTenant
+        .values()
+        .forEach(
+            account -> {
+              final long before = account.debt;
+              account.refill(atMs);
+              account.index = index;
+              told(account, before);
+            });
+    if (change.version >= version && change.version > 0) {
+      version = change.version;
+      agree(index, change.terms, atMs);
+    }
+  }
+
+  private void agree(final long index, final List<BorrowingTerms> all, final long atMs) {
+    final Set<String> named = new HashSet<>();
+    for (final BorrowingTerms terms : all) {
+      named.add(terms.tenant);
+      final BorrowingAccount account =
+          byTenant.computeIfAbsent(
+              terms.tenant,
+              key -> {
                 final BorrowingAccount fresh = new BorrowingAccount();
                 fresh.tokens = terms.firstTokens;
                 fresh.atMs = atMs;
                 fresh.index = index;
                 return fresh;
-            });
-            account.agree(terms.copy());
+              });
+      account.agree(terms.copy());
+    }
+    for (final BorrowingAccount account : new ArrayList<>(byTenant.values())) {
+      if (!named.contains(account.terms.tenant) && account.debt == 0) {
+        byTenant.remove(account.terms.tenant);
+        if (ended != null) {
+          ended.accept(account.terms.tenant, account.tokens);
         }
-        for (final BorrowingAccount account : new ArrayList<>(byTenant.values())) {
-            if (!named.contains(account.terms.tenant) && account.debt == 0) {
-                byTenant.remove(account.terms.tenant);
-                if (ended != null) {
-                    ended.accept(account.terms.tenant, account.tokens);
-                }
-            }
-        }
-    }
-
-    List<AccountBalance> balances() {
-        final List<AccountBalance> balances = new ArrayList<>();
-        byTenant.values().forEach(account -> balances.add(account.balance()));
-        return balances;
-    }
-
-    /** Null where nobody has borrowed yet: snapshots are then as they were. */
-    Snapshot saved() {
-        if (stampMs == 0 && byTenant.isEmpty()) {
-            return null;
-        }
-        final Snapshot saved = new Snapshot();
-        saved.version = version;
-        saved.stampMs = stampMs;
-        saved.accounts.addAll(byTenant.values());
-        return saved;
-    }
-
-    void restore(final Snapshot saved, final long nowMs) {
-        byTenant.clear();
-        heardMs = nowMs;
-        version = saved == null ? 0 : saved.version;
-        stampMs = saved == null ? 0 : saved.stampMs;
-        if (saved != null) {
-            saved.accounts.forEach(account -> byTenant.put(account.terms.tenant, account));
-        }
-    }
+      }
+    }
+  }
+
+  List<AccountBalance> balances() {
+    final List<AccountBalance> balances = new ArrayList<>();
+    byTenant.values().forEach(account -> balances.add(account.balance()));
+    return balances;
+  }
+
+  /** Null where nobody has borrowed yet: snapshots are then as they were. */
+  Snapshot saved() {
+    if (stampMs == 0 && byTenant.isEmpty()) {
+      return null;
+    }
+    final Snapshot saved = new Snapshot();
+    saved.version = version;
+    saved.stampMs = stampMs;
+    saved.accounts.addAll(byTenant.values());
+    return saved;
+  }
+
+  void restore(final Snapshot saved, final long nowMs) {
+    byTenant.clear();
+    heardMs = nowMs;
+    version = saved == null ? 0 : saved.version;
+    stampMs = saved == null ? 0 : saved.stampMs;
+    if (saved != null) {
+      saved.accounts.forEach(account -> byTenant.put(account.terms.tenant, account));
+    }
+  }
 }
--- a/src/main/java/yewjunction/store/BorrowingTerms.java
+++ b/src/main/java/yewjunction/store/BorrowingTerms.java
@@ -5,35 +5,45 @@
 
 /** On what terms one tenant borrows; in thousandths of a message, the share in millionths. */
 final class BorrowingTerms {
-    String tenant = "";
-    /** A second. */
-    long rate;
-    long depth;
-    long borrowMax;
-    long repayPpm;
-    /** What a new account begins with: what the tenant's bucket held at the leader. */
-    long firstTokens;
-
-    /** Whether both say the same to an account that there is already. */
-    boolean same(final BorrowingTerms other) {
-        return tenant.equals(other.tenant) && rate == other.rate && depth == other.depth && borrowMax == other.borrowMax
-            && repayPpm == other.repayPpm;
-    }
-
-    BorrowingTerms copy() {
-        final BorrowingTerms copy = new BorrowingTerms();
-        copy.tenant = tenant;
-        copy.rate = rate;
-        copy.depth = depth;
-        copy.borrowMax = borrowMax;
-        copy.repayPpm = repayPpm;
-        return copy;
-    }
-
-    /** An entry of the vaults' log: the terms of all tenants that borrow or owe, or only that time has passed. */
-    static final class TermsChange {
-        /** Of the configuration that the terms were read from; 0 when only time has passed. */
-        long version;
-        List<BorrowingTerms> terms = new ArrayList<>();
-    }
+  String tenant = "";
+
+  /** A second. */
+  long rate;
+
+  long depth;
+  long borrowMax;
+  long repayPpm;
+
+  /** What a new account begins with: what the tenant's bucket held at the leader. */
+  long firstTokens;
+
+  /** Whether both say the same to an account that there is already. */
+  boolean same(final BorrowingTerms other) {
+    return tenant.equals(other.tenant)
+        && rate == other.rate
+        && depth == other.depth
+        && borrowMax == other.borrowMax
+        && repayPpm == other.repayPpm;
+  }
+
+  BorrowingTerms copy() {
+    final BorrowingTerms copy = new BorrowingTerms();
+    copy.tenant = tenant;
+    copy.rate = rate;
+    copy.depth = depth;
+    copy.borrowMax = borrowMax;
+    copy.repayPpm = repayPpm;
+    return copy;
+  }
+
+  /**
+   * An entry of the vaults' log: the terms of all tenants that borrow or owe, or only that time has
+   * passed.
+   */
+  static final class TermsChange {
+    /** Of the configuration that the terms were read from; 0 when only time has passed. */
+    long version;
+
+    List<BorrowingTerms> terms = new ArrayList<>();
+  }
 }
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -1,5 +1,8 @@
 package yewjunction.store;
 
+import static yewjunction.common.Limits.KEEP_SLACK_MS;
+import static yewjunction.common.Limits.VAULT_SWEEP_MS;
+
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
 import io.protostuff.Schema;
@@ -17,189 +20,194 @@
 import yewjunction.raft.StateMachine;
 import yewjunction.settings.Settings;
 
-import static yewjunction.common.Limits.KEEP_SLACK_MS;
-import static yewjunction.common.Limits.VAULT_SWEEP_MS;
-
 /** The kept messages of one vault, driven by the vaults' ledger. */
 public final class MessageStore implements StateMachine {
-    private static final Schema<StoredMessage> MESSAGES = RuntimeSchema.getSchema(StoredMessage.class);
-    private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
-    private final AgentContext pulse;
-    private final Listener watcher;
-    private final TreeMap<Long, StoredMessage> byIndex = new TreeMap<>();
-    private final Map<String, TopicMessages> byTopic = new HashMap<>();
-    final AcceptedNumbers numbers = new AcceptedNumbers();
-    final TenantRateLimiter quotas;
-    final BorrowingAccounts accounts;
-    private Configuration charter;
-    private long floor;
-
-    /** A topic's messages and the index of the last one dropped. */
-    private static final class TopicMessages {
-        final ArrayDeque<StoredMessage> messages = new ArrayDeque<>();
-        long floor;
-    }
-
-    static final class Snapshot {
-        List<StoredMessage> messages = new ArrayList<>();
-        List<AcceptedNumbers.SenderHistory> tracks = new ArrayList<>();
-        List<TopicFloor> floors = new ArrayList<>();
-        long floor;
-        /** Null while nobody borrows ahead. */
-        BorrowingAccounts.Snapshot accounts;
-    }
-
-    static final class TopicFloor {
-        String topic = "";
-        long index;
-    }
-
-    /** Told of what is new here. */
-    public interface Listener {
-        /** Whether this vault admitted it in its present leadership, so that it is counted already. */
-        boolean admittedHere(StoredMessage message);
-
-        void settledTo(long commit);
-
-        void leaderIs(String identity, boolean self);
-    }
-
-    public MessageStore(final AgentContext pulse, final Listener watcher, final Settings settings) {
-        this.pulse = pulse;
-        quotas = new TenantRateLimiter(settings.quotaWindowS(), settings.quotaExcess(), settings.quotaSlack(), pulse.nowMs());
-        this.watcher = watcher;
-        accounts = new BorrowingAccounts((tenant, tokens) -> quotas.continued(tenant, tokens, pulse.nowMs()));
-        pulse.every(VAULT_SWEEP_MS, this::sweep);
-    }
-
-    public void charter(final Configuration newCharter) {
-        charter = newCharter;
-        quotas.charter(newCharter);
-    }
-
-    static byte[] bytes(final StoredMessage message) {
-        return ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512));
-    }
-
-    @Override
-    public void apply(final long index, final byte[] data) {
-        final StoredMessage message = MESSAGES.newMessage();
-        ProtostuffIOUtil.mergeFrom(data, message, MESSAGES);
-        message.index = index;
-        message.atMs = pulse.nowMs();
-        accounts.apply(index, message, message.atMs);
-        if (message.change != null) {
-            // Of the accounts alone: no client sent it, and none gets it.
-            return;
-        }
-        numbers.accept(message.client, message.topic, message.number, message.atMs);
-        if (message.stampMs == null && !watcher.admittedHere(message)) {
-            quotas.count(message.tenant, message.atMs);
-        }
-        put(message);
-    }
-
-    private void put(final StoredMessage message) {
-        byIndex.put(message.index, message);
-        byTopic.computeIfAbsent(message.topic, key -> new TopicMessages()).messages.add(message);
-    }
-
-    /** Messages with an index above the one and up to the other, in order. */
-    public Collection<StoredMessage> between(final long after, final long upTo) {
-        return after >= upTo ? List.of() : byIndex.subMap(after, false, upTo, true).values();
-    }
-
-    /** A topic's messages behind a position, or null when one behind it was dropped. */
-    public List<StoredMessage> behind(final String topic, final long position) {
-        final TopicMessages shelf = byTopic.get(topic);
-        if (shelf == null) {
-            return List.of();
-        }
-        if (shelf.floor > position) {
-            return null;
-        }
-        final List<StoredMessage> found = new ArrayList<>();
-        for (final StoredMessage message : shelf.messages) {
-            if (message.index > position) {
-                found.add(message);
-            }
-        }
-        return found;
-    }
-
-    /** The index of the last message that was dropped. */
-    public long floor() {
-        return floor;
-    }
-
-    /** What tenants that borrow ahead hold and owe here. */
-    public List<AccountBalance> balances() {
-        return accounts.balances();
-    }
-
-    private void sweep() {
-        final long nowMs = pulse.nowMs();
-        numbers.sweep(nowMs);
-        byTopic.forEach((topic, shelf) -> {
-            final long keepMs = keepMs(topic);
-            while (!shelf.messages.isEmpty() && nowMs - shelf.messages.peek().atMs > keepMs) {
-                final StoredMessage dropped = shelf.messages.poll();
-                byIndex.remove(dropped.index);
-                shelf.floor = dropped.index;
-                floor = Math.max(floor, dropped.index);
-            }
+  private static final Schema<StoredMessage> MESSAGES =
+      RuntimeSchema.getSchema(StoredMessage.class);
+  private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
+  private final AgentContext pulse;
+  private final Listener watcher;
+  private final TreeMap<Long, StoredMessage> byIndex = new TreeMap<>();
+  private final Map<String, TopicMessages> byTopic = new HashMap<>();
+  final AcceptedNumbers numbers = new AcceptedNumbers();
+  final TenantRateLimiter quotas;
+  final BorrowingAccounts accounts;
+  private Configuration charter;
+  private long floor;
+
+  /** A topic's messages and the index of the last one dropped. */
+  private static final class TopicMessages {
+    final ArrayDeque<StoredMessage> messages = new ArrayDeque<>();
+    long floor;
+  }
+
+  static final class Snapshot {
+    List<StoredMessage> messages = new ArrayList<>();
+    List<AcceptedNumbers.SenderHistory> tracks = new ArrayList<>();
+    List<TopicFloor> floors = new ArrayList<>();
+    long floor;
+
+    /** Null while nobody borrows ahead. */
+    BorrowingAccounts.Snapshot accounts;
+  }
+
+  static final class TopicFloor {
+    String topic = "";
+    long index;
+  }
+
+  /** Told of what is new here. */
+  public interface Listener {
+    /** Whether this vault admitted it in its present leadership, so that it is counted already. */
+    boolean admittedHere(StoredMessage message);
+
+    void settledTo(long commit);
+
+    void leaderIs(String identity, boolean self);
+  }
+
+  public MessageStore(final AgentContext pulse, final Listener watcher, final Settings settings) {
+    this.pulse = pulse;
+    quotas =
+        new TenantRateLimiter(
+            settings.quotaWindowS(), settings.quotaExcess(), settings.quotaSlack(), pulse.nowMs());
+    this.watcher = watcher;
+    accounts =
+        new BorrowingAccounts((tenant, tokens) -> quotas.continued(tenant, tokens, pulse.nowMs()));
+    pulse.every(VAULT_SWEEP_MS, this::sweep);
+  }
+
+  public void charter(final Configuration newCharter) {
+    charter = newCharter;
+    quotas.charter(newCharter);
+  }
+
+  static byte[] bytes(final StoredMessage message) {
+    return ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512));
+  }
+
+  @Override
+  public void apply(final long index, final byte[] data) {
+    final StoredMessage message = MESSAGES.newMessage();
+    ProtostuffIOUtil.mergeFrom(data, message, MESSAGES);
+    message.index = index;
+    message.atMs = pulse.nowMs();
+    accounts.apply(index, message, message.atMs);
+    if (message.change != null) {
+      // Of the accounts alone: no client sent it, and none gets it.
+      return;
+    }
+    numbers.accept(message.client, message.topic, message.number, message.atMs);
+    if (message.stampMs == null && !watcher.admittedHere(message)) {
+      quotas.count(message.tenant, message.atMs);
+    }
+    put(message);
+  }
+
+  private void put(final StoredMessage message) {
+    byIndex.put(message.index, message);
+    byTopic.computeIfAbsent(message.topic, key -> new TopicMessages()).messages.add(message);
+  }
+
+  /** Messages with an index above the one and up to the other, in order. */
+  public Collection<StoredMessage> between(final long after, final long upTo) {
+    return after >= upTo ? List.of() : byIndex.subMap(after, false, upTo, true).values();
+  }
+
+  /** A topic's messages behind a position, or null when one behind it was dropped. */
+  public List<StoredMessage> behind(final String topic, final long position) {
+    final TopicMessages shelf = byTopic.get(topic);
+    if (shelf == null) {
+      return List.of();
+    }
+    if (shelf.floor > position) {
+      return null;
+    }
+    final List<StoredMessage> found = new ArrayList<>();
+    for (final StoredMessage message : shelf.messages) {
+      if (message.index > position) {
+        found.add(message);
+      }
+    }
+    return found;
+  }
+
+  /** The index of the last message that was dropped. */
+  public long floor() {
+    return floor;
+  }
+
+  /** What tenants that borrow ahead hold and owe here. */
+  public List<AccountBalance> balances() {
+    return accounts.balances();
+  }
+
+  private void sweep() {
+    final long nowMs = pulse.nowMs();
+    numbers.sweep(nowMs);
+    byTopic.forEach(
+        (topic, shelf) -> {
+          final long keepMs = keepMs(topic);
+          while (!shelf.messages.isEmpty() && nowMs - shelf.messages.peek().atMs > keepMs) {
+            final StoredMessage dropped = shelf.messages.poll();
+            byIndex.remove(dropped.index);
+            shelf.floor = dropped.index;
+            floor = Math.max(floor, dropped.index);
+          }
         });
-    }
-
-    private long keepMs(final String topic) {
-        final Configuration.Route space = charter == null ? null : charter.space(topic);
-        // Without a configuration nothing may be dropped; of a space that is gone nothing is owed.
-        return charter == null ? Long.MAX_VALUE : (space == null ? 0 : space.keepMs()) + KEEP_SLACK_MS;
-    }
-
-    @Override
-    public byte[] snapshot() {
-        final Snapshot image = new Snapshot();
-        image.messages.addAll(byIndex.values());
-        image.tracks = numbers.all();
-        image.floor = floor;
-        image.accounts = accounts.saved();
-        byTopic.forEach((topic, shelf) -> {
-            if (shelf.floor > 0) {
-                final TopicFloor one = new TopicFloor();
-                one.topic = topic;
-                one.index = shelf.floor;
-                image.floors.add(one);
-            }
+  }
+
+  private long keepMs(final String topic) {
+    final Configuration.Route space = charter == null ? null : charter.space(topic);
+    // Without a configuration nothing may be dropped; of a space that is gone nothing is owed.
+    return charter == null ? Long.MAX_VALUE : (space == null ? 0 : space.keepMs()) + KEEP_SLACK_MS;
+  }
+
+  @Override
+  public byte[] snapshot() {
+    final Snapshot image = new Snapshot();
+    image.messages.addAll(byIndex.values());
+    image.tracks = numbers.all();
+    image.floor = floor;
+    image.accounts = accounts.saved();
+    byTopic.forEach(
+        (topic, shelf) -> {
+          if (shelf.floor > 0) {
+            final TopicFloor one = new TopicFloor();
+            one.topic = topic;
+            one.index = shelf.floor;
+            image.floors.add(one);
+          }
         });
-        return ProtostuffIOUtil.toByteArray(image, IMAGES, LinkedBuffer.allocate(64 << 10));
-    }
-
-    @Override
-    public void restore(final long index, final byte[] state) {
-        final Snapshot image = IMAGES.newMessage();
-        ProtostuffIOUtil.mergeFrom(state, image, IMAGES);
-        byIndex.clear();
-        byTopic.clear();
-        floor = image.floor;
-        final long nowMs = pulse.nowMs();
-        for (final StoredMessage message : image.messages) {
-            message.atMs = nowMs;
-            put(message);
-        }
-        image.floors.forEach(one -> byTopic.computeIfAbsent(one.topic, key -> new TopicMessages()).floor = one.index);
-        numbers.restore(image.tracks, nowMs);
-        accounts.restore(image.accounts, nowMs);
-        quotas.forget();
-    }
-
-    @Override
-    public void leader(final String identity, final boolean self) {
-        watcher.leaderIs(identity, self);
-    }
-
-    @Override
-    public void settled(final long commit) {
-        watcher.settledTo(commit);
-    }
+    return ProtostuffIOUtil.toByteArray(image, IMAGES, LinkedBuffer.allocate(64 << 10));
+  }
+
+  @Override
+  public void restore(final long index, final byte[] state) {
+    final Snapshot image = IMAGES.newMessage();
+    ProtostuffIOUtil.mergeFrom(state, image, IMAGES);
+    byIndex.clear();
+    byTopic.clear();
+    floor = image.floor;
+    final long nowMs = pulse.nowMs();
+    for (final StoredMessage message : image.messages) {
+      message.atMs = nowMs;
+      put(message);
+    }
+    image.floors.forEach(
+        one -> byTopic.computeIfAbsent(one.topic, key -> new TopicMessages()).floor = one.index);
+    numbers.restore(image.tracks, nowMs);
+    accounts.restore(image.accounts, nowMs);
+    quotas.forget();
+  }
+
+  @Override
+  public void leader(final String identity, final boolean self) {
+    watcher.leaderIs(identity, self);
+  }
+
+  @Override
+  public void settled(final long commit) {
+    watcher.settledTo(commit);
+  }
 }
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -1,5 +1,11 @@
 package yewjunction.store;
 
+import static yewjunction.common.Limits.LEND_IN_FLIGHT;
+import static yewjunction.common.Limits.LEND_OWED_MS;
+import static yewjunction.common.Limits.LEND_TURN;
+import static yewjunction.common.Limits.LEND_WAITING;
+import static yewjunction.common.Limits.SETTLE_MS;
+
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,195 +13,212 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import yewjunction.common.LogEvent;
 import yewjunction.common.AgentContext;
+import yewjunction.common.LogEvent;
 import yewjunction.control.Configuration;
 import yewjunction.raft.RaftNode;
 
-import static yewjunction.common.Limits.LEND_IN_FLIGHT;
-import static yewjunction.common.Limits.LEND_OWED_MS;
-import static yewjunction.common.Limits.LEND_TURN;
-import static yewjunction.common.Limits.LEND_WAITING;
-import static yewjunction.common.Limits.SETTLE_MS;
-
 /**
- * The leader's side of borrowing ahead: the accounts as they will be once all that is in flight is applied, whose turn it
- * is to borrow, and when terms and the passing of time enter the log. A borrower gets what others leave.
+ * The leader's side of borrowing ahead: the accounts as they will be once all that is in flight is
+ * applied, whose turn it is to borrow, and when terms and the passing of time enter the log. A
+ * borrower gets what others leave.
  */
 public final class QuotaBorrowing {
-    private final AgentContext pulse;
-    private final RaftNode ledger;
-    private final MessageStore cellar;
-    private final Map<String, ArrayDeque<Runnable>> lanes = new LinkedHashMap<>();
-    private final Set<String> atLimit = new HashSet<>();
-    private BorrowingAccounts ahead;
-    private boolean turning;
-    private long settledMs;
-    private int underWay;
-
-    /** What an account says to one message. */
-    enum Decision { PAYS, BORROWS, WAITS, DENIES }
-
-    QuotaBorrowing(final AgentContext pulse, final RaftNode ledger, final MessageStore cellar) {
-        this.pulse = pulse;
-        this.ledger = ledger;
-        this.cellar = cellar;
-    }
-
-    /** Only at the leader, which has applied all that others admitted before it. */
-    private BorrowingAccounts ahead() {
-        if (ahead == null) {
-            ahead = cellar.accounts.ahead();
-        }
-        return ahead;
-    }
-
-    boolean keeps(final String tenant) {
-        return !(ahead == null && cellar.accounts.none()) && ahead().of(tenant) != null;
-    }
-
-    /** Log time now: stamped on what is proposed in this turn. */
-    long stampMs() {
-        return ahead().timeMs(pulse.nowMs());
-    }
-
-    /** In turn: it is this message's turn to borrow, after all that paid. */
-    Decision verdict(final String tenant, final long stampMs, final boolean inTurn) {
-        final BorrowingAccount account = ahead().of(tenant);
-        account.refill(stampMs);
-        if (!inTurn && lanes.containsKey(tenant)) {
-            // A tenant's own order never changes.
-            return waits(tenant);
-        }
-        if (account.pays()) {
-            atLimit.remove(tenant);
-            return Decision.PAYS;
-        }
-        if (!account.lends()) {
-            if (atLimit.add(tenant)) {
-                LogEvent.BORROW_LIMIT.info(tenant + " owes " + account.debt / BorrowingAccount.ONE);
-            }
-            return Decision.DENIES;
-        }
-        atLimit.remove(tenant);
-        if (!inTurn) {
-            return waits(tenant);
-        }
-        // Lent only while nobody else is held up by it.
-        return underWay < LEND_IN_FLIGHT && ledger.course().owedMs() < LEND_OWED_MS ? Decision.BORROWS : Decision.DENIES;
-    }
-
-    private Decision waits(final String tenant) {
-        final ArrayDeque<Runnable> lane = lanes.get(tenant);
-        return lane == null || lane.size() < LEND_WAITING ? Decision.WAITS : Decision.DENIES;
-    }
-
-    /** Looks again when it is this tenant's turn to borrow. */
-    void await(final String tenant, final Runnable look) {
-        lanes.computeIfAbsent(tenant, key -> new ArrayDeque<>()).add(look);
-        if (!turning) {
-            turning = true;
-            pulse.post(this::turn);
-        }
-    }
-
-    /** Tenants in turn, a message each; what arrived meanwhile and pays goes between two turns. */
-    private void turn() {
-        turning = false;
-        for (int left = LEND_TURN; left > 0 && !lanes.isEmpty(); left--) {
-            final String tenant = lanes.keySet().iterator().next();
-            final ArrayDeque<Runnable> lane = lanes.remove(tenant);
-            final Runnable look = lane.poll();
-            if (!lane.isEmpty()) {
-                lanes.put(tenant, lane);
-            }
-            look.run();
-        }
-        if (!lanes.isEmpty() && !turning) {
-            turning = true;
-            pulse.post(this::turn);
-        }
-    }
-
-    /** One more is on its way through the log, charged to that tenant; empty for one that is charged to no account. */
-    void proposed(final String tenant, final long stampMs) {
-        underWay++;
-        if (!tenant.isEmpty()) {
-            ahead().charge(0, tenant, stampMs);
-        }
-    }
-
-    void settled() {
-        underWay--;
-    }
-
-    /** What was in flight is the log's matter now, and the next leader's accounts are those that are applied. */
-    void leaderChanged() {
-        ahead = null;
-        lanes.clear();
-        atLimit.clear();
-        underWay = 0;
-    }
-
-    /** Enters what has changed: terms of a new configuration, or that time has passed while somebody owes. */
-    public void look(final Configuration charter) {
-        if (!ledger.leads() || charter == null || ahead == null && cellar.accounts.none()
+  private final AgentContext pulse;
+  private final RaftNode ledger;
+  private final MessageStore cellar;
+  private final Map<String, ArrayDeque<Runnable>> lanes = new LinkedHashMap<>();
+  private final Set<String> atLimit = new HashSet<>();
+  private BorrowingAccounts ahead;
+  private boolean turning;
+  private long settledMs;
+  private int underWay;
+
+  /** What an account says to one message. */
+  enum Decision {
+    PAYS,
+    BORROWS,
+    WAITS,
+    DENIES
+  }
+
+  QuotaBorrowing(final AgentContext pulse, final RaftNode ledger, final MessageStore cellar) {
+    this.pulse = pulse;
+    this.ledger = ledger;
+    this.cellar = cellar;
+  }
+
+  /** Only at the leader, which has applied all that others admitted before it. */
+  private BorrowingAccounts ahead() {
+    if (ahead == null) {
+      ahead = cellar.accounts.ahead();
+    }
+    return ahead;
+  }
+
+  boolean keeps(final String tenant) {
+    return !(ahead == null && cellar.accounts.none()) && ahead().of(tenant) != null;
+  }
+
+  /** Log time now: stamped on what is proposed in this turn. */
+  long stampMs() {
+    return ahead().timeMs(pulse.nowMs());
+  }
+
+  /** In turn: it is this message's turn to borrow, after all that paid. */
+  Decision verdict(final String tenant, final long stampMs, final boolean inTurn) {
+    final BorrowingAccount account = ahead().of(tenant);
+    account.refill(stampMs);
+    if (!inTurn && lanes.containsKey(tenant)) {
+      // A tenant's own order never changes.
+      return waits(tenant);
+    }
+    if (account.pays()) {
+      atLimit.remove(tenant);
+      return Decision.PAYS;
+    }
+    if (!account.lends()) {
+      if (atLimit.add(tenant)) {
+        LogEvent.BORROW_LIMIT.info(tenant + " owes " + account.debt / BorrowingAccount.ONE);
+      }
+      return Decision.DENIES;
+    }
+    atLimit.remove(tenant);
+    if (!inTurn) {
+      return waits(tenant);
+    }
+    // Lent only while nobody else is held up by it.
+    return underWay < LEND_IN_FLIGHT && ledger.course().owedMs() < LEND_OWED_MS
+        ? Decision.BORROWS
+        : Decision.DENIES;
+  }
+
+  private Decision waits(final String tenant) {
+    final ArrayDeque<Runnable> lane = lanes.get(tenant);
+    return lane == null || lane.size() < LEND_WAITING ? Decision.WAITS : Decision.DENIES;
+  }
+
+  /** Looks again when it is this tenant's turn to borrow. */
+  void await(final String tenant, final Runnable look) {
+    lanes.computeIfAbsent(tenant, key -> new ArrayDeque<>()).add(look);
+    if (!turning) {
+      turning = true;
+      pulse.post(this::turn);
+    }
+  }
+
+  /** Tenants in turn, a message each; what arrived meanwhile and pays goes between two turns. */
+  private void turn() {
+    turning = false;
+    for (int left = LEND_TURN; left > 0 && !lanes.isEmpty(); left--) {
+      final String tenant = lanes.keySet().iterator().next();
+      final ArrayDeque<Runnable> lane = lanes.remove(tenant);
+      final Runnable look = lane.poll();
+      if (!lane.isEmpty()) {
+        lanes.put(tenant, lane);
+      }
+      look.run();
+    }
+    if (!lanes.isEmpty() && !turning) {
+      turning = true;
+      pulse.post(this::turn);
+    }
+  }
+
+  /**
+   * One more is on its way through the log, charged to that tenant; empty for one that is charged
+   * to no account.
+   */
+  void proposed(final String tenant, final long stampMs) {
+    underWay++;
+    if (!tenant.isEmpty()) {
+      ahead().charge(0, tenant, stampMs);
+    }
+  }
+
+  void settled() {
+    underWay--;
+  }
+
+  /**
+   * What was in flight is the log's matter now, and the next leader's accounts are those that are
+   * applied.
+   */
+  void leaderChanged() {
+    ahead = null;
+    lanes.clear();
+    atLimit.clear();
+    underWay = 0;
+  }
+
+  /**
+   * Enters what has changed: terms of a new configuration, or that time has passed while somebody
+   * owes.
+   */
+  public void look(final Configuration charter) {
+    if (!ledger.leads()
+        || charter == null
+        || ahead == null
+            && cellar.accounts.none()
             && charter.tenants().stream().noneMatch(tenant -> tenant.borrowMax() > 0)) {
-            return;
-        }
-        final long stampMs = stampMs();
-        boolean owes = false;
-        boolean paidOff = false;
-        for (final BorrowingAccount account : ahead().all()) {
-            final long before = account.debt;
-            account.refill(stampMs);
-            owes |= before > 0;
-            paidOff |= before > 0 && account.debt == 0;
-        }
-        final List<BorrowingTerms> wanted = wanted(charter);
-        final BorrowingTerms.TermsChange change = new BorrowingTerms.TermsChange();
-        if (charter.version() >= ahead().version() && !inForce(wanted)) {
-            change.version = charter.version();
-            change.terms = wanted;
-        } else if (!paidOff && !(owes && pulse.nowMs() - settledMs > SETTLE_MS)) {
-            return;
-        }
-        settledMs = pulse.nowMs();
-        final StoredMessage entry = new StoredMessage();
-        entry.stampMs = stampMs;
-        entry.change = change;
-        if (ledger.propose(MessageStore.bytes(entry), done -> { })) {
-            ahead().change(0, change, stampMs);
-        }
-    }
-
-    private boolean inForce(final List<BorrowingTerms> wanted) {
-        int known = 0;
-        for (final BorrowingAccount account : ahead().all()) {
-            known++;
-            if (wanted.stream().noneMatch(account.terms::same)) {
-                return false;
-            }
-        }
-        return known == wanted.size();
-    }
-
-    /** Whoever may borrow has an account, and whoever still owes keeps one, whatever the configuration says. */
-    private List<BorrowingTerms> wanted(final Configuration charter) {
-        final List<BorrowingTerms> wanted = new ArrayList<>();
-        for (final Configuration.Tenant tenant : charter.tenants()) {
-            final BorrowingAccount account = ahead().of(tenant.name());
-            if (tenant.borrowMax() > 0 || account != null && account.debt > 0) {
-                wanted.add(cellar.quotas.terms(tenant, pulse.nowMs()));
-            }
-        }
-        for (final BorrowingAccount account : ahead().all()) {
-            if (account.debt > 0 && charter.tenant(account.terms.tenant) == null) {
-                final BorrowingTerms gone = new BorrowingTerms();
-                gone.tenant = account.terms.tenant;
-                wanted.add(gone);
-            }
-        }
-        return wanted;
+      return;
+    }
+    final long stampMs = stampMs();
+    boolean owes = false;
+    boolean paidOff = false;
+    for (final BorrowingAccount account : ahead().all()) {
+      final long before = account.debt;
+      account.refill(stampMs);
+      owes |= before > 0;
+      paidOff |= before > 0 && account.debt == 0;
+    }
+    final List<BorrowingTerms> wanted = wanted(charter);
+    final BorrowingTerms.TermsChange change = new BorrowingTerms.TermsChange();
+    if (charter.version() >= ahead().version() && !inForce(wanted)) {
+      change.version = charter.version();
+      change.terms = wanted;
+    } else if (!paidOff && !(owes && pulse.nowMs() - settledMs > SETTLE_MS)) {
+      return;
+    }
+    settledMs = pulse.nowMs();
+    final StoredMessage entry = new StoredMessage();
+    entry.stampMs = stampMs;
+    entry.change = change;
+    if (ledger.propose(MessageStore.bytes(entry), done -> {})) {
+      ahead().change(0, change, stampMs);
+    }
+  }
+
+  private boolean inForce(final List<BorrowingTerms> wanted) {
+    int known = 0;
+    for (final BorrowingAccount account : ahead().all()) {
+      known++;
+      if (wanted.stream().noneMatch(account.terms::same)) {
+        return false;
+      }
+    }
+    return known == wanted.size();
+  }
+
+  /**
+   * Whoever may borrow has an account, and whoever still owes keeps one, whatever the configuration
+   * says.
+   */
+  private List<BorrowingTerms> wanted(final Configuration charter) {
+    final List<BorrowingTerms> wanted = new ArrayList<>();
+    for (final Configuration.Tenant tenant : charter.tenants()) {
+      final BorrowingAccount account = ahead().of(tenant.name());
+      if (tenant.borrowMax() > 0 || account != null && account.debt > 0) {
+        wanted.add(cellar.quotas.terms(tenant, pulse.nowMs()));
+      }
+    }
+    for (final BorrowingAccount account : ahead().all()) {
+      if (account.debt > 0 && charter.tenant(account.terms.tenant) == null) {
+        final BorrowingTerms gone = new BorrowingTerms();
+        gone.tenant = account.terms.tenant;
+        wanted.add(gone);
+      }
     }
+    return wanted;
+  }
 }
--- a/src/main/java/yewjunction/store/StoredMessage.java
+++ b/src/main/java/yewjunction/store/StoredMessage.java
@@ -2,22 +2,27 @@
 
 /** A kept message; its index in the ledger is its position. */
 public final class StoredMessage {
-    public long index;
-    public String topic = "";
-    public String client = "";
-    public long number;
-    public byte[] body = new byte[0];
-    /** Whose quota it counts against, empty for none. */
-    String tenant = "";
-    public void tenant(final String tenantName) {
-        tenant = tenantName;
-    }
+  public long index;
+  public String topic = "";
+  public String client = "";
+  public long number;
+  public byte[] body = new byte[0];
 
-    /** Log time, only where the tenant has an account: null costs nothing on the wire and on the disk. */
-    Long stampMs;
-    /** What it changes in the accounts, in an entry that is no message; else null. */
-    BorrowingTerms.TermsChange change;
+  /** Whose quota it counts against, empty for none. */
+  String tenant = "";
 
-    /** When this vault got it, by its own steady clock: other clocks mean nothing here. */
-    transient long atMs;
+  public void tenant(final String tenantName) {
+    tenant = tenantName;
+  }
+
+  /**
+   * Log time, only where the tenant has an account: null costs nothing on the wire and on the disk.
+   */
+  Long stampMs;
+
+  /** What it changes in the accounts, in an entry that is no message; else null. */
+  BorrowingTerms.TermsChange change;
+
+  /** When this vault got it, by its own steady clock: other clocks mean nothing here. */
+  transient long atMs;
 }
--- a/src/main/java/yewjunction/subscription/AddWinsSet.java
+++ b/src/main/java/yewjunction/subscription/AddWinsSet.java
@@ -13,223 +13,240 @@
 import java.util.function.LongPredicate;
 
 /**
- * Replica r holds (r, v, w): v is the last active instance per element and replica, w the observed instances.
- * Element = (topic, client). The rules are those of docs/paper.md. Kept by replica: the rule for (a, s) looks at v(a, s)
- * and w(s) alone, so what belongs to one s is compared, sent and merged as a whole state of its own.
+ * Replica r holds (r, v, w): v is the last active instance per element and replica, w the observed
+ * instances. Element = (topic, client). The rules are those of docs/paper.md. Kept by replica: the
+ * rule for (a, s) looks at v(a, s) and w(s) alone, so what belongs to one s is compared, sent and
+ * merged as a whole state of its own.
  */
 public final class AddWinsSet {
-    private final Map<Long, ReplicaState> panels = new HashMap<>();
-    private final Set<Long> touched = new HashSet<>();
-    private Set<Long> liveReplicas = Set.of();
-    private long newestReplica;
-    private long self;
-
-    /** The replica's name; 0 for one that only reads. */
-    public void self(final long replica) {
-        self = replica;
-        if (replica != 0) {
-            panel(replica);
-        }
-    }
-
-    public long self() {
-        return self;
-    }
-
-    private ReplicaState panel(final long replica) {
-        return panels.computeIfAbsent(replica, key -> new ReplicaState());
-    }
-
-    /** A new unique instance (self, n): raises w(self) and sets v(a, self). */
-    public long add(final String topic, final String client) {
-        if (self == 0) {
-            throw new IllegalStateException("a replica without a name adds nothing");
-        }
-        final ReplicaState own = panel(self);
-        own.observe(own.observed + 1);
-        own.set(topic, client, own.observed);
-        touched.add(self);
-        return own.observed;
-    }
-
-    /** Zeroes every v(a, .); w keeps covering the instances, so they cannot come back. */
-    public void remove(final String topic, final String client) {
-        remove(topic, client, 0);
-    }
-
-    /** A remove, and an add at that replica which is known to have followed it: its instance stays. */
-    public void takenOver(final String topic, final String client, final long replica) {
-        remove(topic, client, replica);
-    }
-
-    private void remove(final String topic, final String client, final long spared) {
-        panels.forEach((replica, panel) -> {
-            if (replica != spared && panel.instance(topic, client) > 0) {
-                panel.set(topic, client, 0);
-                touched.add(replica);
-            }
+  private final Map<Long, ReplicaState> panels = new HashMap<>();
+  private final Set<Long> touched = new HashSet<>();
+  private Set<Long> liveReplicas = Set.of();
+  private long newestReplica;
+  private long self;
+
+  /** The replica's name; 0 for one that only reads. */
+  public void self(final long replica) {
+    self = replica;
+    if (replica != 0) {
+      panel(replica);
+    }
+  }
+
+  public long self() {
+    return self;
+  }
+
+  private ReplicaState panel(final long replica) {
+    return panels.computeIfAbsent(replica, key -> new ReplicaState());
+  }
+
+  /** A new unique instance (self, n): raises w(self) and sets v(a, self). */
+  public long add(final String topic, final String client) {
+    if (self == 0) {
+      throw new IllegalStateException("a replica without a name adds nothing");
+    }
+    final ReplicaState own = panel(self);
+    own.observe(own.observed + 1);
+    own.set(topic, client, own.observed);
+    touched.add(self);
+    return own.observed;
+  }
+
+  /** Zeroes every v(a, .); w keeps covering the instances, so they cannot come back. */
+  public void remove(final String topic, final String client) {
+    remove(topic, client, 0);
+  }
+
+  /**
+   * A remove, and an add at that replica which is known to have followed it: its instance stays.
+   */
+  public void takenOver(final String topic, final String client, final long replica) {
+    remove(topic, client, replica);
+  }
+
+  private void remove(final String topic, final String client, final long spared) {
+    panels.forEach(
+        (replica, panel) -> {
+          if (replica != spared && panel.instance(topic, client) > 0) {
+            panel.set(topic, client, 0);
+            touched.add(replica);
+          }
         });
-    }
-
-    /** v(a, s), 0 where there is none. */
-    public long instance(final String topic, final String client, final long replica) {
-        final ReplicaState panel = panels.get(replica);
-        return panel == null ? 0 : panel.instance(topic, client);
-    }
-
-    /** w(s). */
-    public long observed(final long replica) {
-        final ReplicaState panel = panels.get(replica);
-        return panel == null ? 0 : panel.observed;
-    }
-
-    /** Whether another replica than this one has an active instance of the element. */
-    public boolean elsewhere(final String topic, final String client) {
-        for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
-            if (one.getKey() != self && one.getValue().instance(topic, client) > 0) {
-                return true;
-            }
-        }
-        return false;
-    }
-
-    /** Whether some client of that replica has an active instance for the topic. */
-    public boolean reaches(final String topic, final long replica) {
-        final ReplicaState panel = panels.get(replica);
-        return panel != null && panel.cells.containsKey(topic);
-    }
-
-    /** Clients that subscribe and are there, each once, over all live replicas. */
-    public int count(final String topic, final LongPredicate live) {
-        final Set<String> there = new HashSet<>();
-        panels.forEach((replica, panel) -> {
-            final Map<String, Long> clients = panel.cells.get(topic);
-            if (clients != null && live.test(replica)) {
-                clients.keySet().stream().filter(client -> !panel.absent.contains(client)).forEach(there::add);
-            }
+  }
+
+  /** v(a, s), 0 where there is none. */
+  public long instance(final String topic, final String client, final long replica) {
+    final ReplicaState panel = panels.get(replica);
+    return panel == null ? 0 : panel.instance(topic, client);
+  }
+
+  /** w(s). */
+  public long observed(final long replica) {
+    final ReplicaState panel = panels.get(replica);
+    return panel == null ? 0 : panel.observed;
+  }
+
+  /** Whether another replica than this one has an active instance of the element. */
+  public boolean elsewhere(final String topic, final String client) {
+    for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
+      if (one.getKey() != self && one.getValue().instance(topic, client) > 0) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Whether some client of that replica has an active instance for the topic. */
+  public boolean reaches(final String topic, final long replica) {
+    final ReplicaState panel = panels.get(replica);
+    return panel != null && panel.cells.containsKey(topic);
+  }
+
+  /** Clients that subscribe and are there, each once, over all live replicas. */
+  public int count(final String topic, final LongPredicate live) {
+    final Set<String> there = new HashSet<>();
+    panels.forEach(
+        (replica, panel) -> {
+          final Map<String, Long> clients = panel.cells.get(topic);
+          if (clients != null && live.test(replica)) {
+            clients.keySet().stream()
+                .filter(client -> !panel.absent.contains(client))
+                .forEach(there::add);
+          }
         });
-        return there.size();
-    }
-
-    public void absent(final String client, final boolean away) {
-        final ReplicaState own = self == 0 ? null : panel(self);
-        if (own != null && own.absent.contains(client) != away) {
-            final Set<String> clients = new HashSet<>(own.absent);
-            if (away) {
-                clients.add(client);
-            } else {
-                clients.remove(client);
-            }
-            own.absence(own.absenceNumber + 1, clients);
-            touched.add(self);
-        }
-    }
-
-    /** Topics of a client with an active instance made here. */
-    public List<String> topicsHere(final String client) {
-        final List<String> topics = new ArrayList<>();
-        panel(self).cells.forEach((topic, clients) -> {
-            if (clients.containsKey(client)) {
+    return there.size();
+  }
+
+  public void absent(final String client, final boolean away) {
+    final ReplicaState own = self == 0 ? null : panel(self);
+    if (own != null && own.absent.contains(client) != away) {
+      final Set<String> clients = new HashSet<>(own.absent);
+      if (away) {
+        clients.add(client);
+      } else {
+        clients.remove(client);
+      }
+      own.absence(own.absenceNumber + 1, clients);
+      touched.add(self);
+    }
+  }
+
+  /** Topics of a client with an active instance made here. */
+  public List<String> topicsHere(final String client) {
+    final List<String> topics = new ArrayList<>();
+    panel(self)
+        .cells
+        .forEach(
+            (topic, clients) -> {
+              if (clients.containsKey(client)) {
                 topics.add(topic);
-            }
-        });
-        return topics;
-    }
-
-    // --- exchange ---
-
-    /** Parts changed by this replica's own operations since they were last taken. */
-    public Set<Long> takeTouched() {
-        final Set<Long> taken = new HashSet<>(touched);
-        touched.clear();
-        return taken;
-    }
-
-    /** The whole state. */
-    public byte[] state() {
-        return ReplicaStateCodec.pack(panels);
-    }
-
-    /** The whole states of some parts. */
-    public byte[] state(final Collection<Long> replicas) {
-        final Map<Long, ReplicaState> chosen = new LinkedHashMap<>();
-        for (final long replica : replicas) {
-            if (panels.containsKey(replica)) {
-                chosen.put(replica, panels.get(replica));
-            }
-        }
-        return ReplicaStateCodec.pack(chosen);
-    }
-
-    /** The digest of a replica's part. */
-    public long mark(final long replica) {
-        final ReplicaState panel = panels.get(replica);
-        return panel == null ? 0 : panel.mark();
-    }
-
-    public byte[] marks() {
-        final Map<Long, Long> marks = new HashMap<>();
-        panels.forEach((replica, panel) -> marks.put(replica, panel.mark()));
-        return ReplicaStateCodec.packMarks(marks);
-    }
-
-    /** Parts held here that differ from those digests, in any order, up to about so many cells. */
-    public List<Long> news(final byte[] theirMarks, final int mostCells, final Random luck) {
-        return newsOf(panels.keySet(), theirMarks, mostCells, luck);
-    }
-
-    /** The same, of some replicas. */
-    public List<Long> newsOf(final Collection<Long> of, final byte[] theirMarks, final int mostCells, final Random luck) {
-        final Map<Long, Long> theirs = ReplicaStateCodec.unpackMarks(theirMarks);
-        final List<Long> replicas = new ArrayList<>(of);
-        replicas.retainAll(panels.keySet());
-        Collections.shuffle(replicas, luck);
-        final List<Long> news = new ArrayList<>();
-        int cells = 0;
-        for (final long replica : replicas) {
-            final ReplicaState panel = panels.get(replica);
-            final Long theirMark = theirs.get(replica);
-            if (cells < mostCells && (theirMark == null || theirMark != panel.mark())) {
-                news.add(replica);
-                cells += panel.size();
-            }
-        }
-        return news;
-    }
-
-    /** Parts named by those digests that differ here or are unknown. */
-    public List<Long> wanted(final byte[] theirMarks) {
-        final List<Long> wanted = new ArrayList<>();
-        ReplicaStateCodec.unpackMarks(theirMarks).forEach((replica, mark) -> {
-            if (!retired(replica) && mark(replica) != mark) {
+              }
+            });
+    return topics;
+  }
+
+  // --- exchange ---
+
+  /** Parts changed by this replica's own operations since they were last taken. */
+  public Set<Long> takeTouched() {
+    final Set<Long> taken = new HashSet<>(touched);
+    touched.clear();
+    return taken;
+  }
+
+  /** The whole state. */
+  public byte[] state() {
+    return ReplicaStateCodec.pack(panels);
+  }
+
+  /** The whole states of some parts. */
+  public byte[] state(final Collection<Long> replicas) {
+    final Map<Long, ReplicaState> chosen = new LinkedHashMap<>();
+    for (final long replica : replicas) {
+      if (panels.containsKey(replica)) {
+        chosen.put(replica, panels.get(replica));
+      }
+    }
+    return ReplicaStateCodec.pack(chosen);
+  }
+
+  /** The digest of a replica's part. */
+  public long mark(final long replica) {
+    final ReplicaState panel = panels.get(replica);
+    return panel == null ? 0 : panel.mark();
+  }
+
+  public byte[] marks() {
+    final Map<Long, Long> marks = new HashMap<>();
+    panels.forEach((replica, panel) -> marks.put(replica, panel.mark()));
+    return ReplicaStateCodec.packMarks(marks);
+  }
+
+  /** Parts held here that differ from those digests, in any order, up to about so many cells. */
+  public List<Long> news(final byte[] theirMarks, final int mostCells, final Random luck) {
+    return newsOf(panels.keySet(), theirMarks, mostCells, luck);
+  }
+
+  /** The same, of some replicas. */
+  public List<Long> newsOf(
+      final Collection<Long> of, final byte[] theirMarks, final int mostCells, final Random luck) {
+    final Map<Long, Long> theirs = ReplicaStateCodec.unpackMarks(theirMarks);
+    final List<Long> replicas = new ArrayList<>(of);
+    replicas.retainAll(panels.keySet());
+    Collections.shuffle(replicas, luck);
+    final List<Long> news = new ArrayList<>();
+    int cells = 0;
+    for (final long replica : replicas) {
+      final ReplicaState panel = panels.get(replica);
+      final Long theirMark = theirs.get(replica);
+      if (cells < mostCells && (theirMark == null || theirMark != panel.mark())) {
+        news.add(replica);
+        cells += panel.size();
+      }
+    }
+    return news;
+  }
+
+  /** Parts named by those digests that differ here or are unknown. */
+  public List<Long> wanted(final byte[] theirMarks) {
+    final List<Long> wanted = new ArrayList<>();
+    ReplicaStateCodec.unpackMarks(theirMarks)
+        .forEach(
+            (replica, mark) -> {
+              if (!retired(replica) && mark(replica) != mark) {
                 wanted.add(replica);
-            }
-        });
-        return wanted;
-    }
-
-    /** Merges whole states of some or all parts; loss, reordering and doubling of states do no harm. */
-    public void receive(final byte[] state) {
-        ReplicaStateCodec.unpack(state).forEach((replica, incoming) -> {
-            if (!retired(replica)) {
+              }
+            });
+    return wanted;
+  }
+
+  /**
+   * Merges whole states of some or all parts; loss, reordering and doubling of states do no harm.
+   */
+  public void receive(final byte[] state) {
+    ReplicaStateCodec.unpack(state)
+        .forEach(
+            (replica, incoming) -> {
+              if (!retired(replica)) {
                 panel(replica).merge(incoming, replica == self);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    // --- departed replicas ---
+  // --- departed replicas ---
 
-    private boolean retired(final long replica) {
-        // Names are given in rising order: one above the newest known is new, not retired.
-        return replica <= newestReplica && !liveReplicas.contains(replica);
-    }
+  private boolean retired(final long replica) {
+    // Names are given in rising order: one above the newest known is new, not retired.
+    return replica <= newestReplica && !liveReplicas.contains(replica);
+  }
 
-    /** Charter's word on which names live; the others' entries are dropped and their w compacted. */
-    public void replicas(final long newest, final Set<Long> live) {
-        if (newest >= newestReplica) {
-            newestReplica = newest;
-            liveReplicas = Set.copyOf(live);
-            panels.keySet().removeIf(this::retired);
-        }
+  /** Charter's word on which names live; the others' entries are dropped and their w compacted. */
+  public void replicas(final long newest, final Set<Long> live) {
+    if (newest >= newestReplica) {
+      newestReplica = newest;
+      liveReplicas = Set.copyOf(live);
+      panels.keySet().removeIf(this::retired);
     }
+  }
 }
--- a/src/main/java/yewjunction/subscription/ReplicaState.java
+++ b/src/main/java/yewjunction/subscription/ReplicaState.java
@@ -8,122 +8,136 @@
 import java.util.Set;
 
 /**
- * One replica's part of the set: w(s), and v(., s) for all elements. The merge rule of one part looks at no other part,
- * so each is a whole state by itself. With it goes which of the replica's clients have no link.
+ * One replica's part of the set: w(s), and v(., s) for all elements. The merge rule of one part
+ * looks at no other part, so each is a whole state by itself. With it goes which of the replica's
+ * clients have no link.
  */
 final class ReplicaState {
-    /** w(s). */
-    long observed;
-    /** v(., s) where it is not 0: topic, client, instance. */
-    final Map<String, Map<String, Long>> cells = new HashMap<>();
-    /** Raised by the replica alone; the absence with the higher number wins. */
-    long absenceNumber;
-    Set<String> absent = new HashSet<>();
-    private long mark;
-    private boolean marked;
+  /** w(s). */
+  long observed;
 
-    long instance(final String topic, final String client) {
-        final Map<String, Long> clients = cells.get(topic);
-        return clients == null ? 0 : clients.getOrDefault(client, 0L);
-    }
+  /** v(., s) where it is not 0: topic, client, instance. */
+  final Map<String, Map<String, Long>> cells = new HashMap<>();
 
-    /** Sets v((topic, client), s); 0 takes the cell away. */
-    void set(final String topic, final String client, final long instance) {
-        marked = false;
-        if (instance > 0) {
-            cells.computeIfAbsent(topic, key -> new HashMap<>(4)).put(client, instance);
-            return;
-        }
-        final Map<String, Long> clients = cells.get(topic);
-        if (clients != null && clients.remove(client) != null && clients.isEmpty()) {
-            cells.remove(topic);
-        }
-    }
+  /** Raised by the replica alone; the absence with the higher number wins. */
+  long absenceNumber;
 
-    boolean observe(final long newObserved) {
-        final boolean more = newObserved > observed;
-        if (more) {
-            observed = newObserved;
-            marked = false;
-        }
-        return more;
+  Set<String> absent = new HashSet<>();
+  private long mark;
+  private boolean marked;
+
+  long instance(final String topic, final String client) {
+    final Map<String, Long> clients = cells.get(topic);
+    return clients == null ? 0 : clients.getOrDefault(client, 0L);
+  }
+
+  /** Sets v((topic, client), s); 0 takes the cell away. */
+  void set(final String topic, final String client, final long instance) {
+    marked = false;
+    if (instance > 0) {
+      cells.computeIfAbsent(topic, key -> new HashMap<>(4)).put(client, instance);
+      return;
+    }
+    final Map<String, Long> clients = cells.get(topic);
+    if (clients != null && clients.remove(client) != null && clients.isEmpty()) {
+      cells.remove(topic);
     }
+  }
 
-    void absence(final long number, final Set<String> clients) {
-        absenceNumber = number;
-        absent = clients;
-        marked = false;
+  boolean observe(final long newObserved) {
+    final boolean more = newObserved > observed;
+    if (more) {
+      observed = newObserved;
+      marked = false;
     }
+    return more;
+  }
 
-    /** Takes in another whole state of the same part; loss, reordering and doubling do no harm. */
-    void merge(final ReplicaState incoming, final boolean own) {
-        final List<Runnable> changes = new ArrayList<>();
-        incoming.cells.forEach((topic, clients) -> clients.forEach((client, theirs) ->
-            compare(topic, client, theirs, incoming.observed, changes)));
-        // What only this side has active may have been removed there.
-        cells.forEach((topic, clients) -> clients.forEach((client, mine) -> {
-            if (incoming.instance(topic, client) == 0) {
-                compare(topic, client, 0, incoming.observed, changes);
-            }
-        }));
-        changes.forEach(Runnable::run);
-        observe(incoming.observed);
-        // Only the replica itself says who is away from it.
-        if (!own && incoming.absenceNumber > absenceNumber) {
-            absence(incoming.absenceNumber, incoming.absent);
-        }
+  void absence(final long number, final Set<String> clients) {
+    absenceNumber = number;
+    absent = clients;
+    marked = false;
+  }
+
+  /** Takes in another whole state of the same part; loss, reordering and doubling do no harm. */
+  void merge(final ReplicaState incoming, final boolean own) {
+    final List<Runnable> changes = new ArrayList<>();
+    incoming.cells.forEach(
+        (topic, clients) ->
+            clients.forEach(
+                (client, theirs) -> compare(topic, client, theirs, incoming.observed, changes)));
+    // What only this side has active may have been removed there.
+    cells.forEach(
+        (topic, clients) ->
+            clients.forEach(
+                (client, mine) -> {
+                  if (incoming.instance(topic, client) == 0) {
+                    compare(topic, client, 0, incoming.observed, changes);
+                  }
+                }));
+    changes.forEach(Runnable::run);
+    observe(incoming.observed);
+    // Only the replica itself says who is away from it.
+    if (!own && incoming.absenceNumber > absenceNumber) {
+      absence(incoming.absenceNumber, incoming.absent);
     }
+  }
 
-    private void compare(final String topic, final String client, final long theirs, final long theirObserved,
-            final List<Runnable> changes) {
-        final long mine = instance(topic, client);
-        final long merged = merge(mine, theirs, observed, theirObserved);
-        if (merged != mine) {
-            changes.add(() -> set(topic, client, merged));
-        }
+  private void compare(
+      final String topic,
+      final String client,
+      final long theirs,
+      final long theirObserved,
+      final List<Runnable> changes) {
+    final long mine = instance(topic, client);
+    final long merged = merge(mine, theirs, observed, theirObserved);
+    if (merged != mine) {
+      changes.add(() -> set(topic, client, merged));
     }
+  }
 
-    /** The paper's rule for one (a, s). */
-    static long merge(final long mine, final long theirs, final long myObserved, final long theirObserved) {
-        // Newer than the own entry but covered here: it was removed here.
-        if (theirs > mine && theirs <= myObserved) {
-            return 0;
-        }
-        // The same with the two sides swapped.
-        if (mine > theirs && mine <= theirObserved) {
-            return 0;
-        }
-        return Math.max(mine, theirs);
+  /** The paper's rule for one (a, s). */
+  static long merge(
+      final long mine, final long theirs, final long myObserved, final long theirObserved) {
+    // Newer than the own entry but covered here: it was removed here.
+    if (theirs > mine && theirs <= myObserved) {
+      return 0;
+    }
+    // The same with the two sides swapped.
+    if (mine > theirs && mine <= theirObserved) {
+      return 0;
     }
+    return Math.max(mine, theirs);
+  }
 
-    /** A digest: two replicas that hold the same part have the same one. */
-    long mark() {
-        if (!marked) {
-            long sum = mixed(observed * 31 + absenceNumber);
-            for (final Map.Entry<String, Map<String, Long>> topic : cells.entrySet()) {
-                final long topicMark = mixed(topic.getKey().hashCode());
-                for (final Map.Entry<String, Long> client : topic.getValue().entrySet()) {
-                    sum += mixed(topicMark ^ mixed(client.getKey().hashCode() + (client.getValue() << 32)));
-                }
-            }
-            mark = sum;
-            marked = true;
+  /** A digest: two replicas that hold the same part have the same one. */
+  long mark() {
+    if (!marked) {
+      long sum = mixed(observed * 31 + absenceNumber);
+      for (final Map.Entry<String, Map<String, Long>> topic : cells.entrySet()) {
+        final long topicMark = mixed(topic.getKey().hashCode());
+        for (final Map.Entry<String, Long> client : topic.getValue().entrySet()) {
+          sum += mixed(topicMark ^ mixed(client.getKey().hashCode() + (client.getValue() << 32)));
         }
-        return mark;
+      }
+      mark = sum;
+      marked = true;
     }
+    return mark;
+  }
 
-    private static long mixed(final long value) {
-        long mixed = value * 0x9e3779b97f4a7c15L;
-        mixed = (mixed ^ mixed >>> 29) * 0xbf58476d1ce4e5b9L;
-        return mixed ^ mixed >>> 32;
-    }
+  private static long mixed(final long value) {
+    long mixed = value * 0x9e3779b97f4a7c15L;
+    mixed = (mixed ^ mixed >>> 29) * 0xbf58476d1ce4e5b9L;
+    return mixed ^ mixed >>> 32;
+  }
 
-    /** Cells held, for judging how long the packed part will be. */
-    int size() {
-        int size = absent.size() + 1;
-        for (final Map<String, Long> clients : cells.values()) {
-            size += clients.size();
-        }
-        return size;
+  /** Cells held, for judging how long the packed part will be. */
+  int size() {
+    int size = absent.size() + 1;
+    for (final Map<String, Long> clients : cells.values()) {
+      size += clients.size();
     }
+    return size;
+  }
 }
--- a/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
+++ b/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
@@ -19,151 +19,159 @@
 
 /** Panels on the wire: each client named once, numbers short, all deflated; and their digests. */
 final class ReplicaStateCodec {
-    private ReplicaStateCodec() {
-    }
+  private ReplicaStateCodec() {}
 
-    private interface BodyWriter {
-        void to(DataOutputStream out) throws IOException;
-    }
+  private interface BodyWriter {
+    void to(DataOutputStream out) throws IOException;
+  }
 
-    static byte[] pack(final Map<Long, ReplicaState> panels) {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        final Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-        try (DataOutputStream out = new DataOutputStream(new BufferedOutputStream(new DeflaterOutputStream(bytes, deflater, 4096), 4096))) {
-            final StringTable names = new StringTable();
-            number(out, panels.size());
-            for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
-                number(out, one.getKey());
-                pack(out, names, one.getValue());
-            }
-        } catch (final IOException defect) {
-            throw new UncheckedIOException(defect);
-        } finally {
-            deflater.end();
-        }
-        return bytes.toByteArray();
+  static byte[] pack(final Map<Long, ReplicaState> panels) {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    final Deflater deflater = new Deflater(Deflater.BEST_SPEED);
+    try (DataOutputStream out =
+        new DataOutputStream(
+            new BufferedOutputStream(new DeflaterOutputStream(bytes, deflater, 4096), 4096))) {
+      final StringTable names = new StringTable();
+      number(out, panels.size());
+      for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
+        number(out, one.getKey());
+        pack(out, names, one.getValue());
+      }
+    } catch (final IOException defect) {
+      throw new UncheckedIOException(defect);
+    } finally {
+      deflater.end();
     }
+    return bytes.toByteArray();
+  }
 
-    private static void pack(final DataOutputStream out, final StringTable names, final ReplicaState panel) throws IOException {
-        number(out, panel.observed);
-        number(out, panel.cells.size());
-        for (final Map.Entry<String, Map<String, Long>> topic : panel.cells.entrySet()) {
-            names.write(out, topic.getKey());
-            number(out, topic.getValue().size());
-            for (final Map.Entry<String, Long> client : topic.getValue().entrySet()) {
-                names.write(out, client.getKey());
-                number(out, client.getValue());
-            }
-        }
-        number(out, panel.absenceNumber);
-        number(out, panel.absent.size());
-        for (final String client : panel.absent) {
-            names.write(out, client);
-        }
+  private static void pack(
+      final DataOutputStream out, final StringTable names, final ReplicaState panel)
+      throws IOException {
+    number(out, panel.observed);
+    number(out, panel.cells.size());
+    for (final Map.Entry<String, Map<String, Long>> topic : panel.cells.entrySet()) {
+      names.write(out, topic.getKey());
+      number(out, topic.getValue().size());
+      for (final Map.Entry<String, Long> client : topic.getValue().entrySet()) {
+        names.write(out, client.getKey());
+        number(out, client.getValue());
+      }
+    }
+    number(out, panel.absenceNumber);
+    number(out, panel.absent.size());
+    for (final String client : panel.absent) {
+      names.write(out, client);
     }
+  }
 
-    static Map<Long, ReplicaState> unpack(final byte[] packed) {
-        final Map<Long, ReplicaState> panels = new LinkedHashMap<>();
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(new InflaterInputStream(new ByteArrayInputStream(packed)), 4096))) {
-            final List<String> names = new ArrayList<>();
-            for (long left = number(in); left > 0; left--) {
-                final ReplicaState panel = new ReplicaState();
-                panels.put(number(in), panel);
-                panel.observed = number(in);
-                for (long topics = number(in); topics > 0; topics--) {
-                    final String topic = name(in, names);
-                    for (long clients = number(in); clients > 0; clients--) {
-                        panel.set(topic, name(in, names), number(in));
-                    }
-                }
-                panel.absenceNumber = number(in);
-                for (long clients = number(in); clients > 0; clients--) {
-                    panel.absent.add(name(in, names));
-                }
-            }
-        } catch (final IOException defect) {
-            throw new UncheckedIOException(defect);
+  static Map<Long, ReplicaState> unpack(final byte[] packed) {
+    final Map<Long, ReplicaState> panels = new LinkedHashMap<>();
+    try (DataInputStream in =
+        new DataInputStream(
+            new BufferedInputStream(
+                new InflaterInputStream(new ByteArrayInputStream(packed)), 4096))) {
+      final List<String> names = new ArrayList<>();
+      for (long left = number(in); left > 0; left--) {
+        final ReplicaState panel = new ReplicaState();
+        panels.put(number(in), panel);
+        panel.observed = number(in);
+        for (long topics = number(in); topics > 0; topics--) {
+          final String topic = name(in, names);
+          for (long clients = number(in); clients > 0; clients--) {
+            panel.set(topic, name(in, names), number(in));
+          }
+        }
+        panel.absenceNumber = number(in);
+        for (long clients = number(in); clients > 0; clients--) {
+          panel.absent.add(name(in, names));
         }
-        return panels;
+      }
+    } catch (final IOException defect) {
+      throw new UncheckedIOException(defect);
     }
+    return panels;
+  }
 
-    /** Digests: names with eight bytes each. */
-    static byte[] packMarks(final Map<Long, Long> marks) {
-        return packed(out -> {
-            number(out, marks.size());
-            for (final Map.Entry<Long, Long> one : marks.entrySet()) {
-                number(out, one.getKey());
-                out.writeLong(one.getValue());
-            }
+  /** Digests: names with eight bytes each. */
+  static byte[] packMarks(final Map<Long, Long> marks) {
+    return packed(
+        out -> {
+          number(out, marks.size());
+          for (final Map.Entry<Long, Long> one : marks.entrySet()) {
+            number(out, one.getKey());
+            out.writeLong(one.getValue());
+          }
         });
-    }
+  }
 
-    static Map<Long, Long> unpackMarks(final byte[] packed) {
-        final Map<Long, Long> marks = new HashMap<>();
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(packed))) {
-            for (long left = number(in); left > 0; left--) {
-                marks.put(number(in), in.readLong());
-            }
-        } catch (final IOException defect) {
-            throw new UncheckedIOException(defect);
-        }
-        return marks;
+  static Map<Long, Long> unpackMarks(final byte[] packed) {
+    final Map<Long, Long> marks = new HashMap<>();
+    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(packed))) {
+      for (long left = number(in); left > 0; left--) {
+        marks.put(number(in), in.readLong());
+      }
+    } catch (final IOException defect) {
+      throw new UncheckedIOException(defect);
     }
+    return marks;
+  }
 
-    private static byte[] packed(final BodyWriter writing) {
-        final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            writing.to(out);
-        } catch (final IOException defect) {
-            throw new UncheckedIOException(defect);
-        }
-        return bytes.toByteArray();
+  private static byte[] packed(final BodyWriter writing) {
+    final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (DataOutputStream out = new DataOutputStream(bytes)) {
+      writing.to(out);
+    } catch (final IOException defect) {
+      throw new UncheckedIOException(defect);
     }
+    return bytes.toByteArray();
+  }
 
-    /** Writes a name in full the first time, then its number. */
-    private static final class StringTable {
-        private final Map<String, Integer> known = new HashMap<>();
+  /** Writes a name in full the first time, then its number. */
+  private static final class StringTable {
+    private final Map<String, Integer> known = new HashMap<>();
 
-        void write(final DataOutputStream out, final String name) throws IOException {
-            final Integer place = known.get(name);
-            if (place != null) {
-                number(out, place + 1);
-                return;
-            }
-            known.put(name, known.size());
-            number(out, 0);
-            out.writeUTF(name);
-        }
+    void write(final DataOutputStream out, final String name) throws IOException {
+      final Integer place = known.get(name);
+      if (place != null) {
+        number(out, place + 1);
+        return;
+      }
+      known.put(name, known.size());
+      number(out, 0);
+      out.writeUTF(name);
     }
+  }
 
-    private static String name(final DataInputStream in, final List<String> names) throws IOException {
-        final long place = number(in);
-        if (place > 0) {
-            return names.get((int) place - 1);
-        }
-        final String name = in.readUTF();
-        names.add(name);
-        return name;
+  private static String name(final DataInputStream in, final List<String> names)
+      throws IOException {
+    final long place = number(in);
+    if (place > 0) {
+      return names.get((int) place - 1);
     }
+    final String name = in.readUTF();
+    names.add(name);
+    return name;
+  }
 
-    private static void number(final DataOutputStream out, final long value) throws IOException {
-        long left = value;
-        while (left >= 0x80) {
-            out.write((int) (left & 0x7f | 0x80));
-            left >>>= 7;
-        }
-        out.write((int) left);
+  private static void number(final DataOutputStream out, final long value) throws IOException {
+    long left = value;
+    while (left >= 0x80) {
+      out.write((int) (left & 0x7f | 0x80));
+      left >>>= 7;
     }
+    out.write((int) left);
+  }
 
-    private static long number(final DataInputStream in) throws IOException {
-        long value = 0;
-        for (int shift = 0; shift < 64; shift += 7) {
-            final int piece = in.readUnsignedByte();
-            value |= (long) (piece & 0x7f) << shift;
-            if (piece < 0x80) {
-                return value;
-            }
-        }
-        throw new IOException("number too long");
+  private static long number(final DataInputStream in) throws IOException {
+    long value = 0;
+    for (int shift = 0; shift < 64; shift += 7) {
+      final int piece = in.readUnsignedByte();
+      value |= (long) (piece & 0x7f) << shift;
+      if (piece < 0x80) {
+        return value;
+      }
     }
+    throw new IOException("number too long");
+  }
 }
--- a/src/main/java/yewjunction/subscription/package-info.java
+++ b/src/main/java/yewjunction/subscription/package-info.java
@@ -1,2 +1,5 @@
-/** The optimised add-wins set of subscriptions, one replica on every process that reads or writes it. */
+/**
+ * The optimised add-wins set of subscriptions, one replica on every process that reads or writes
+ * it.
+ */
 package yewjunction.subscription;
--- a/src/main/java/yewjunction/transport/ClientConnection.java
+++ b/src/main/java/yewjunction/transport/ClientConnection.java
@@ -2,29 +2,29 @@
 
 /** One client's connection, as its owner sees it. */
 public interface ClientConnection {
-    /** Where to write; flushed at the end of the turn. */
-    WriteBuffer out();
+  /** Where to write; flushed at the end of the turn. */
+  WriteBuffer out();
 
-    /** Bytes that wait to be written. */
-    int waiting();
+  /** Bytes that wait to be written. */
+  int waiting();
 
-    /** Closes once what waits is written. */
-    void closeSoon();
+  /** Closes once what waits is written. */
+  void closeSoon();
 
-    void close();
+  void close();
 
-    boolean open();
+  boolean open();
 
-    /** Reads what came. */
-    interface Handler {
-        /** Consumes whole messages from the start; answers how many bytes it took. */
-        int take(byte[] bytes, int length);
+  /** Reads what came. */
+  interface Handler {
+    /** Consumes whole messages from the start; answers how many bytes it took. */
+    int take(byte[] bytes, int length);
 
-        void closed();
-    }
+    void closed();
+  }
 
-    /** Makes an owner for each new line. */
-    interface HandlerFactory {
-        Handler greet(ClientConnection line);
-    }
+  /** Makes an owner for each new line. */
+  interface HandlerFactory {
+    Handler greet(ClientConnection line);
+  }
 }
--- a/src/main/java/yewjunction/transport/TcpClientConnection.java
+++ b/src/main/java/yewjunction/transport/TcpClientConnection.java
@@ -1,5 +1,8 @@
 package yewjunction.transport;
 
+import static yewjunction.common.Limits.BACKLOG;
+import static yewjunction.common.Limits.CLIENT_BUFFER_BYTES;
+
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -10,144 +13,147 @@
 import java.nio.channels.SocketChannel;
 import java.util.Arrays;
 
-import static yewjunction.common.Limits.BACKLOG;
-import static yewjunction.common.Limits.CLIENT_BUFFER_BYTES;
-
 /** One client's connection: bytes in to its owner, bytes out gathered per turn. */
 public final class TcpClientConnection implements ClientConnection, EventLoopAgent.ReadyHandler {
-    private final EventLoopAgent loom;
-    private final SocketChannel channel;
-    private final SelectionKey key;
-    private final WriteBuffer outbox = new WriteBuffer(CLIENT_BUFFER_BYTES);
-    private Handler owner;
-    private byte[] input;
-    private int filled;
-    private boolean flushing;
-    private boolean closed;
-    private boolean closing;
+  private final EventLoopAgent loom;
+  private final SocketChannel channel;
+  private final SelectionKey key;
+  private final WriteBuffer outbox = new WriteBuffer(CLIENT_BUFFER_BYTES);
+  private Handler owner;
+  private byte[] input;
+  private int filled;
+  private boolean flushing;
+  private boolean closed;
+  private boolean closing;
 
-    private TcpClientConnection(final EventLoopAgent loom, final SocketChannel channel) throws IOException {
-        this.loom = loom;
-        this.channel = channel;
-        channel.configureBlocking(false);
-        channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
-    }
+  private TcpClientConnection(final EventLoopAgent loom, final SocketChannel channel)
+      throws IOException {
+    this.loom = loom;
+    this.channel = channel;
+    channel.configureBlocking(false);
+    channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+    key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
+  }
 
-    public static void listen(final EventLoopAgent loom, final InetSocketAddress own, final HandlerFactory greeter) {
-        try {
-            final ServerSocketChannel server = ServerSocketChannel.open();
-            server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.bind(own, BACKLOG);
-            server.configureBlocking(false);
-            server.register(loom.selector(), SelectionKey.OP_ACCEPT, (EventLoopAgent.ReadyHandler) key -> {
+  public static void listen(
+      final EventLoopAgent loom, final InetSocketAddress own, final HandlerFactory greeter) {
+    try {
+      final ServerSocketChannel server = ServerSocketChannel.open();
+      server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+      server.bind(own, BACKLOG);
+      server.configureBlocking(false);
+      server.register(
+          loom.selector(),
+          SelectionKey.OP_ACCEPT,
+          (EventLoopAgent.ReadyHandler)
+              key -> {
                 SocketChannel channel;
                 while ((channel = server.accept()) != null) {
-                    final TcpClientConnection line = new TcpClientConnection(loom, channel);
-                    line.owner = greeter.greet(line);
+                  final TcpClientConnection line = new TcpClientConnection(loom, channel);
+                  line.owner = greeter.greet(line);
                 }
-            });
-        } catch (final IOException defect) {
-            throw new UncheckedIOException("cannot listen for clients on " + own, defect);
-        }
+              });
+    } catch (final IOException defect) {
+      throw new UncheckedIOException("cannot listen for clients on " + own, defect);
     }
+  }
 
-    @Override
-    public void ready(final SelectionKey readyKey) {
-        try {
-            if (readyKey.isReadable()) {
-                read();
-            }
-            if (!closed && readyKey.isValid() && readyKey.isWritable()) {
-                flush();
-            }
-        } catch (final IOException defect) {
-            close();
-        }
+  @Override
+  public void ready(final SelectionKey readyKey) {
+    try {
+      if (readyKey.isReadable()) {
+        read();
+      }
+      if (!closed && readyKey.isValid() && readyKey.isWritable()) {
+        flush();
+      }
+    } catch (final IOException defect) {
+      close();
     }
+  }
 
-    private void read() throws IOException {
-        if (input == null) {
-            input = new byte[CLIENT_BUFFER_BYTES];
-        } else if (filled == input.length) {
-            input = Arrays.copyOf(input, input.length * 2);
-        }
-        final int count = channel.read(ByteBuffer.wrap(input, filled, input.length - filled));
-        if (count < 0) {
-            close();
-            return;
-        }
-        filled += count;
-        final int taken = closing ? filled : owner.take(input, filled);
-        filled -= taken;
-        if (closed) {
-            return;
-        }
-        if (filled == 0) {
-            // An idle line holds no buffer: there are many lines, and memory is priced.
-            input = null;
-        } else if (taken > 0) {
-            System.arraycopy(input, taken, input, 0, filled);
-        }
+  private void read() throws IOException {
+    if (input == null) {
+      input = new byte[CLIENT_BUFFER_BYTES];
+    } else if (filled == input.length) {
+      input = Arrays.copyOf(input, input.length * 2);
     }
-
-    @Override
-    public WriteBuffer out() {
-        if (!flushing && !closed) {
-            flushing = true;
-            loom.flushLater(this::flush);
-        }
-        return outbox;
+    final int count = channel.read(ByteBuffer.wrap(input, filled, input.length - filled));
+    if (count < 0) {
+      close();
+      return;
     }
-
-    @Override
-    public int waiting() {
-        return outbox.size();
+    filled += count;
+    final int taken = closing ? filled : owner.take(input, filled);
+    filled -= taken;
+    if (closed) {
+      return;
     }
-
-    private void flush() {
-        flushing = false;
-        if (closed) {
-            return;
-        }
-        try {
-            final boolean done = outbox.write(channel);
-            if (done && closing) {
-                close();
-                return;
-            }
-            final int wanted = done ? SelectionKey.OP_READ : SelectionKey.OP_READ | SelectionKey.OP_WRITE;
-            if (key.interestOps() != wanted) {
-                key.interestOps(wanted);
-            }
-        } catch (final IOException defect) {
-            close();
-        }
+    if (filled == 0) {
+      // An idle line holds no buffer: there are many lines, and memory is priced.
+      input = null;
+    } else if (taken > 0) {
+      System.arraycopy(input, taken, input, 0, filled);
     }
+  }
 
-    @Override
-    public void closeSoon() {
-        closing = true;
-        out();
+  @Override
+  public WriteBuffer out() {
+    if (!flushing && !closed) {
+      flushing = true;
+      loom.flushLater(this::flush);
     }
+    return outbox;
+  }
 
-    @Override
-    public boolean open() {
-        return !closed;
+  @Override
+  public int waiting() {
+    return outbox.size();
+  }
+
+  private void flush() {
+    flushing = false;
+    if (closed) {
+      return;
+    }
+    try {
+      final boolean done = outbox.write(channel);
+      if (done && closing) {
+        close();
+        return;
+      }
+      final int wanted = done ? SelectionKey.OP_READ : SelectionKey.OP_READ | SelectionKey.OP_WRITE;
+      if (key.interestOps() != wanted) {
+        key.interestOps(wanted);
+      }
+    } catch (final IOException defect) {
+      close();
     }
+  }
 
-    @Override
-    public void close() {
-        if (closed) {
-            return;
-        }
-        closed = true;
-        key.cancel();
-        try {
-            channel.close();
-        } catch (final IOException ignored) {
-            // Nothing is owed to a line that is being given up.
-        }
-        owner.closed();
+  @Override
+  public void closeSoon() {
+    closing = true;
+    out();
+  }
+
+  @Override
+  public boolean open() {
+    return !closed;
+  }
+
+  @Override
+  public void close() {
+    if (closed) {
+      return;
+    }
+    closed = true;
+    key.cancel();
+    try {
+      channel.close();
+    } catch (final IOException ignored) {
+      // Nothing is owed to a line that is being given up.
     }
+    owner.closed();
+  }
 }
--- a/src/main/java/yewjunction/transport/TcpPeerConnection.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -1,227 +1,236 @@
 package yewjunction.transport;
 
+import static yewjunction.common.ErrorCode.CONNECTION_GARBLED;
+import static yewjunction.common.ErrorCode.MESSAGE_UNKNOWN;
+import static yewjunction.common.Limits.DIAL_MS;
+import static yewjunction.common.Limits.LETTER_BYTES;
+import static yewjunction.common.Limits.LINK_BEAT_MS;
+import static yewjunction.common.Limits.LINK_BUFFER_BYTES;
+import static yewjunction.common.Limits.LINK_QUEUE_BYTES;
+import static yewjunction.common.Limits.LINK_SILENCE_MS;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import yewjunction.common.MessageCodec;
-import yewjunction.common.YewjunctionException;
 import yewjunction.common.LogEvent;
+import yewjunction.common.MessageCodec;
 import yewjunction.common.PeerConnection;
-
-import static yewjunction.common.ErrorCode.MESSAGE_UNKNOWN;
-import static yewjunction.common.ErrorCode.CONNECTION_GARBLED;
-import static yewjunction.common.Limits.DIAL_MS;
-import static yewjunction.common.Limits.LETTER_BYTES;
-import static yewjunction.common.Limits.LINK_BEAT_MS;
-import static yewjunction.common.Limits.LINK_BUFFER_BYTES;
-import static yewjunction.common.Limits.LINK_QUEUE_BYTES;
-import static yewjunction.common.Limits.LINK_SILENCE_MS;
+import yewjunction.common.YewjunctionException;
 
 /** One peer link: frames of four bytes of length and a letter; length 0 is a beat. */
 final class TcpPeerConnection implements PeerConnection, EventLoopAgent.ReadyHandler {
-    private final TcpPeerTransport owner;
-    private final EventLoopAgent loom;
-    private final MessageCodec codec;
-    private final SocketChannel channel;
-    private final String dialledAddress;
-    private final WriteBuffer outbox = new WriteBuffer(LINK_BUFFER_BYTES);
-    private ByteBuffer input = ByteBuffer.allocate(LINK_BUFFER_BYTES);
-    private SelectionKey key;
-    private boolean connected;
-    private boolean closed;
-    private boolean flushing;
-    private long heardMs;
-    private long spokeMs;
-    private String remote;
-
-    TcpPeerConnection(final TcpPeerTransport owner, final EventLoopAgent loom, final MessageCodec codec, final SocketChannel channel, final String dialledAddress)
-            throws IOException {
-        this.owner = owner;
-        this.loom = loom;
-        this.codec = codec;
-        this.channel = channel;
-        this.dialledAddress = dialledAddress;
-        heardMs = loom.nowMs();
-        spokeMs = heardMs;
-        channel.configureBlocking(false);
-        channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        if (dialledAddress == null) {
-            connected = true;
-            remote = SocketAddresses.text((InetSocketAddress) channel.getRemoteAddress());
-            key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
-        } else {
-            remote = dialledAddress;
-        }
-    }
-
-    void connect() throws IOException {
-        connected = channel.connect(SocketAddresses.parse(dialledAddress));
-        key = channel.register(loom.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-        loom.after(DIAL_MS, () -> {
-            if (!connected) {
-                close();
-            }
-        });
+  private final TcpPeerTransport owner;
+  private final EventLoopAgent loom;
+  private final MessageCodec codec;
+  private final SocketChannel channel;
+  private final String dialledAddress;
+  private final WriteBuffer outbox = new WriteBuffer(LINK_BUFFER_BYTES);
+  private ByteBuffer input = ByteBuffer.allocate(LINK_BUFFER_BYTES);
+  private SelectionKey key;
+  private boolean connected;
+  private boolean closed;
+  private boolean flushing;
+  private long heardMs;
+  private long spokeMs;
+  private String remote;
+
+  TcpPeerConnection(
+      final TcpPeerTransport owner,
+      final EventLoopAgent loom,
+      final MessageCodec codec,
+      final SocketChannel channel,
+      final String dialledAddress)
+      throws IOException {
+    this.owner = owner;
+    this.loom = loom;
+    this.codec = codec;
+    this.channel = channel;
+    this.dialledAddress = dialledAddress;
+    heardMs = loom.nowMs();
+    spokeMs = heardMs;
+    channel.configureBlocking(false);
+    channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+    if (dialledAddress == null) {
+      connected = true;
+      remote = SocketAddresses.text((InetSocketAddress) channel.getRemoteAddress());
+      key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
+    } else {
+      remote = dialledAddress;
     }
+  }
+
+  void connect() throws IOException {
+    connected = channel.connect(SocketAddresses.parse(dialledAddress));
+    key =
+        channel.register(
+            loom.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+    loom.after(
+        DIAL_MS,
+        () -> {
+          if (!connected) {
+            close();
+          }
+        });
+  }
 
-    String dialledAddress() {
-        return dialledAddress;
+  String dialledAddress() {
+    return dialledAddress;
+  }
+
+  @Override
+  public boolean send(final Object letter) {
+    if (closed) {
+      return false;
+    }
+    final byte[] bytes = codec.encode(letter);
+    outbox.putInt(bytes.length);
+    outbox.put(bytes, 0, bytes.length);
+    spokeMs = loom.nowMs();
+    // A peer that does not read is cut, never waited for.
+    if (outbox.size() > LINK_QUEUE_BYTES) {
+      LogEvent.LINK_SLOW.warn(remote);
+      close();
+      return false;
+    }
+    flushSoon();
+    return true;
+  }
+
+  private void flushSoon() {
+    if (!flushing) {
+      flushing = true;
+      loom.flushLater(this::flush);
     }
+  }
 
-    @Override
-    public boolean send(final Object letter) {
-        if (closed) {
-            return false;
-        }
-        final byte[] bytes = codec.encode(letter);
-        outbox.putInt(bytes.length);
-        outbox.put(bytes, 0, bytes.length);
-        spokeMs = loom.nowMs();
-        // A peer that does not read is cut, never waited for.
-        if (outbox.size() > LINK_QUEUE_BYTES) {
-            LogEvent.LINK_SLOW.warn(remote);
-            close();
-            return false;
-        }
+  private void flush() {
+    flushing = false;
+    if (closed || !connected) {
+      return;
+    }
+    try {
+      final boolean done = outbox.write(channel);
+      key.interestOps(done ? SelectionKey.OP_READ : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
+    } catch (final IOException defect) {
+      close();
+    }
+  }
+
+  @Override
+  public void ready(final SelectionKey readyKey) {
+    try {
+      if (readyKey.isConnectable()) {
+        channel.finishConnect();
+        connected = true;
+        heardMs = loom.nowMs();
+        key.interestOps(SelectionKey.OP_READ);
         flushSoon();
-        return true;
+      }
+      if (readyKey.isValid() && readyKey.isReadable()) {
+        read();
+      }
+      if (!closed && readyKey.isValid() && readyKey.isWritable()) {
+        flush();
+      }
+    } catch (final IOException defect) {
+      close();
+    } catch (final YewjunctionException defect) {
+      LogEvent.LINK_GARBLED.warn(remote + " " + defect.code() + " " + defect.getMessage());
+      close();
     }
+  }
 
-    private void flushSoon() {
-        if (!flushing) {
-            flushing = true;
-            loom.flushLater(this::flush);
-        }
+  private void read() throws IOException {
+    final int count = channel.read(input);
+    if (count < 0) {
+      close();
+      return;
+    }
+    heardMs = loom.nowMs();
+    input.flip();
+    int needed = 0;
+    while (!closed && input.remaining() >= 4) {
+      final int length = input.getInt(input.position());
+      if (length < 0 || length > LETTER_BYTES) {
+        throw new TransportException(CONNECTION_GARBLED, "length " + length);
+      }
+      if (input.remaining() < 4 + length) {
+        needed = 4 + length;
+        break;
+      }
+      final int start = input.position() + 4;
+      input.position(start + length);
+      if (length > 0) {
+        take(start, length);
+      }
     }
+    input.compact();
+    if (needed > input.capacity()) {
+      final ByteBuffer larger = ByteBuffer.allocate(Math.max(needed, input.capacity() * 2));
+      input.flip();
+      larger.put(input);
+      input = larger;
+    } else if (input.position() == 0 && input.capacity() > 16 * LINK_BUFFER_BYTES) {
+      // A large letter came once; memory at its peak is dear, so the buffer shrinks again.
+      input = ByteBuffer.allocate(LINK_BUFFER_BYTES);
+    }
+  }
+
+  private void take(final int start, final int length) {
+    final Object letter;
+    try {
+      letter = codec.decode(input.array(), start, length);
+    } catch (final YewjunctionException defect) {
+      // A kind this release does not know is skipped, so that releases can mix.
+      if (defect.code() == MESSAGE_UNKNOWN) {
+        return;
+      }
+      throw defect;
+    }
+    owner.deliver(this, letter);
+  }
 
-    private void flush() {
-        flushing = false;
-        if (closed || !connected) {
-            return;
-        }
-        try {
-            final boolean done = outbox.write(channel);
-            key.interestOps(done ? SelectionKey.OP_READ : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
-        } catch (final IOException defect) {
-            close();
-        }
-    }
-
-    @Override
-    public void ready(final SelectionKey readyKey) {
-        try {
-            if (readyKey.isConnectable()) {
-                channel.finishConnect();
-                connected = true;
-                heardMs = loom.nowMs();
-                key.interestOps(SelectionKey.OP_READ);
-                flushSoon();
-            }
-            if (readyKey.isValid() && readyKey.isReadable()) {
-                read();
-            }
-            if (!closed && readyKey.isValid() && readyKey.isWritable()) {
-                flush();
-            }
-        } catch (final IOException defect) {
-            close();
-        } catch (final YewjunctionException defect) {
-            LogEvent.LINK_GARBLED.warn(remote + " " + defect.code() + " " + defect.getMessage());
-            close();
-        }
+  void beat(final long nowMs) {
+    if (closed || !connected) {
+      return;
+    }
+    if (nowMs - heardMs > LINK_SILENCE_MS) {
+      LogEvent.LINK_LOST.info(remote + " silent");
+      close();
+    } else if (nowMs - spokeMs >= LINK_BEAT_MS) {
+      outbox.putInt(0);
+      spokeMs = nowMs;
+      flushSoon();
     }
+  }
 
-    private void read() throws IOException {
-        final int count = channel.read(input);
-        if (count < 0) {
-            close();
-            return;
-        }
-        heardMs = loom.nowMs();
-        input.flip();
-        int needed = 0;
-        while (!closed && input.remaining() >= 4) {
-            final int length = input.getInt(input.position());
-            if (length < 0 || length > LETTER_BYTES) {
-                throw new TransportException(CONNECTION_GARBLED, "length " + length);
-            }
-            if (input.remaining() < 4 + length) {
-                needed = 4 + length;
-                break;
-            }
-            final int start = input.position() + 4;
-            input.position(start + length);
-            if (length > 0) {
-                take(start, length);
-            }
-        }
-        input.compact();
-        if (needed > input.capacity()) {
-            final ByteBuffer larger = ByteBuffer.allocate(Math.max(needed, input.capacity() * 2));
-            input.flip();
-            larger.put(input);
-            input = larger;
-        } else if (input.position() == 0 && input.capacity() > 16 * LINK_BUFFER_BYTES) {
-            // A large letter came once; memory at its peak is dear, so the buffer shrinks again.
-            input = ByteBuffer.allocate(LINK_BUFFER_BYTES);
-        }
-    }
-
-    private void take(final int start, final int length) {
-        final Object letter;
-        try {
-            letter = codec.decode(input.array(), start, length);
-        } catch (final YewjunctionException defect) {
-            // A kind this release does not know is skipped, so that releases can mix.
-            if (defect.code() == MESSAGE_UNKNOWN) {
-                return;
-            }
-            throw defect;
-        }
-        owner.deliver(this, letter);
-    }
-
-    void beat(final long nowMs) {
-        if (closed || !connected) {
-            return;
-        }
-        if (nowMs - heardMs > LINK_SILENCE_MS) {
-            LogEvent.LINK_LOST.info(remote + " silent");
-            close();
-        } else if (nowMs - spokeMs >= LINK_BEAT_MS) {
-            outbox.putInt(0);
-            spokeMs = nowMs;
-            flushSoon();
-        }
-    }
-
-    @Override
-    public void close() {
-        if (closed) {
-            return;
-        }
-        closed = true;
-        if (key != null) {
-            key.cancel();
-        }
-        try {
-            channel.close();
-        } catch (final IOException ignored) {
-            // Nothing is owed to a link that is being given up.
-        }
-        owner.gone(this);
-    }
-
-    @Override
-    public boolean open() {
-        return !closed;
-    }
-
-    @Override
-    public String remote() {
-        return remote;
+  @Override
+  public void close() {
+    if (closed) {
+      return;
+    }
+    closed = true;
+    if (key != null) {
+      key.cancel();
+    }
+    try {
+      channel.close();
+    } catch (final IOException ignored) {
+      // Nothing is owed to a link that is being given up.
     }
+    owner.gone(this);
+  }
+
+  @Override
+  public boolean open() {
+    return !closed;
+  }
+
+  @Override
+  public String remote() {
+    return remote;
+  }
 }
--- a/src/main/java/yewjunction/transport/TransportException.java
+++ b/src/main/java/yewjunction/transport/TransportException.java
@@ -5,13 +5,13 @@
 
 /** The bytes on a connection are no frames. The connection has to be closed; a new one may work. */
 public final class TransportException extends YewjunctionException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public TransportException(final ErrorCode code, final String text) {
-        this(code, text, null);
-    }
+  public TransportException(final ErrorCode code, final String text) {
+    this(code, text, null);
+  }
 
-    public TransportException(final ErrorCode code, final String text, final Throwable cause) {
-        super(code, text, cause);
-    }
+  public TransportException(final ErrorCode code, final String text, final Throwable cause) {
+    super(code, text, cause);
+  }
 }
--- a/src/main/java/yewjunction/transport/UdpTransport.java
+++ b/src/main/java/yewjunction/transport/UdpTransport.java
@@ -12,57 +12,60 @@
 
 /** Small letters that may be lost. */
 public final class UdpTransport {
-    /** bytes; above any datagram the roster sends. */
-    private static final int DATAGRAM_BYTES = 8 << 10;
-    private final DatagramChannel channel;
-    private final MessageCodec codec;
-    private final ByteBuffer input = ByteBuffer.allocate(DATAGRAM_BYTES);
-    private BiConsumer<String, Object> handler = (from, letter) -> { };
+  /** bytes; above any datagram the roster sends. */
+  private static final int DATAGRAM_BYTES = 8 << 10;
 
-    public UdpTransport(final EventLoopAgent loom, final MessageCodec codec, final InetSocketAddress own) {
-        this.codec = codec;
-        try {
-            channel = DatagramChannel.open();
-            channel.bind(own);
-            channel.configureBlocking(false);
-            channel.register(loom.selector(), SelectionKey.OP_READ, (EventLoopAgent.ReadyHandler) key -> read());
-        } catch (final IOException defect) {
-            throw new UncheckedIOException("cannot listen for probes on " + own, defect);
-        }
-    }
+  private final DatagramChannel channel;
+  private final MessageCodec codec;
+  private final ByteBuffer input = ByteBuffer.allocate(DATAGRAM_BYTES);
+  private BiConsumer<String, Object> handler = (from, letter) -> {};
 
-    public void onLetter(final BiConsumer<String, Object> newHandler) {
-        handler = newHandler;
+  public UdpTransport(
+      final EventLoopAgent loom, final MessageCodec codec, final InetSocketAddress own) {
+    this.codec = codec;
+    try {
+      channel = DatagramChannel.open();
+      channel.bind(own);
+      channel.configureBlocking(false);
+      channel.register(
+          loom.selector(), SelectionKey.OP_READ, (EventLoopAgent.ReadyHandler) key -> read());
+    } catch (final IOException defect) {
+      throw new UncheckedIOException("cannot listen for probes on " + own, defect);
     }
+  }
+
+  public void onLetter(final BiConsumer<String, Object> newHandler) {
+    handler = newHandler;
+  }
 
-    public void send(final String address, final Object letter) {
-        try {
-            channel.send(ByteBuffer.wrap(codec.encode(letter)), SocketAddresses.parse(address));
-        } catch (final IOException ignored) {
-            // A datagram may be lost anyway: the protocol above sends again.
-        }
+  public void send(final String address, final Object letter) {
+    try {
+      channel.send(ByteBuffer.wrap(codec.encode(letter)), SocketAddresses.parse(address));
+    } catch (final IOException ignored) {
+      // A datagram may be lost anyway: the protocol above sends again.
     }
+  }
 
-    private void read() throws IOException {
-        InetSocketAddress from;
-        while (true) {
-            input.clear();
-            try {
-                from = (InetSocketAddress) channel.receive(input);
-            } catch (final java.net.PortUnreachableException ignored) {
-                return;
-            }
-            if (from == null) {
-                return;
-            }
-            final Object letter;
-            try {
-                letter = codec.decode(input.array(), 0, input.position());
-            } catch (final YewjunctionException ignored) {
-                // Anyone may send a datagram: what cannot be read is dropped.
-                continue;
-            }
-            handler.accept(SocketAddresses.text(from), letter);
-        }
+  private void read() throws IOException {
+    InetSocketAddress from;
+    while (true) {
+      input.clear();
+      try {
+        from = (InetSocketAddress) channel.receive(input);
+      } catch (final java.net.PortUnreachableException ignored) {
+        return;
+      }
+      if (from == null) {
+        return;
+      }
+      final Object letter;
+      try {
+        letter = codec.decode(input.array(), 0, input.position());
+      } catch (final YewjunctionException ignored) {
+        // Anyone may send a datagram: what cannot be read is dropped.
+        continue;
+      }
+      handler.accept(SocketAddresses.text(from), letter);
     }
+  }
 }
--- a/src/main/java/yewjunction/transport/WriteBuffer.java
+++ b/src/main/java/yewjunction/transport/WriteBuffer.java
@@ -1,85 +1,86 @@
 package yewjunction.transport;
 
+import static java.nio.ByteOrder.BIG_ENDIAN;
+
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 import org.agrona.ExpandableArrayBuffer;
 
-import static java.nio.ByteOrder.BIG_ENDIAN;
-
 /** Bytes that wait to be written; grows as needed, shrinks when empty. */
 public final class WriteBuffer {
-    /** bytes; read ones in front of unread ones that are worth moving. */
-    private static final int COMPACT_BYTES = 64 << 10;
-    private final int firstBytes;
-    private ExpandableArrayBuffer buffer;
-    private int start;
-    private int end;
+  /** bytes; read ones in front of unread ones that are worth moving. */
+  private static final int COMPACT_BYTES = 64 << 10;
 
-    public WriteBuffer(final int firstBytes) {
-        this.firstBytes = firstBytes;
-    }
+  private final int firstBytes;
+  private ExpandableArrayBuffer buffer;
+  private int start;
+  private int end;
 
-    private ExpandableArrayBuffer buffer() {
-        if (buffer == null) {
-            buffer = new ExpandableArrayBuffer(firstBytes);
-        }
-        return buffer;
-    }
+  public WriteBuffer(final int firstBytes) {
+    this.firstBytes = firstBytes;
+  }
 
-    void putInt(final int value) {
-        buffer().putInt(end, value, BIG_ENDIAN);
-        end += 4;
+  private ExpandableArrayBuffer buffer() {
+    if (buffer == null) {
+      buffer = new ExpandableArrayBuffer(firstBytes);
     }
+    return buffer;
+  }
 
-    public void put(final byte[] bytes, final int offset, final int length) {
-        buffer().putBytes(end, bytes, offset, length);
-        end += length;
-    }
+  void putInt(final int value) {
+    buffer().putInt(end, value, BIG_ENDIAN);
+    end += 4;
+  }
 
-    public void putAscii(final String text) {
-        end += buffer().putStringWithoutLengthAscii(end, text);
-    }
+  public void put(final byte[] bytes, final int offset, final int length) {
+    buffer().putBytes(end, bytes, offset, length);
+    end += length;
+  }
 
-    public void putNumber(final long value) {
-        end += buffer().putLongAscii(end, value);
-    }
+  public void putAscii(final String text) {
+    end += buffer().putStringWithoutLengthAscii(end, text);
+  }
 
-    public int size() {
-        return end - start;
-    }
+  public void putNumber(final long value) {
+    end += buffer().putLongAscii(end, value);
+  }
 
-    /** Takes all that waits, for lines that are no sockets. */
-    public byte[] take() {
-        final byte[] taken = new byte[size()];
-        if (taken.length > 0) {
-            buffer.getBytes(start, taken);
-        }
-        start = 0;
-        end = 0;
-        return taken;
+  public int size() {
+    return end - start;
+  }
+
+  /** Takes all that waits, for lines that are no sockets. */
+  public byte[] take() {
+    final byte[] taken = new byte[size()];
+    if (taken.length > 0) {
+      buffer.getBytes(start, taken);
     }
+    start = 0;
+    end = 0;
+    return taken;
+  }
 
-    /** True when all is written. */
-    public boolean write(final SocketChannel channel) throws IOException {
-        if (size() > 0) {
-            start += channel.write(ByteBuffer.wrap(buffer.byteArray(), start, end - start));
-        }
-        if (start < end) {
-            // A reader that never quite catches up: what it has read gives its room back.
-            if (start > COMPACT_BYTES && start > size()) {
-                buffer.putBytes(0, buffer, start, size());
-                end -= start;
-                start = 0;
-            }
-            return false;
-        }
+  /** True when all is written. */
+  public boolean write(final SocketChannel channel) throws IOException {
+    if (size() > 0) {
+      start += channel.write(ByteBuffer.wrap(buffer.byteArray(), start, end - start));
+    }
+    if (start < end) {
+      // A reader that never quite catches up: what it has read gives its room back.
+      if (start > COMPACT_BYTES && start > size()) {
+        buffer.putBytes(0, buffer, start, size());
+        end -= start;
         start = 0;
-        end = 0;
-        // An idle link holds no buffer: there are many links, and memory is priced.
-        if (buffer != null && buffer.capacity() > 2 * firstBytes) {
-            buffer = null;
-        }
-        return true;
+      }
+      return false;
+    }
+    start = 0;
+    end = 0;
+    // An idle link holds no buffer: there are many links, and memory is priced.
+    if (buffer != null && buffer.capacity() > 2 * firstBytes) {
+      buffer = null;
     }
+    return true;
+  }
 }
--- a/src/test/java/yewjunction/capacity/ControlTraffic.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -1,103 +1,122 @@
 package yewjunction.capacity;
 
-import yewjunction.membership.NodeRole;
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import yewjunction.membership.NodeRole;
 
 /** What a fleet that only keeps itself together says and costs, for one number of nodes. */
 final class ControlTraffic {
-    /** simulated ms; the news of a start ride on probes for up to a minute where nodes are many. */
-    private static final long SETTLE_MS = 60_000, WATCH_MS = 30_000;
-    /** Layers whose letters are control; vault and herald letters of an idle fleet too: nobody publishes here. */
-    private static final List<String> LAYERS = List.of("membership", "control", "raft", "fanout", "");
-    final Map<String, Double> figures = new TreeMap<>();
+  /** simulated ms; the news of a start ride on probes for up to a minute where nodes are many. */
+  private static final long SETTLE_MS = 60_000, WATCH_MS = 30_000;
+
+  /**
+   * Layers whose letters are control; vault and herald letters of an idle fleet too: nobody
+   * publishes here.
+   */
+  private static final List<String> LAYERS = List.of("membership", "control", "raft", "fanout", "");
 
-    /** False when the fleet did not settle: then there are no figures. */
-    boolean measure(final int edgeCount, final int vaultCount, final int cruxCount) {
-        final HollowFleet fleet = new HollowFleet(edgeCount, edgeCount, vaultCount, cruxCount);
-        fleet.world.runFor(1_500);
-        if (!fleet.configure(90, 60) || !fleet.world.runUntil(() -> fleet.ready() == edgeCount, 60_000)) {
-            return false;
-        }
-        figures.put("start: ms until all edges are ready", (double) fleet.world.nowMs());
-        fleet.world.runFor(SETTLE_MS);
-        fleet.meter.reset();
-        final com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        final long cpuBefore = threads.getCurrentThreadCpuTime();
-        final long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
-        fleet.world.runFor(WATCH_MS);
-        final double nodeSeconds = (edgeCount + vaultCount + cruxCount) * WATCH_MS / 1_000.0;
-        figures.put("all: us of CPU a node and second, simulator and both ends of the codec included",
-            (threads.getCurrentThreadCpuTime() - cpuBefore) / 1_000.0 / nodeSeconds);
-        figures.put("all: KB allocated a node and second", (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / nodeSeconds);
-        role("edge", fleet, fleet.edges);
-        role("store", fleet, fleet.vaults);
-        role("control", fleet, fleet.cruxes);
-        if (fleet.ready() != edgeCount) {
-            return false;
-        }
-        restart(fleet);
-        change(fleet);
-        System.gc();
-        final Runtime runtime = Runtime.getRuntime();
-        figures.put("all: KB of heap a node", (runtime.totalMemory() - runtime.freeMemory()) / 1_024.0 / (edgeCount + vaultCount + cruxCount));
-        return fleet.ready() == edgeCount;
+  final Map<String, Double> figures = new TreeMap<>();
+
+  /** False when the fleet did not settle: then there are no figures. */
+  boolean measure(final int edgeCount, final int vaultCount, final int cruxCount) {
+    final HollowFleet fleet = new HollowFleet(edgeCount, edgeCount, vaultCount, cruxCount);
+    fleet.world.runFor(1_500);
+    if (!fleet.configure(90, 60)
+        || !fleet.world.runUntil(() -> fleet.ready() == edgeCount, 60_000)) {
+      return false;
+    }
+    figures.put("start: ms until all edges are ready", (double) fleet.world.nowMs());
+    fleet.world.runFor(SETTLE_MS);
+    fleet.meter.reset();
+    final com.sun.management.ThreadMXBean threads =
+        (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
+    final long cpuBefore = threads.getCurrentThreadCpuTime();
+    final long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
+    fleet.world.runFor(WATCH_MS);
+    final double nodeSeconds = (edgeCount + vaultCount + cruxCount) * WATCH_MS / 1_000.0;
+    figures.put(
+        "all: us of CPU a node and second, simulator and both ends of the codec included",
+        (threads.getCurrentThreadCpuTime() - cpuBefore) / 1_000.0 / nodeSeconds);
+    figures.put(
+        "all: KB allocated a node and second",
+        (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / nodeSeconds);
+    role("edge", fleet, fleet.edges);
+    role("store", fleet, fleet.vaults);
+    role("control", fleet, fleet.cruxes);
+    if (fleet.ready() != edgeCount) {
+      return false;
     }
+    restart(fleet);
+    change(fleet);
+    System.gc();
+    final Runtime runtime = Runtime.getRuntime();
+    figures.put(
+        "all: KB of heap a node",
+        (runtime.totalMemory() - runtime.freeMemory())
+            / 1_024.0
+            / (edgeCount + vaultCount + cruxCount));
+    return fleet.ready() == edgeCount;
+  }
 
-    private void role(final String role, final HollowFleet fleet, final List<String> addresses) {
-        for (final String layer : LAYERS) {
-            double letters = 0;
-            double bytes = 0;
-            double most = 0;
-            for (final String address : addresses) {
-                final long[] row = fleet.meter.of(address, layer);
-                letters += row[0] + row[2];
-                bytes += row[1] + row[3];
-                most = Math.max(most, row[1] + row[3]);
-            }
-            final double seconds = WATCH_MS / 1_000.0;
-            final String name = layer.isEmpty() ? "in all" : layer;
-            figures.put(role + ": " + name + ", messages/s a node, both ways", letters / addresses.size() / seconds);
-            figures.put(role + ": " + name + ", bytes/s a node, both ways", bytes / addresses.size() / seconds);
-            if (layer.isEmpty()) {
-                figures.put(role + ": " + name + ", bytes/s of the busiest", most / seconds);
-            }
-        }
+  private void role(final String role, final HollowFleet fleet, final List<String> addresses) {
+    for (final String layer : LAYERS) {
+      double letters = 0;
+      double bytes = 0;
+      double most = 0;
+      for (final String address : addresses) {
+        final long[] row = fleet.meter.of(address, layer);
+        letters += row[0] + row[2];
+        bytes += row[1] + row[3];
+        most = Math.max(most, row[1] + row[3]);
+      }
+      final double seconds = WATCH_MS / 1_000.0;
+      final String name = layer.isEmpty() ? "in all" : layer;
+      figures.put(
+          role + ": " + name + ", messages/s a node, both ways",
+          letters / addresses.size() / seconds);
+      figures.put(
+          role + ": " + name + ", bytes/s a node, both ways", bytes / addresses.size() / seconds);
+      if (layer.isEmpty()) {
+        figures.put(role + ": " + name + ", bytes/s of the busiest", most / seconds);
+      }
     }
+  }
 
-    /** What one restarted edge makes all others hear. */
-    private void restart(final HollowFleet fleet) {
-        final String address = fleet.edges.get(fleet.edges.size() / 2);
-        fleet.world.host(address).kill();
-        fleet.world.runFor(50);
-        fleet.meter.reset();
-        fleet.boot(address, NodeRole.EDGE, false);
-        fleet.world.runUntil(() -> fleet.edge(address).ready(), 20_000);
-        fleet.world.runFor(1_000);
-        double bytes = 0;
-        for (final String edge : fleet.edges) {
-            bytes += edge.equals(address) ? 0 : fleet.meter.of(edge, "control.LeaseResponse")[3];
-        }
-        figures.put("restart of one edge: bytes of leases and facts that each other edge hears", bytes / (fleet.edges.size() - 1));
+  /** What one restarted edge makes all others hear. */
+  private void restart(final HollowFleet fleet) {
+    final String address = fleet.edges.get(fleet.edges.size() / 2);
+    fleet.world.host(address).kill();
+    fleet.world.runFor(50);
+    fleet.meter.reset();
+    fleet.boot(address, NodeRole.EDGE, false);
+    fleet.world.runUntil(() -> fleet.edge(address).ready(), 20_000);
+    fleet.world.runFor(1_000);
+    double bytes = 0;
+    for (final String edge : fleet.edges) {
+      bytes += edge.equals(address) ? 0 : fleet.meter.of(edge, "control.LeaseResponse")[3];
     }
+    figures.put(
+        "restart of one edge: bytes of leases and facts that each other edge hears",
+        bytes / (fleet.edges.size() - 1));
+  }
 
-    /** What one change of the configuration costs, and how long until the last edge has it. */
-    private void change(final HollowFleet fleet) {
-        fleet.world.runFor(3_000);
-        fleet.meter.reset();
-        final long startMs = fleet.world.nowMs();
-        if (!fleet.configure(90, 60)) {
-            throw new IllegalStateException("a second configuration was not taken");
-        }
-        final long takenMs = fleet.world.nowMs();
-        fleet.world.runFor(1_000);
-        double bytes = 0;
-        for (final String edge : fleet.edges) {
-            bytes += fleet.meter.of(edge, "control.LeaseResponse")[3];
-        }
-        figures.put("change of the configuration: ms until acknowledged", (double) (takenMs - startMs));
-        figures.put("change of the configuration: bytes an edge hears", bytes / fleet.edges.size());
+  /** What one change of the configuration costs, and how long until the last edge has it. */
+  private void change(final HollowFleet fleet) {
+    fleet.world.runFor(3_000);
+    fleet.meter.reset();
+    final long startMs = fleet.world.nowMs();
+    if (!fleet.configure(90, 60)) {
+      throw new IllegalStateException("a second configuration was not taken");
+    }
+    final long takenMs = fleet.world.nowMs();
+    fleet.world.runFor(1_000);
+    double bytes = 0;
+    for (final String edge : fleet.edges) {
+      bytes += fleet.meter.of(edge, "control.LeaseResponse")[3];
     }
+    figures.put("change of the configuration: ms until acknowledged", (double) (takenMs - startMs));
+    figures.put("change of the configuration: bytes an edge hears", bytes / fleet.edges.size());
+  }
 }
--- a/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
+++ b/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
@@ -5,51 +5,79 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What crosses zones, by kind of letter, with so many stores: 90 edges, 450 clients, 100 messages, 60 counts and 250 changed subscriptions a second. */
+/**
+ * What crosses zones, by kind of letter, with so many stores: 90 edges, 450 clients, 100 messages,
+ * 60 counts and 250 changed subscriptions a second.
+ */
 final class CrossZoneTraffic {
-    private static final int EDGES = 90, CLIENTS = 450, TOPICS = 600, SECONDS = 10;
+  private static final int EDGES = 90, CLIENTS = 450, TOPICS = 600, SECONDS = 10;
 
-    private CrossZoneTraffic() {
-    }
+  private CrossZoneTraffic() {}
 
-    static Map<String, Double> measure(final int stores) {
-        final HollowFleet fleet = new HollowFleet(stores, EDGES, stores, 5);
-        fleet.world.loss = 0;
-        fleet.world.runFor(1_500);
-        if (!fleet.configure(90, 60) || !fleet.world.runUntil(() -> fleet.ready() == EDGES, 30_000)) {
-            return null;
-        }
-        final List<HollowClient> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
-            final HollowClient client = new HollowClient(fleet, fleet.edges.get(i % EDGES), "u" + i);
-            for (int topic = 0; topic < 3; topic++) {
-                client.say("SUB s0.t" + (i * 7 + topic * 211) % TOPICS + "\r\n");
-            }
-            clients.add(client);
-        }
-        fleet.world.every(500, () -> clients.forEach(client -> client.say("PING\r\n")));
-        fleet.world.runFor(10_000);
-        fleet.meter.reset();
-        final long[] number = new long[2];
-        fleet.world.every(10, () -> {
-            number[0]++;
-            clients.get((int) (number[0] * 31 % CLIENTS)).say("PUB s0.t" + number[0] * 17 % TOPICS + " " + number[0] + " 100\r\n" + "x".repeat(100) + "\r\n");
+  static Map<String, Double> measure(final int stores) {
+    final HollowFleet fleet = new HollowFleet(stores, EDGES, stores, 5);
+    fleet.world.loss = 0;
+    fleet.world.runFor(1_500);
+    if (!fleet.configure(90, 60) || !fleet.world.runUntil(() -> fleet.ready() == EDGES, 30_000)) {
+      return null;
+    }
+    final List<HollowClient> clients = new ArrayList<>();
+    for (int i = 0; i < CLIENTS; i++) {
+      final HollowClient client = new HollowClient(fleet, fleet.edges.get(i % EDGES), "u" + i);
+      for (int topic = 0; topic < 3; topic++) {
+        client.say("SUB s0.t" + (i * 7 + topic * 211) % TOPICS + "\r\n");
+      }
+      clients.add(client);
+    }
+    fleet.world.every(500, () -> clients.forEach(client -> client.say("PING\r\n")));
+    fleet.world.runFor(10_000);
+    fleet.meter.reset();
+    final long[] number = new long[2];
+    fleet.world.every(
+        10,
+        () -> {
+          number[0]++;
+          clients
+              .get((int) (number[0] * 31 % CLIENTS))
+              .say(
+                  "PUB s0.t"
+                      + number[0] * 17 % TOPICS
+                      + " "
+                      + number[0]
+                      + " 100\r\n"
+                      + "x".repeat(100)
+                      + "\r\n");
         });
-        // Clients drop a topic and take another one, 250 times a second.
-        fleet.world.every(4, () -> {
-            number[1]++;
-            clients.get((int) (number[1] * 7 % CLIENTS)).say("UNSUB s0.t" + number[1] * 7 % TOPICS + "\r\nSUB s0.t" + number[1] * 11 % TOPICS + "\r\n");
+    // Clients drop a topic and take another one, 250 times a second.
+    fleet.world.every(
+        4,
+        () -> {
+          number[1]++;
+          clients
+              .get((int) (number[1] * 7 % CLIENTS))
+              .say(
+                  "UNSUB s0.t"
+                      + number[1] * 7 % TOPICS
+                      + "\r\nSUB s0.t"
+                      + number[1] * 11 % TOPICS
+                      + "\r\n");
         });
-        fleet.world.every(16, () -> clients.get((int) (number[0] * 13 % CLIENTS)).say("WHO s0.t" + number[0] * 5 % TOPICS + "\r\n"));
-        fleet.world.runFor(SECONDS * 1_000);
-        final Map<String, Double> figures = new TreeMap<>();
-        double all = 0;
-        for (final Map.Entry<String, long[]> row : fleet.meter.across.entrySet()) {
-            figures.put(row.getKey() + ": bytes/s between zones", (double) row.getValue()[1] / SECONDS);
-            figures.put(row.getKey() + ": messages/s between zones", (double) row.getValue()[0] / SECONDS);
-            all += row.getValue()[1];
-        }
-        figures.put("all: bytes/s between zones", all / SECONDS);
-        return figures;
+    fleet.world.every(
+        16,
+        () ->
+            clients
+                .get((int) (number[0] * 13 % CLIENTS))
+                .say("WHO s0.t" + number[0] * 5 % TOPICS + "\r\n"));
+    fleet.world.runFor(SECONDS * 1_000);
+    final Map<String, Double> figures = new TreeMap<>();
+    double all = 0;
+    for (final Map.Entry<String, long[]> row : fleet.meter.across.entrySet()) {
+      figures.put(row.getKey() + ": bytes/s between zones", (double) row.getValue()[1] / SECONDS);
+      figures.put(
+          row.getKey() + ": messages/s between zones", (double) row.getValue()[0] / SECONDS);
+      all += row.getValue()[1];
     }
+    figures.put("all: bytes/s between zones", all / SECONDS);
+    return figures;
+  }
 }
--- a/src/test/java/yewjunction/capacity/HollowClient.java
+++ b/src/test/java/yewjunction/capacity/HollowClient.java
@@ -6,66 +6,68 @@
 
 /** A client at an edge of a fleet that only counts what it is sent. */
 final class HollowClient implements ClientConnection {
-    private final HollowFleet fleet;
-    private final WriteBuffer out = new WriteBuffer(256);
-    private final ClientConnection.Handler owner;
-    private boolean flushing;
-    long messages;
-    long bytes;
-    long acknowledged;
+  private final HollowFleet fleet;
+  private final WriteBuffer out = new WriteBuffer(256);
+  private final ClientConnection.Handler owner;
+  private boolean flushing;
+  long messages;
+  long bytes;
+  long acknowledged;
 
-    HollowClient(final HollowFleet fleet, final String edge, final String name) {
-        this.fleet = fleet;
-        owner = fleet.edge(edge).greet(this);
-        say("HELLO " + name + " key0\r\n");
-    }
+  HollowClient(final HollowFleet fleet, final String edge, final String name) {
+    this.fleet = fleet;
+    owner = fleet.edge(edge).greet(this);
+    say("HELLO " + name + " key0\r\n");
+  }
 
-    void say(final String words) {
-        final byte[] said = words.getBytes(StandardCharsets.US_ASCII);
-        owner.take(said, said.length);
-    }
+  void say(final String words) {
+    final byte[] said = words.getBytes(StandardCharsets.US_ASCII);
+    owner.take(said, said.length);
+  }
 
-    @Override
-    public WriteBuffer out() {
-        if (!flushing) {
-            flushing = true;
-            fleet.world.after(0, () -> {
-                flushing = false;
-                final byte[] heard = out.take();
-                bytes += heard.length;
-                count(heard);
-            });
-        }
-        return out;
+  @Override
+  public WriteBuffer out() {
+    if (!flushing) {
+      flushing = true;
+      fleet.world.after(
+          0,
+          () -> {
+            flushing = false;
+            final byte[] heard = out.take();
+            bytes += heard.length;
+            count(heard);
+          });
     }
+    return out;
+  }
 
-    /** A line that begins so stands at the start, or behind an end of line. */
-    private void count(final byte[] heard) {
-        for (int at = 0; at + 3 < heard.length; at++) {
-            if (at == 0 || heard[at - 1] == '\n') {
-                messages += heard[at] == 'M' && heard[at + 1] == 'S' && heard[at + 2] == 'G' ? 1 : 0;
-                acknowledged += heard[at] == 'A' && heard[at + 1] == 'C' && heard[at + 2] == 'K' ? 1 : 0;
-            }
-        }
+  /** A line that begins so stands at the start, or behind an end of line. */
+  private void count(final byte[] heard) {
+    for (int at = 0; at + 3 < heard.length; at++) {
+      if (at == 0 || heard[at - 1] == '\n') {
+        messages += heard[at] == 'M' && heard[at + 1] == 'S' && heard[at + 2] == 'G' ? 1 : 0;
+        acknowledged += heard[at] == 'A' && heard[at + 1] == 'C' && heard[at + 2] == 'K' ? 1 : 0;
+      }
     }
+  }
 
-    @Override
-    public int waiting() {
-        return out.size();
-    }
+  @Override
+  public int waiting() {
+    return out.size();
+  }
 
-    @Override
-    public void closeSoon() {
-        close();
-    }
+  @Override
+  public void closeSoon() {
+    close();
+  }
 
-    @Override
-    public void close() {
-        throw new IllegalStateException("a hollow client was cut");
-    }
+  @Override
+  public void close() {
+    throw new IllegalStateException("a hollow client was cut");
+  }
 
-    @Override
-    public boolean open() {
-        return true;
-    }
+  @Override
+  public boolean open() {
+    return true;
+  }
 }
--- a/src/test/java/yewjunction/capacity/HollowFleet.java
+++ b/src/test/java/yewjunction/capacity/HollowFleet.java
@@ -1,106 +1,157 @@
 package yewjunction.capacity;
 
-import yewjunction.membership.NodeRole;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import yewjunction.control.OperatorApi;
+import yewjunction.membership.NodeRole;
 import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
 import yewjunction.node.StoreNode;
 import yewjunction.settings.Settings;
 import yewjunction.simulation.SimulatedHost;
+import yewjunction.simulation.SimulatedNetwork;
 import yewjunction.simulation.SimulatedNodes;
 import yewjunction.simulation.TrafficMeter;
-import yewjunction.simulation.SimulatedNetwork;
 
-/** Hollow machines: the real code of all duties on a simulated network, all in this process, without clients of their own. */
+/**
+ * Hollow machines: the real code of all duties on a simulated network, all in this process, without
+ * clients of their own.
+ */
 final class HollowFleet {
-    private static final int PORT = 7000;
-    private static final int ZONES = 5;
-    final SimulatedNetwork world;
-    final TrafficMeter meter = new TrafficMeter();
-    final List<String> edges = new ArrayList<>();
-    final List<String> vaults = new ArrayList<>();
-    final List<String> cruxes = new ArrayList<>();
-    private final Map<String, Node> nodes = new TreeMap<>();
-    private final List<String> seeds = new ArrayList<>();
-    private final int lossesBorne;
-    private long lives;
-    private long version;
+  private static final int PORT = 7000;
+  private static final int ZONES = 5;
+  final SimulatedNetwork world;
+  final TrafficMeter meter = new TrafficMeter();
+  final List<String> edges = new ArrayList<>();
+  final List<String> vaults = new ArrayList<>();
+  final List<String> cruxes = new ArrayList<>();
+  private final Map<String, Node> nodes = new TreeMap<>();
+  private final List<String> seeds = new ArrayList<>();
+  private final int lossesBorne;
+  private long lives;
+  private long version;
 
-    HollowFleet(final long seed, final int edgeCount, final int vaultCount, final int cruxCount) {
-        world = new SimulatedNetwork(seed);
-        world.meter = meter;
-        lossesBorne = cruxCount >= 5 && vaultCount >= 5 ? 2 : 1;
-        for (int i = 0; i < cruxCount; i++) {
-            cruxes.add("10." + zone(i) + ".1." + (1 + i / ZONES) + ":" + (PORT + Settings.CONTROL_PORT_OFFSET));
-        }
-        for (int i = 0; i < 3; i++) {
-            seeds.add(cruxes.get(i).replace(":" + (PORT + Settings.CONTROL_PORT_OFFSET), ":8024"));
-        }
-        for (int i = 0; i < vaultCount; i++) {
-            vaults.add("10." + zone(i) + ".2." + (1 + i / ZONES) + ":" + PORT);
-        }
-        for (int i = 0; i < edgeCount; i++) {
-            edges.add("10." + zone(i) + "." + (3 + i / ZONES / 250) + "." + (1 + i / ZONES % 250) + ":" + PORT);
-        }
-        cruxes.forEach(address -> boot(address, NodeRole.CONTROL, true));
-        vaults.forEach(address -> boot(address, NodeRole.STORE, true));
-        edges.forEach(address -> boot(address, NodeRole.EDGE, true));
+  HollowFleet(final long seed, final int edgeCount, final int vaultCount, final int cruxCount) {
+    world = new SimulatedNetwork(seed);
+    world.meter = meter;
+    lossesBorne = cruxCount >= 5 && vaultCount >= 5 ? 2 : 1;
+    for (int i = 0; i < cruxCount; i++) {
+      cruxes.add(
+          "10." + zone(i) + ".1." + (1 + i / ZONES) + ":" + (PORT + Settings.CONTROL_PORT_OFFSET));
     }
-
-    private static int zone(final int place) {
-        return 1 + place % ZONES;
+    for (int i = 0; i < 3; i++) {
+      seeds.add(cruxes.get(i).replace(":" + (PORT + Settings.CONTROL_PORT_OFFSET), ":8024"));
     }
-
-    void boot(final String address, final NodeRole role, final boolean founding) {
-        final SimulatedHost host = world.host(address);
-        final String ip = address.substring(0, address.indexOf(':'));
-        final Settings settings = new Settings("n-" + ip, role.wireName(), List.of(role.wireName()), ip, "zone" + ip.charAt(3), ip + ":8022", ip + ":8029",
-            ip + ":8024", PORT, PORT + 15, seeds, founding, "/data", lossesBorne, 2, 5, 0.1, 20, 260);
-        nodes.put(address, SimulatedNodes.boot(host, settings, role, ++lives).node());
+    for (int i = 0; i < vaultCount; i++) {
+      vaults.add("10." + zone(i) + ".2." + (1 + i / ZONES) + ":" + PORT);
     }
-
-    EdgeNode edge(final String address) {
-        return (EdgeNode) nodes.get(address);
+    for (int i = 0; i < edgeCount; i++) {
+      edges.add(
+          "10." + zone(i) + "." + (3 + i / ZONES / 250) + "." + (1 + i / ZONES % 250) + ":" + PORT);
     }
+    cruxes.forEach(address -> boot(address, NodeRole.CONTROL, true));
+    vaults.forEach(address -> boot(address, NodeRole.STORE, true));
+    edges.forEach(address -> boot(address, NodeRole.EDGE, true));
+  }
 
-    /** How many edges may be sent clients. */
-    long ready() {
-        return edges.stream().filter(address -> world.host(address).up() && edge(address).ready()).count();
-    }
+  private static int zone(final int place) {
+    return 1 + place % ZONES;
+  }
 
-    String leadingVault() {
-        return vaults.stream().filter(address -> ((StoreNode) nodes.get(address)).leads()).findFirst().orElse("");
-    }
+  void boot(final String address, final NodeRole role, final boolean founding) {
+    final SimulatedHost host = world.host(address);
+    final String ip = address.substring(0, address.indexOf(':'));
+    final Settings settings =
+        new Settings(
+            "n-" + ip,
+            role.wireName(),
+            List.of(role.wireName()),
+            ip,
+            "zone" + ip.charAt(3),
+            ip + ":8022",
+            ip + ":8029",
+            ip + ":8024",
+            PORT,
+            PORT + 15,
+            seeds,
+            founding,
+            "/data",
+            lossesBorne,
+            2,
+            5,
+            0.1,
+            20,
+            260);
+    nodes.put(address, SimulatedNodes.boot(host, settings, role, ++lives).node());
+  }
+
+  EdgeNode edge(final String address) {
+    return (EdgeNode) nodes.get(address);
+  }
+
+  /** How many edges may be sent clients. */
+  long ready() {
+    return edges.stream()
+        .filter(address -> world.host(address).up() && edge(address).ready())
+        .count();
+  }
 
-    /** A configuration of so many tenants and routes; true once it is acknowledged, within some simulated seconds. */
-    boolean configure(final int tenants, final int routes) {
-        final long next = version + 1;
-        final StringBuilder json = new StringBuilder("{\"Ver\":" + next + ",\"Routes\":[");
-        for (int i = 0; i < routes; i++) {
-            json.append(i == 0 ? "" : ",").append("{\"Name\":\"r-").append(i).append("\",\"Host\":\"\",\"Pfx\":\"s").append(i)
-                .append(".\",\"Type\":\"kept\",\"TimeoutMs\":1500,\"TargetMs\":120,\"Prio\":1,\"LingerS\":35.0,\"Fifo\":\"topic\",\"Public\":false}");
-        }
-        json.append("],\"Svcs\":[],\"Lims\":{\"Subs\":200},\"Tenants\":[");
-        for (int i = 0; i < tenants; i++) {
-            json.append(i == 0 ? "" : ",").append("{\"Name\":\"tenant").append(i).append("\",\"Apikeys\":[\"key").append(i)
-                .append("\",\"an-older-key-of-tenant").append(i).append("\"],\"Prio\":1,\"RatePerS\":100000,\"Burst\":100000}");
-        }
-        json.append("]}");
-        final boolean[] taken = new boolean[1];
-        for (int attempt = 0; attempt < 60 && !taken[0]; attempt++) {
-            final String crux = cruxes.get(attempt % cruxes.size());
-            final byte[] body = json.toString().getBytes(StandardCharsets.UTF_8);
-            world.host(crux).post(() -> ((ControlNode) nodes.get(crux)).desk().take(new OperatorApi.Request("POST", "/-/config/replace",
-                String.valueOf(version), body), answer -> taken[0] |= answer.status() == 200));
-            world.runUntil(() -> taken[0], 300);
-        }
-        version = taken[0] ? next : version;
-        return taken[0];
+  String leadingVault() {
+    return vaults.stream()
+        .filter(address -> ((StoreNode) nodes.get(address)).leads())
+        .findFirst()
+        .orElse("");
+  }
+
+  /**
+   * A configuration of so many tenants and routes; true once it is acknowledged, within some
+   * simulated seconds.
+   */
+  boolean configure(final int tenants, final int routes) {
+    final long next = version + 1;
+    final StringBuilder json = new StringBuilder("{\"Ver\":" + next + ",\"Routes\":[");
+    for (int i = 0; i < routes; i++) {
+      json.append(i == 0 ? "" : ",")
+          .append("{\"Name\":\"r-")
+          .append(i)
+          .append("\",\"Host\":\"\",\"Pfx\":\"s")
+          .append(i)
+          .append(
+              ".\",\"Type\":\"kept\",\"TimeoutMs\":1500,\"TargetMs\":120,\"Prio\":1,\"LingerS\":35.0,\"Fifo\":\"topic\",\"Public\":false}");
+    }
+    json.append("],\"Svcs\":[],\"Lims\":{\"Subs\":200},\"Tenants\":[");
+    for (int i = 0; i < tenants; i++) {
+      json.append(i == 0 ? "" : ",")
+          .append("{\"Name\":\"tenant")
+          .append(i)
+          .append("\",\"Apikeys\":[\"key")
+          .append(i)
+          .append("\",\"an-older-key-of-tenant")
+          .append(i)
+          .append("\"],\"Prio\":1,\"RatePerS\":100000,\"Burst\":100000}");
+    }
+    json.append("]}");
+    final boolean[] taken = new boolean[1];
+    for (int attempt = 0; attempt < 60 && !taken[0]; attempt++) {
+      final String crux = cruxes.get(attempt % cruxes.size());
+      final byte[] body = json.toString().getBytes(StandardCharsets.UTF_8);
+      world
+          .host(crux)
+          .post(
+              () ->
+                  ((ControlNode) nodes.get(crux))
+                      .desk()
+                      .take(
+                          new OperatorApi.Request(
+                              "POST", "/-/config/replace", String.valueOf(version), body),
+                          answer -> taken[0] |= answer.status() == 200));
+      world.runUntil(() -> taken[0], 300);
     }
+    version = taken[0] ? next : version;
+    return taken[0];
+  }
 }
--- a/src/test/java/yewjunction/common/GoldenBytesTest.java
+++ b/src/test/java/yewjunction/common/GoldenBytesTest.java
@@ -1,26 +1,27 @@
 package yewjunction.common;
 
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-import static org.junit.jupiter.api.Assertions.assertFalse;
-
 /** The comparison of bytes sees what it is there to see. */
 class GoldenBytesTest {
-    static final class Original {
-        long first = 5;
-        long second = 6;
-    }
+  static final class Original {
+    long first = 5;
+    long second = 6;
+  }
 
-    static final class WithFieldsSwapped {
-        long second = 6;
-        long first = 5;
-    }
+  static final class WithFieldsSwapped {
+    long second = 6;
+    long first = 5;
+  }
 
-    @Test
-    void swappedFieldsOfOneTypeChangeTheBytes() {
-        final byte[] original = new MessageCodec().know(1, Original.class).encode(new Original());
-        final byte[] swapped = new MessageCodec().know(1, WithFieldsSwapped.class).encode(new WithFieldsSwapped());
-        assertFalse(Arrays.equals(original, swapped));
-    }
+  @Test
+  void swappedFieldsOfOneTypeChangeTheBytes() {
+    final byte[] original = new MessageCodec().know(1, Original.class).encode(new Original());
+    final byte[] swapped =
+        new MessageCodec().know(1, WithFieldsSwapped.class).encode(new WithFieldsSwapped());
+    assertFalse(Arrays.equals(original, swapped));
+  }
 }
