--- a/src/test/java/yewjunction/control/ConfigurationTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationTest.java
@@ -1,45 +1,56 @@
 package yewjunction.control;
 
-import com.typesafe.config.Config;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import yewjunction.common.YewjunctionException;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.typesafe.config.Config;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import yewjunction.common.YewjunctionException;
+
 class ConfigurationTest {
-    private static final String ROUTE = "{'Name':'r1','Host':'','Pfx':'a.','Type':'kept','TimeoutMs':1500,'LingerS':35.0,"
-        + "'Public':false,'Unknown':[1,2]}";
-    private static final String OTHER = "{'Name':'r2','Host':'','Pfx':'a.b.','Type':'kept','TimeoutMs':900,'LingerS':25.5,'Public':true}";
+  private static final String ROUTE =
+      "{'Name':'r1','Host':'','Pfx':'a.','Type':'kept','TimeoutMs':1500,'LingerS':35.0,"
+          + "'Public':false,'Unknown':[1,2]}";
+  private static final String OTHER =
+      "{'Name':'r2','Host':'','Pfx':'a.b.','Type':'kept','TimeoutMs':900,'LingerS':25.5,'Public':true}";
 
-    static String json(final String routes, final String tenants) {
-        return ("{'Ver':7,'Routes':[" + routes + "],'Svcs':[],'Lims':{'Subs':5},'Tenants':[" + tenants + "]}").replace('\'', '"');
-    }
+  static String json(final String routes, final String tenants) {
+    return ("{'Ver':7,'Routes':["
+            + routes
+            + "],'Svcs':[],'Lims':{'Subs':5},'Tenants':["
+            + tenants
+            + "]}")
+        .replace('\'', '"');
+  }
 
-    @Test
-    void theLongestPrefixWins() {
-        final Configuration charter = Configuration.read(json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
-        assertEquals("r1", charter.space("a.x").name());
-        assertEquals("r2", charter.space("a.b.x").name());
-        assertEquals(25_500, charter.space("a.b.x").keepMs());
-        assertNull(charter.space("b.x"));
-        assertEquals("t", charter.tenantOfKey("k").name());
-        assertEquals(5, charter.subs());
-    }
+  @Test
+  void theLongestPrefixWins() {
+    final Configuration charter =
+        Configuration.read(
+            json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
+    assertEquals("r1", charter.space("a.x").name());
+    assertEquals("r2", charter.space("a.b.x").name());
+    assertEquals(25_500, charter.space("a.b.x").keepMs());
+    assertNull(charter.space("b.x"));
+    assertEquals("t", charter.tenantOfKey("k").name());
+    assertEquals(5, charter.subs());
+  }
 
-    @Test
-    void allFieldsAreKeptAsSent() {
-        final String sent = json(ROUTE, "");
-        assertEquals(Configuration.parse(sent), Configuration.parse(Configuration.read(sent).json()));
-    }
+  @Test
+  void allFieldsAreKeptAsSent() {
+    final String sent = json(ROUTE, "");
+    assertEquals(Configuration.parse(sent), Configuration.parse(Configuration.read(sent).json()));
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "{'Ver':7,'Routes':[{'Na|CONFIG_UNREADABLE",
         "[]|CONFIG_UNREADABLE",
         "{}|CONFIG_FIELD",
@@ -68,48 +79,70 @@
         "{'Ver':1,'Routes':[{'Name':'r','Pfx':'a','TimeoutMs':5,'After':'r'}]}|CONFIG_FIELD",
         "{'Ver':1,'Routes':[{'Name':'r','Pfx':'a','TimeoutMs':5,'After':[7]}]}|CONFIG_FIELD",
         "{'Ver':1,'Routes':[{'Name':'r','Pfx':'a','TimeoutMs':5,'After':null}]}|CONFIG_FIELD",
-    })
-    void whatIsInvalidIsNamed(final String json, final String code) {
-        assertEquals(code, assertThrows(YewjunctionException.class, () -> Configuration.read(json.replace('\'', '"'))).code().name());
-    }
+      })
+  void whatIsInvalidIsNamed(final String json, final String code) {
+    assertEquals(
+        code,
+        assertThrows(YewjunctionException.class, () -> Configuration.read(json.replace('\'', '"')))
+            .code()
+            .name());
+  }
 
-    @Test
-    void borrowingIsReadAndItsErrorsNameThePath() {
-        final Configuration charter = Configuration.read(json(ROUTE, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4,'BorrowMax':50},"
-            + "{'Name':'u','RatePerS':3,'BorrowMax':7,'RepayShare':1}, {'Name':'v','RatePerS':3}"));
-        assertEquals(50, charter.tenant("t").borrowMax());
-        assertEquals(500_000, charter.tenant("t").repayPpm());
-        assertEquals(1_000_000, charter.tenant("u").repayPpm());
-        assertEquals(0, charter.tenant("v").borrowMax());
-        final YewjunctionException defect = assertThrows(YewjunctionException.class, () -> Configuration.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':-1}")));
-        assertTrue(defect.getMessage().startsWith("Tenants.t.BorrowMax:"), defect.getMessage());
-        final YewjunctionException other = assertThrows(YewjunctionException.class, () -> Configuration.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':1,'RepayShare':2}")));
-        assertTrue(other.getMessage().startsWith("Tenants.t.RepayShare:"), other.getMessage());
-    }
+  @Test
+  void borrowingIsReadAndItsErrorsNameThePath() {
+    final Configuration charter =
+        Configuration.read(
+            json(
+                ROUTE,
+                "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4,'BorrowMax':50},"
+                    + "{'Name':'u','RatePerS':3,'BorrowMax':7,'RepayShare':1}, {'Name':'v','RatePerS':3}"));
+    assertEquals(50, charter.tenant("t").borrowMax());
+    assertEquals(500_000, charter.tenant("t").repayPpm());
+    assertEquals(1_000_000, charter.tenant("u").repayPpm());
+    assertEquals(0, charter.tenant("v").borrowMax());
+    final YewjunctionException defect =
+        assertThrows(
+            YewjunctionException.class,
+            () -> Configuration.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':-1}")));
+    assertTrue(defect.getMessage().startsWith("Tenants.t.BorrowMax:"), defect.getMessage());
+    final YewjunctionException other =
+        assertThrows(
+            YewjunctionException.class,
+            () ->
+                Configuration.read(
+                    json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':1,'RepayShare':2}")));
+    assertTrue(other.getMessage().startsWith("Tenants.t.RepayShare:"), other.getMessage());
+  }
 
-    @Test
-    void declaredOrderIsReadAndARouteThatOthersNameCannotGo() {
-        final String late = OTHER.replace("}", ",'After':['r1']}");
-        final Configuration charter = Configuration.read(json(ROUTE + "," + late, ""));
-        assertTrue(charter.space("a.b.x").follows(charter.space("a.x")));
-        assertFalse(charter.space("a.x").follows(charter.space("a.b.x")));
-        final Config update = Configuration.parse("{\"Ver\":9,\"Del\":{\"Routes\":[\"r1\"]}}");
-        final YewjunctionException defect = assertThrows(YewjunctionException.class, () -> Configuration.of(charter.updated(update)));
-        assertTrue(defect.getMessage().startsWith("Routes.r2.After:"), defect.getMessage());
-        // Each may name the other: one order across both.
-        Configuration.read(json(ROUTE.replace("'Unknown'", "'After':['r2'],'Unknown'") + "," + late, ""));
-    }
+  @Test
+  void declaredOrderIsReadAndARouteThatOthersNameCannotGo() {
+    final String late = OTHER.replace("}", ",'After':['r1']}");
+    final Configuration charter = Configuration.read(json(ROUTE + "," + late, ""));
+    assertTrue(charter.space("a.b.x").follows(charter.space("a.x")));
+    assertFalse(charter.space("a.x").follows(charter.space("a.b.x")));
+    final Config update = Configuration.parse("{\"Ver\":9,\"Del\":{\"Routes\":[\"r1\"]}}");
+    final YewjunctionException defect =
+        assertThrows(YewjunctionException.class, () -> Configuration.of(charter.updated(update)));
+    assertTrue(defect.getMessage().startsWith("Routes.r2.After:"), defect.getMessage());
+    // Each may name the other: one order across both.
+    Configuration.read(
+        json(ROUTE.replace("'Unknown'", "'After':['r2'],'Unknown'") + "," + late, ""));
+  }
 
-    @Test
-    void anUpdateReplacesAddsAndRemovesByName() {
-        final Configuration charter = Configuration.read(json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
-        final String update = "{'Ver':9,'Upsert':{'Routes':[{'Name':'r1','Host':'','Pfx':'a.','TimeoutMs':7},"
+  @Test
+  void anUpdateReplacesAddsAndRemovesByName() {
+    final Configuration charter =
+        Configuration.read(
+            json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
+    final String update =
+        "{'Ver':9,'Upsert':{'Routes':[{'Name':'r1','Host':'','Pfx':'a.','TimeoutMs':7},"
             + "{'Name':'r3','Host':'','Pfx':'c.','TimeoutMs':8}]},'Del':{'Routes':['r2','never'],'Tenants':['t']}}";
-        final Configuration updated = Configuration.of(charter.updated(Configuration.parse(update.replace('\'', '"'))));
-        assertEquals(9, updated.version());
-        assertEquals(7, updated.space("a.b.x").timeoutMs());
-        assertEquals(8, updated.space("c.").timeoutMs());
-        assertNull(updated.tenantOfKey("k"));
-        assertEquals(5, updated.subs());
-    }
+    final Configuration updated =
+        Configuration.of(charter.updated(Configuration.parse(update.replace('\'', '"'))));
+    assertEquals(9, updated.version());
+    assertEquals(7, updated.space("a.b.x").timeoutMs());
+    assertEquals(8, updated.space("c.").timeoutMs());
+    assertNull(updated.tenantOfKey("k"));
+    assertEquals(5, updated.subs());
+  }
 }
--- a/src/test/java/yewjunction/control/ControlSnapshotCost.java
+++ b/src/test/java/yewjunction/control/ControlSnapshotCost.java
@@ -3,47 +3,50 @@
 import java.lang.management.ManagementFactory;
 import java.util.Random;
 
-/** What building a core's snapshot costs its owner at the largest configuration: ms of a thread's processor. */
+/**
+ * What building a core's snapshot costs its owner at the largest configuration: ms of a thread's
+ * processor.
+ */
 final class ControlSnapshotCost {
-    private ControlSnapshotCost() {
-    }
+  private ControlSnapshotCost() {}
 
-    public static void main(final String[] words) {
-        final ControlStateMachine core = new ControlStateMachine(new ControlStateMachine.Listener() {
-            @Override
-            public void configChanged() {
-            }
+  public static void main(final String[] words) {
+    final ControlStateMachine core =
+        new ControlStateMachine(
+            new ControlStateMachine.Listener() {
+              @Override
+              public void configChanged() {}
 
-            @Override
-            public void factsChanged() {
-            }
+              @Override
+              public void factsChanged() {}
 
-            @Override
-            public void settledTo(final long commit) {
-            }
+              @Override
+              public void settledTo(final long commit) {}
 
-            @Override
-            public void leaderIs(final String identity, final boolean self) {
-            }
-        });
-        final Random luck = new Random(1);
-        final int bytes = Integer.parseInt(words[0]);
-        for (int i = 1; i <= 520; i++) {
-            final ControlCommand deed = new ControlCommand();
-            deed.kind = ControlCommand.CONFIG;
-            deed.base = i - 1;
-            deed.version = i;
-            deed.digest = Long.toHexString(luck.nextLong()).repeat(4);
-            deed.json = i < 520 ? "{}" : "\"route\":\"a.b\",".repeat(bytes / 14);
-            core.apply(i, ControlStateMachine.bytes(deed));
-        }
-        final var threads = ManagementFactory.getThreadMXBean();
-        for (int round = 0; round < 5; round++) {
-            final long startNs = threads.getCurrentThreadCpuTime();
-            final long wallNs = System.nanoTime();
-            final byte[] state = core.snapshot();
-            System.out.printf("Core.snapshot of %d bytes: cpu %.1f ms, wall %.1f ms%n", state.length,
-                (threads.getCurrentThreadCpuTime() - startNs) / 1e6, (System.nanoTime() - wallNs) / 1e6);
-        }
+              @Override
+              public void leaderIs(final String identity, final boolean self) {}
+            });
+    final Random luck = new Random(1);
+    final int bytes = Integer.parseInt(words[0]);
+    for (int i = 1; i <= 520; i++) {
+      final ControlCommand deed = new ControlCommand();
+      deed.kind = ControlCommand.CONFIG;
+      deed.base = i - 1;
+      deed.version = i;
+      deed.digest = Long.toHexString(luck.nextLong()).repeat(4);
+      deed.json = i < 520 ? "{}" : "\"route\":\"a.b\",".repeat(bytes / 14);
+      core.apply(i, ControlStateMachine.bytes(deed));
+    }
+    final var threads = ManagementFactory.getThreadMXBean();
+    for (int round = 0; round < 5; round++) {
+      final long startNs = threads.getCurrentThreadCpuTime();
+      final long wallNs = System.nanoTime();
+      final byte[] state = core.snapshot();
+      System.out.printf(
+          "Core.snapshot of %d bytes: cpu %.1f ms, wall %.1f ms%n",
+          state.length,
+          (threads.getCurrentThreadCpuTime() - startNs) / 1e6,
+          (System.nanoTime() - wallNs) / 1e6);
     }
+  }
 }
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -1,6 +1,8 @@
 package yewjunction.control;
 
-import yewjunction.membership.NodeRole;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,118 +14,153 @@
 import yewjunction.common.PeerTransport;
 import yewjunction.control.LeaseMessages.ConfirmLeadershipRequest;
 import yewjunction.control.LeaseMessages.ConfirmLeadershipResponse;
-import yewjunction.control.LeaseMessages.LeaseResponse;
 import yewjunction.control.LeaseMessages.LeaseRequest;
+import yewjunction.control.LeaseMessages.LeaseResponse;
+import yewjunction.membership.NodeRole;
 import yewjunction.node.ControlNode;
 import yewjunction.settings.Settings;
 import yewjunction.simulation.SimulatedHost;
-import yewjunction.simulation.SimulatedNodes;
 import yewjunction.simulation.SimulatedNetwork;
+import yewjunction.simulation.SimulatedNodes;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
-/** A home grants leases only on the word of the leader that it asked, on the link on which it asked. */
+/**
+ * A home grants leases only on the word of the leader that it asked, on the link on which it asked.
+ */
 class LeadershipConfirmationTest {
-    private static final List<String> CRUXES = List.of("10.1.0.1", "10.2.0.1", "10.3.0.1");
-    private final Map<String, ControlNode> nodes = new TreeMap<>();
-    private final List<ConfirmLeadershipRequest> asked = new ArrayList<>();
-    private final List<LeaseResponse> leases = new ArrayList<>();
-    private SimulatedNetwork world;
-    private String leader;
-    private String home;
-    private PeerTransport edge;
-    private PeerTransport stranger;
-    /** The leader's word names no question that was asked. */
-    private boolean mute;
+  private static final List<String> CRUXES = List.of("10.1.0.1", "10.2.0.1", "10.3.0.1");
+  private final Map<String, ControlNode> nodes = new TreeMap<>();
+  private final List<ConfirmLeadershipRequest> asked = new ArrayList<>();
+  private final List<LeaseResponse> leases = new ArrayList<>();
+  private SimulatedNetwork world;
+  private String leader;
+  private String home;
+  private PeerTransport edge;
+  private PeerTransport stranger;
 
-    private static String address(final String ip) {
-        return ip + ":" + (7000 + Settings.CONTROL_PORT_OFFSET);
-    }
+  /** The leader's word names no question that was asked. */
+  private boolean mute;
 
-    /** Three cruxes with a configuration, and an edge that may ask any of them. */
-    @BeforeEach
-    void begin() {
-        world = new SimulatedNetwork(3);
-        world.loss = 0;
-        final List<String> seeds = CRUXES.stream().map(ip -> ip + ":8024").toList();
-        for (final String ip : CRUXES) {
-            final Settings settings = new Settings("node-" + ip, "crux", List.of("crux"), ip, "zone" + ip.charAt(3), ip + ":8022",
-                ip + ":8029", ip + ":8024", 7000, 7015, seeds, true, "/data", 1, 2, 5, 0.1, 20, 64);
-            final SimulatedHost host = world.host(address(ip));
-            nodes.put(address(ip), (ControlNode) SimulatedNodes.boot(host, settings, NodeRole.CONTROL, nodes.size() + 1).node());
-            host.tampering = letter -> {
-                if (letter instanceof ConfirmLeadershipRequest confirm) {
-                    leader = host.address;
-                    final ConfirmLeadershipRequest copy = new ConfirmLeadershipRequest();
-                    copy.number = confirm.number;
-                    asked.add(copy);
-                    confirm.number = mute ? -1 : confirm.number;
-                }
-            };
-        }
-        final byte[] body = ConfigurationTest.json("", "").getBytes(StandardCharsets.UTF_8);
-        final List<Integer> taken = new ArrayList<>();
-        assertTrue(world.runUntil(() -> {
-            nodes.values().forEach(node -> node.desk().take(new OperatorApi.Request("POST", "/-/config/replace", "0", body),
-                answer -> taken.add(answer.status())));
-            return taken.contains(200);
-        }, 10_000));
-        edge = world.host("10.9.0.1:1").boot();
-        edge.on(LeaseResponse.class, (link, lease) -> leases.addAll(lease.held ? List.of(lease) : List.of()));
-        stranger = world.host("10.9.0.2:1").boot();
-        // Whoever does not lead asks the leader.
-        world.runFor(1_000);
-        nodes.keySet().forEach(this::renew);
-        assertTrue(world.runUntil(() -> leader != null, 2_000));
-        home = nodes.keySet().stream().filter(one -> !one.equals(leader)).findFirst().orElseThrow();
-        world.runFor(1_000);
-        leases.clear();
-        asked.clear();
-    }
+  private static String address(final String ip) {
+    return ip + ":" + (7000 + Settings.CONTROL_PORT_OFFSET);
+  }
 
-    private PeerConnection renew(final String crux) {
-        final LeaseRequest renew = new LeaseRequest();
-        renew.version = 7;
-        renew.request = 99;
-        renew.who.address = "10.9.0.1:1";
-        final PeerConnection link = edge.dial(crux);
-        link.send(renew);
-        return link;
+  /** Three cruxes with a configuration, and an edge that may ask any of them. */
+  @BeforeEach
+  void begin() {
+    world = new SimulatedNetwork(3);
+    world.loss = 0;
+    final List<String> seeds = CRUXES.stream().map(ip -> ip + ":8024").toList();
+    for (final String ip : CRUXES) {
+      final Settings settings =
+          new Settings(
+              "node-" + ip,
+              "crux",
+              List.of("crux"),
+              ip,
+              "zone" + ip.charAt(3),
+              ip + ":8022",
+              ip + ":8029",
+              ip + ":8024",
+              7000,
+              7015,
+              seeds,
+              true,
+              "/data",
+              1,
+              2,
+              5,
+              0.1,
+              20,
+              64);
+      final SimulatedHost host = world.host(address(ip));
+      nodes.put(
+          address(ip),
+          (ControlNode)
+              SimulatedNodes.boot(host, settings, NodeRole.CONTROL, nodes.size() + 1).node());
+      host.tampering =
+          letter -> {
+            if (letter instanceof ConfirmLeadershipRequest confirm) {
+              leader = host.address;
+              final ConfirmLeadershipRequest copy = new ConfirmLeadershipRequest();
+              copy.number = confirm.number;
+              asked.add(copy);
+              confirm.number = mute ? -1 : confirm.number;
+            }
+          };
     }
+    final byte[] body = ConfigurationTest.json("", "").getBytes(StandardCharsets.UTF_8);
+    final List<Integer> taken = new ArrayList<>();
+    assertTrue(
+        world.runUntil(
+            () -> {
+              nodes
+                  .values()
+                  .forEach(
+                      node ->
+                          node.desk()
+                              .take(
+                                  new OperatorApi.Request("POST", "/-/config/replace", "0", body),
+                                  answer -> taken.add(answer.status())));
+              return taken.contains(200);
+            },
+            10_000));
+    edge = world.host("10.9.0.1:1").boot();
+    edge.on(
+        LeaseResponse.class,
+        (link, lease) -> leases.addAll(lease.held ? List.of(lease) : List.of()));
+    stranger = world.host("10.9.0.2:1").boot();
+    // Whoever does not lead asks the leader.
+    world.runFor(1_000);
+    nodes.keySet().forEach(this::renew);
+    assertTrue(world.runUntil(() -> leader != null, 2_000));
+    home = nodes.keySet().stream().filter(one -> !one.equals(leader)).findFirst().orElseThrow();
+    world.runFor(1_000);
+    leases.clear();
+    asked.clear();
+  }
 
-    @Test
-    void theLeadersWordGrantsWhatWasAsked() {
-        renew(home);
-        assertTrue(world.runUntil(() -> !leases.isEmpty(), 200));
-        assertEquals(99, leases.get(0).request);
-    }
+  private PeerConnection renew(final String crux) {
+    final LeaseRequest renew = new LeaseRequest();
+    renew.version = 7;
+    renew.request = 99;
+    renew.who.address = "10.9.0.1:1";
+    final PeerConnection link = edge.dial(crux);
+    link.send(renew);
+    return link;
+  }
 
-    /** Right in its number, and from a link on which nothing was asked. */
-    @Test
-    void aWordFromAnotherLinkGrantsNothing() {
-        mute = true;
-        renew(home);
-        assertTrue(world.runUntil(() -> !asked.isEmpty(), 200));
-        final ConfirmLeadershipResponse confirmed = new ConfirmLeadershipResponse();
-        confirmed.number = asked.get(0).number;
-        confirmed.held = true;
-        stranger.dial(home).send(confirmed);
-        world.runFor(200);
-        assertEquals(List.of(), leases);
-    }
+  @Test
+  void theLeadersWordGrantsWhatWasAsked() {
+    renew(home);
+    assertTrue(world.runUntil(() -> !leases.isEmpty(), 200));
+    assertEquals(99, leases.get(0).request);
+  }
 
-    @Test
-    void aWordThatNamesAnotherQuestionGrantsNothing() {
-        mute = true;
-        renew(home);
-        world.runFor(200);
-        assertEquals(1, asked.size());
-        assertEquals(List.of(), leases);
-        // The leader answers: the same edge's next question is served.
-        mute = false;
-        world.runFor(200);
-        renew(home);
-        assertTrue(world.runUntil(() -> !leases.isEmpty(), 500));
-    }
+  /** Right in its number, and from a link on which nothing was asked. */
+  @Test
+  void aWordFromAnotherLinkGrantsNothing() {
+    mute = true;
+    renew(home);
+    assertTrue(world.runUntil(() -> !asked.isEmpty(), 200));
+    final ConfirmLeadershipResponse confirmed = new ConfirmLeadershipResponse();
+    confirmed.number = asked.get(0).number;
+    confirmed.held = true;
+    stranger.dial(home).send(confirmed);
+    world.runFor(200);
+    assertEquals(List.of(), leases);
+  }
+
+  @Test
+  void aWordThatNamesAnotherQuestionGrantsNothing() {
+    mute = true;
+    renew(home);
+    world.runFor(200);
+    assertEquals(1, asked.size());
+    assertEquals(List.of(), leases);
+    // The leader answers: the same edge's next question is served.
+    mute = false;
+    world.runFor(200);
+    renew(home);
+    assertTrue(world.runUntil(() -> !leases.isEmpty(), 500));
+  }
 }
--- a/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
+++ b/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
@@ -1,146 +1,155 @@
 package yewjunction.gateway;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static yewjunction.store.AdmissionMessages.ACCEPTED;
+import static yewjunction.store.AdmissionMessages.DENIED;
+import static yewjunction.store.AdmissionMessages.ELSEWHERE;
+
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import yewjunction.control.Configuration.Route;
-import yewjunction.transport.ClientConnection;
-import yewjunction.transport.WriteBuffer;
 import yewjunction.simulation.ScriptedTransport;
 import yewjunction.simulation.SimulatedHost;
 import yewjunction.simulation.SimulatedNetwork;
 import yewjunction.store.AdmissionMessages.AdmitRequest;
 import yewjunction.store.AdmissionMessages.AdmitResponse;
+import yewjunction.transport.ClientConnection;
+import yewjunction.transport.WriteBuffer;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static yewjunction.store.AdmissionMessages.ACCEPTED;
-import static yewjunction.store.AdmissionMessages.DENIED;
-import static yewjunction.store.AdmissionMessages.ELSEWHERE;
-
-/** RETRY is said only on a denial of the newest offer; whatever was said of earlier ones may be overtaken. */
+/**
+ * RETRY is said only on a denial of the newest offer; whatever was said of earlier ones may be
+ * overtaken.
+ */
 class AdmitResponsesTest {
-    private static final Route SPACE = new Route("orders", "", "s.", 1_500, 35_000, true, Set.of());
-    private static final String RETRIED = "REFUSE PUB s.x 5 RETRY\r\n", ACKED = "ACK s.x 5\r\n";
-    private final WriteBuffer told = new WriteBuffer(64);
-    private ScriptedTransport links;
-    private PublishForwarder shipping;
-    private SimulatedNetwork world;
-    private long lives;
-
-    private final class Written implements ClientConnection {
-        @Override
-        public WriteBuffer out() {
-            return told;
-        }
-
-        @Override
-        public int waiting() {
-            return 0;
-        }
-
-        @Override
-        public void closeSoon() {
-            throw new IllegalStateException("closed");
-        }
-
-        @Override
-        public void close() {
-            throw new IllegalStateException("closed");
-        }
-
-        @Override
-        public boolean open() {
-            return true;
-        }
-    }
-
-    /** A life of an edge that has a message of a client on its way to the first leader. */
-    private AdmitRequest begin(final boolean drawn) {
-        links = new ScriptedTransport();
-        world = new SimulatedNetwork(1);
-        final SimulatedHost host = world.host("edge:1");
-        host.boot();
-        shipping = new PublishForwarder(host, links, drawn ? ++lives : 1);
-        shipping.leaderIs("one:1");
-        final ClientSession berth = new ClientSession(null, new Written(), 0);
-        berth.client = "c";
-        shipping.ship(berth, "s.x", 5, true, "", SPACE, new byte[0]);
-        return links.dial("one:1").newest();
-    }
-
-    private String afterVerdict(final String from, final AdmitRequest on, final int what) {
-        final AdmitResponse verdict = new AdmitResponse();
-        verdict.request = on.request;
-        verdict.what = what;
-        links.answer(from, verdict);
-        return new String(told.take(), StandardCharsets.US_ASCII);
-    }
-
-    /** Denied by the first leader, accepted, perhaps, by the second, and now the first one leads again. */
-    private AdmitRequest offeredThrice() {
-        shipping.leaderIs("two:1");
-        assertEquals(1, links.dial("two:1").size());
-        shipping.leaderIs("one:1");
-        assertEquals(2, links.dial("one:1").size());
-        return links.dial("one:1").newest();
-    }
-
-    @Test
-    void aDenialOfAnEarlierOfferOnTheSameLinkBindsNobody() {
-        final AdmitRequest first = begin(true);
-        final AdmitRequest third = offeredThrice();
-        assertEquals("", afterVerdict("one:1", first, DENIED));
-        assertEquals(ACKED, afterVerdict("one:1", third, ACCEPTED));
-    }
-
-    /** The fault planted: the late denial bears the newest offer's number, as when a message's number served for all its offers. */
-    @Test
-    void withOneNumberForAllOffersTheLateDenialIsTold() {
-        begin(true);
-        assertEquals(RETRIED, afterVerdict("one:1", offeredThrice(), DENIED));
-    }
-
-    @Test
-    void anAcceptanceOfAnEarlierOfferIsAFact() {
-        final AdmitRequest first = begin(true);
-        final AdmitRequest third = offeredThrice();
-        assertEquals(ACKED, afterVerdict("one:1", first, ACCEPTED));
-        assertEquals("", afterVerdict("one:1", third, ACCEPTED), "told once");
-    }
-
-    @Test
-    void anotherVaultsVerdictIsNone() {
-        final AdmitRequest first = begin(true);
-        assertEquals("", afterVerdict("two:1", first, DENIED));
-        assertEquals("", afterVerdict("two:1", first, ACCEPTED));
-        assertEquals(RETRIED, afterVerdict("one:1", first, DENIED));
+  private static final Route SPACE = new Route("orders", "", "s.", 1_500, 35_000, true, Set.of());
+  private static final String RETRIED = "REFUSE PUB s.x 5 RETRY\r\n", ACKED = "ACK s.x 5\r\n";
+  private final WriteBuffer told = new WriteBuffer(64);
+  private ScriptedTransport links;
+  private PublishForwarder shipping;
+  private SimulatedNetwork world;
+  private long lives;
+
+  private final class Written implements ClientConnection {
+    @Override
+    public WriteBuffer out() {
+      return told;
     }
 
-    @Test
-    void thatAnEarlierOfferWentToNoLeaderTakesNothingBack() {
-        final AdmitRequest first = begin(true);
-        offeredThrice();
-        assertEquals("", afterVerdict("one:1", first, ELSEWHERE));
-        // Taken back it would be offered again after a pause.
-        world.runFor(2_000);
-        assertEquals(2, links.dial("one:1").size());
-        assertEquals(1, shipping.depth());
+    @Override
+    public int waiting() {
+      return 0;
     }
 
-    private String afterVerdictOnAnEarlierLife(final boolean drawn) {
-        final AdmitRequest earlier = begin(drawn);
-        begin(drawn);
-        return afterVerdict("one:1", earlier, DENIED);
+    @Override
+    public void closeSoon() {
+      throw new IllegalStateException("closed");
     }
 
-    @Test
-    void aVerdictOnAnEarlierLifesOfferIsNone() {
-        assertEquals("", afterVerdictOnAnEarlierLife(true));
+    @Override
+    public void close() {
+      throw new IllegalStateException("closed");
     }
 
-    /** The fault planted: each life draws the same, and so numbers alike. */
-    @Test
-    void withNumbersThatBeginAlikeItIsTold() {
-        assertEquals(RETRIED, afterVerdictOnAnEarlierLife(false));
+    @Override
+    public boolean open() {
+      return true;
     }
+  }
+
+  /** A life of an edge that has a message of a client on its way to the first leader. */
+  private AdmitRequest begin(final boolean drawn) {
+    links = new ScriptedTransport();
+    world = new SimulatedNetwork(1);
+    final SimulatedHost host = world.host("edge:1");
+    host.boot();
+    shipping = new PublishForwarder(host, links, drawn ? ++lives : 1);
+    shipping.leaderIs("one:1");
+    final ClientSession berth = new ClientSession(null, new Written(), 0);
+    berth.client = "c";
+    shipping.ship(berth, "s.x", 5, true, "", SPACE, new byte[0]);
+    return links.dial("one:1").newest();
+  }
+
+  private String afterVerdict(final String from, final AdmitRequest on, final int what) {
+    final AdmitResponse verdict = new AdmitResponse();
+    verdict.request = on.request;
+    verdict.what = what;
+    links.answer(from, verdict);
+    return new String(told.take(), StandardCharsets.US_ASCII);
+  }
+
+  /**
+   * Denied by the first leader, accepted, perhaps, by the second, and now the first one leads
+   * again.
+   */
+  private AdmitRequest offeredThrice() {
+    shipping.leaderIs("two:1");
+    assertEquals(1, links.dial("two:1").size());
+    shipping.leaderIs("one:1");
+    assertEquals(2, links.dial("one:1").size());
+    return links.dial("one:1").newest();
+  }
+
+  @Test
+  void aDenialOfAnEarlierOfferOnTheSameLinkBindsNobody() {
+    final AdmitRequest first = begin(true);
+    final AdmitRequest third = offeredThrice();
+    assertEquals("", afterVerdict("one:1", first, DENIED));
+    assertEquals(ACKED, afterVerdict("one:1", third, ACCEPTED));
+  }
+
+  /**
+   * The fault planted: the late denial bears the newest offer's number, as when a message's number
+   * served for all its offers.
+   */
+  @Test
+  void withOneNumberForAllOffersTheLateDenialIsTold() {
+    begin(true);
+    assertEquals(RETRIED, afterVerdict("one:1", offeredThrice(), DENIED));
+  }
+
+  @Test
+  void anAcceptanceOfAnEarlierOfferIsAFact() {
+    final AdmitRequest first = begin(true);
+    final AdmitRequest third = offeredThrice();
+    assertEquals(ACKED, afterVerdict("one:1", first, ACCEPTED));
+    assertEquals("", afterVerdict("one:1", third, ACCEPTED), "told once");
+  }
+
+  @Test
+  void anotherVaultsVerdictIsNone() {
+    final AdmitRequest first = begin(true);
+    assertEquals("", afterVerdict("two:1", first, DENIED));
+    assertEquals("", afterVerdict("two:1", first, ACCEPTED));
+    assertEquals(RETRIED, afterVerdict("one:1", first, DENIED));
+  }
+
+  @Test
+  void thatAnEarlierOfferWentToNoLeaderTakesNothingBack() {
+    final AdmitRequest first = begin(true);
+    offeredThrice();
+    assertEquals("", afterVerdict("one:1", first, ELSEWHERE));
+    // Taken back it would be offered again after a pause.
+    world.runFor(2_000);
+    assertEquals(2, links.dial("one:1").size());
+    assertEquals(1, shipping.depth());
+  }
+
+  private String afterVerdictOnAnEarlierLife(final boolean drawn) {
+    final AdmitRequest earlier = begin(drawn);
+    begin(drawn);
+    return afterVerdict("one:1", earlier, DENIED);
+  }
+
+  @Test
+  void aVerdictOnAnEarlierLifesOfferIsNone() {
+    assertEquals("", afterVerdictOnAnEarlierLife(true));
+  }
+
+  /** The fault planted: each life draws the same, and so numbers alike. */
+  @Test
+  void withNumbersThatBeginAlikeItIsTold() {
+    assertEquals(RETRIED, afterVerdictOnAnEarlierLife(false));
+  }
 }
--- a/src/test/java/yewjunction/gateway/CommandParserTest.java
+++ b/src/test/java/yewjunction/gateway/CommandParserTest.java
@@ -1,5 +1,8 @@
 package yewjunction.gateway;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -9,76 +12,103 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
 class CommandParserTest {
-    private static byte[] bytes(final String text) {
-        return text.getBytes(StandardCharsets.ISO_8859_1);
-    }
+  private static byte[] bytes(final String text) {
+    return text.getBytes(StandardCharsets.ISO_8859_1);
+  }
 
-    @Test
-    void messagesAreReadFromPiecesOfAnySize() {
-        final String stream = "HELLO c k\r\nSUB t.1 17\r\nPUB t.1 4 20\r\nabcdefghijklmnopqrst\r\nPING\r\nWHO -\r\n";
-        final List<String> expected = List.of("HELLO", "SUB", "PUB", "PING", "WHO");
-        final Random luck = new Random(3);
-        for (int attempt = 0; attempt < 300; attempt++) {
-            final List<String> read = new ArrayList<>();
-            byte[] unread = new byte[0];
-            int sent = 0;
-            while (sent < stream.length()) {
-                final int next = Math.min(stream.length(), sent + 1 + luck.nextInt(30));
-                final byte[] all = bytes(new String(unread, StandardCharsets.ISO_8859_1) + stream.substring(sent, next));
-                sent = next;
-                int at = 0;
-                final CommandParser words = new CommandParser();
-                while (at < all.length && words.wrap(all, at, all.length) == CommandParser.GOOD) {
-                    read.add(words.text(0));
-                    if (words.is("PUB")) {
-                        assertEquals("abcdefghijklmnopqrst", new String(words.bodyBytes(), StandardCharsets.US_ASCII));
-                        assertEquals(4, words.number(2));
-                    }
-                    at = words.end();
-                }
-                unread = Arrays.copyOfRange(all, at, all.length);
-            }
-            assertEquals(expected, read);
+  @Test
+  void messagesAreReadFromPiecesOfAnySize() {
+    final String stream =
+        "HELLO c k\r\nSUB t.1 17\r\nPUB t.1 4 20\r\nabcdefghijklmnopqrst\r\nPING\r\nWHO -\r\n";
+    final List<String> expected = List.of("HELLO", "SUB", "PUB", "PING", "WHO");
+    final Random luck = new Random(3);
+    for (int attempt = 0; attempt < 300; attempt++) {
+      final List<String> read = new ArrayList<>();
+      byte[] unread = new byte[0];
+      int sent = 0;
+      while (sent < stream.length()) {
+        final int next = Math.min(stream.length(), sent + 1 + luck.nextInt(30));
+        final byte[] all =
+            bytes(new String(unread, StandardCharsets.ISO_8859_1) + stream.substring(sent, next));
+        sent = next;
+        int at = 0;
+        final CommandParser words = new CommandParser();
+        while (at < all.length && words.wrap(all, at, all.length) == CommandParser.GOOD) {
+          read.add(words.text(0));
+          if (words.is("PUB")) {
+            assertEquals(
+                "abcdefghijklmnopqrst", new String(words.bodyBytes(), StandardCharsets.US_ASCII));
+            assertEquals(4, words.number(2));
+          }
+          at = words.end();
         }
+        unread = Arrays.copyOfRange(all, at, all.length);
+      }
+      assertEquals(expected, read);
     }
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "PUB t 1 20|0", "PUB t 1 19~abcdefghijklmnopqrs~|2", "PUB t 1 20~abcdefghijklmnopqrstu~|4", "PUB t 1 x~|4",
-        "PUB t x 20~abcdefghijklmnopqrst~|2", "PUB t 1 99999999~|3", "PUB~|4", "SUB\u0001 t~|4", "~|1", "A B C D E F G~|4",
-    })
-    void whatIsWrongIsTold(final String text, final int state) {
-        final byte[] bytes = bytes(text.replace("~", "\r\n"));
-        assertEquals(state, new CommandParser().wrap(bytes, 0, bytes.length));
-    }
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "PUB t 1 20|0",
+        "PUB t 1 19~abcdefghijklmnopqrs~|2",
+        "PUB t 1 20~abcdefghijklmnopqrstu~|4",
+        "PUB t 1 x~|4",
+        "PUB t x 20~abcdefghijklmnopqrst~|2",
+        "PUB t 1 99999999~|3",
+        "PUB~|4",
+        "SUB\u0001 t~|4",
+        "~|1",
+        "A B C D E F G~|4",
+      })
+  void whatIsWrongIsTold(final String text, final int state) {
+    final byte[] bytes = bytes(text.replace("~", "\r\n"));
+    assertEquals(state, new CommandParser().wrap(bytes, 0, bytes.length));
+  }
 
-    @Test
-    void aBareLineEndLosesTheStreamAndABodyOverTheLimitIsTooBig() {
-        assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("PING\n"), 0, 5));
-        final byte[] large = bytes("PUB t 1 16385\r\n" + "x".repeat(16_385) + "\r\n");
-        final CommandParser words = new CommandParser();
-        assertEquals(CommandParser.TOO_BIG, words.wrap(large, 0, large.length));
-        assertEquals(large.length, words.end());
-        assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
-    }
+  @Test
+  void aBareLineEndLosesTheStreamAndABodyOverTheLimitIsTooBig() {
+    assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("PING\n"), 0, 5));
+    final byte[] large = bytes("PUB t 1 16385\r\n" + "x".repeat(16_385) + "\r\n");
+    final CommandParser words = new CommandParser();
+    assertEquals(CommandParser.TOO_BIG, words.wrap(large, 0, large.length));
+    assertEquals(large.length, words.end());
+    assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
+  }
 
-    @Test
-    void noBytesBreakTheReader() {
-        final Random luck = new Random(5);
-        final String[] pieces = {"PUB ", "SUB ", "t ", "20", "-1", "\r\n", "\n", "\0", "\u00ff", " ", "-", "9999999999999999999"};
-        for (int attempt = 0; attempt < 20_000; attempt++) {
-            final StringBuilder text = new StringBuilder();
-            for (int i = luck.nextInt(9); i >= 0; i--) {
-                text.append(pieces[luck.nextInt(pieces.length)]);
-            }
-            final byte[] bytes = bytes(text.toString());
-            final CommandParser words = new CommandParser();
-            final int state = words.wrap(bytes, 0, bytes.length);
-            assertTrue(state == CommandParser.MORE || state == CommandParser.LOST || state == CommandParser.TOO_BIG || words.end() > 0 && words.end() <= bytes.length);
-        }
+  @Test
+  void noBytesBreakTheReader() {
+    final Random luck = new Random(5);
+    final String[] pieces = {
+      "PUB ",
+      "SUB ",
+      "t ",
+      "20",
+      "-1",
+      "\r\n",
+      "\n",
+      "\0",
+      "\u00ff",
+      " ",
+      "-",
+      "9999999999999999999"
+    };
+    for (int attempt = 0; attempt < 20_000; attempt++) {
+      final StringBuilder text = new StringBuilder();
+      for (int i = luck.nextInt(9); i >= 0; i--) {
+        text.append(pieces[luck.nextInt(pieces.length)]);
+      }
+      final byte[] bytes = bytes(text.toString());
+      final CommandParser words = new CommandParser();
+      final int state = words.wrap(bytes, 0, bytes.length);
+      assertTrue(
+          state == CommandParser.MORE
+              || state == CommandParser.LOST
+              || state == CommandParser.TOO_BIG
+              || words.end() > 0 && words.end() <= bytes.length);
     }
+  }
 }
--- a/src/test/java/yewjunction/membership/LateResponsesTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -1,137 +1,148 @@
 package yewjunction.membership;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import yewjunction.membership.MembershipMessages.PingRequest;
 import yewjunction.membership.MembershipMessages.Ack;
 import yewjunction.membership.MembershipMessages.MembershipMessage;
 import yewjunction.membership.MembershipMessages.Ping;
+import yewjunction.membership.MembershipMessages.PingRequest;
 import yewjunction.simulation.SimulatedHost;
 import yewjunction.simulation.SimulatedNetwork;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
 /** A dead peer is missed, whatever answers to other questions still come in. */
 class LateResponsesTest {
-    private static final String ASKER = "a1:7", DEAD = "a2:7", OTHER = "a3:7";
-    private final List<Ping> probes = new ArrayList<>();
-    private final List<PingRequest> detours = new ArrayList<>();
-    private SimulatedNetwork world;
-    private MembershipList roster;
-    private long lives;
+  private static final String ASKER = "a1:7", DEAD = "a2:7", OTHER = "a3:7";
+  private final List<Ping> probes = new ArrayList<>();
+  private final List<PingRequest> detours = new ArrayList<>();
+  private SimulatedNetwork world;
+  private MembershipList roster;
+  private long lives;
 
-    private static Member peer(final String address) {
-        final Member peer = new Member();
-        peer.life = 1;
-        peer.address = address;
-        peer.zone = "zone";
-        peer.duty = NodeRole.STORE.wireName();
-        return peer;
-    }
+  private static Member peer(final String address) {
+    final Member peer = new Member();
+    peer.life = 1;
+    peer.address = address;
+    peer.zone = "zone";
+    peer.duty = NodeRole.STORE.wireName();
+    return peer;
+  }
 
-    private static <T extends MembershipMessage> T by(final String address, final T letter) {
-        letter.self = peer(address);
-        return letter;
-    }
+  private static <T extends MembershipMessage> T by(final String address, final T letter) {
+    letter.self = peer(address);
+    return letter;
+  }
 
-    private static Ack echo(final String address, final long number) {
-        final Ack echo = by(address, new Ack());
-        echo.number = number;
-        return echo;
-    }
+  private static Ack echo(final String address, final long number) {
+    final Ack echo = by(address, new Ack());
+    echo.number = number;
+    return echo;
+  }
 
-    /** A life of the asker, which has just heard from the others. */
-    private void boot(final boolean drawn, final String... others) {
-        final SimulatedHost host = world.host(ASKER);
-        host.boot();
-        final Member self = peer(ASKER);
-        self.life = drawn ? ++lives : 1;
-        probes.clear();
-        detours.clear();
-        roster = new MembershipList(host, self, (address, letter) -> {
-            if (letter instanceof Ping probe && address.equals(DEAD)) {
+  /** A life of the asker, which has just heard from the others. */
+  private void boot(final boolean drawn, final String... others) {
+    final SimulatedHost host = world.host(ASKER);
+    host.boot();
+    final Member self = peer(ASKER);
+    self.life = drawn ? ++lives : 1;
+    probes.clear();
+    detours.clear();
+    roster =
+        new MembershipList(
+            host,
+            self,
+            (address, letter) -> {
+              if (letter instanceof Ping probe && address.equals(DEAD)) {
                 probes.add(probe);
-            } else if (letter instanceof Ping probe) {
+              } else if (letter instanceof Ping probe) {
                 world.after(5, () -> roster.take(address, echo(address, probe.number)));
-            } else if (letter instanceof PingRequest detour) {
+              } else if (letter instanceof PingRequest detour) {
                 detours.add(detour);
-            }
-        });
-        roster.start(List.of());
-        for (final String other : others) {
-            roster.take(other, by(other, new Ack()));
-        }
+              }
+            });
+    roster.start(List.of());
+    for (final String other : others) {
+      roster.take(other, by(other, new Ack()));
     }
+  }
 
-    private boolean missed() {
-        return roster.at(DEAD) == null || !roster.at(DEAD).up();
-    }
+  private boolean missed() {
+    return roster.at(DEAD) == null || !roster.at(DEAD).up();
+  }
 
-    /** The first life's probes are answered late, all of them and again and again, while the second one probes. */
-    private boolean missedInTheSecondLife(final long seed, final boolean drawn) {
-        world = new SimulatedNetwork(seed);
-        boot(drawn, DEAD);
-        world.every(1, () -> List.copyOf(probes).forEach(probe -> roster.take(DEAD, echo(DEAD, probe.number))));
-        world.runFor(20_000);
-        assertTrue(probes.size() > 15 && !missed(), probes.size() + " probes");
-        final List<Long> firstLife = probes.stream().map(probe -> probe.number).toList();
-        world.host(ASKER).kill();
-        final SimulatedNetwork second = new SimulatedNetwork(seed + 1_000);
-        world = second;
-        boot(drawn, DEAD);
-        second.every(100, () -> firstLife.forEach(number -> roster.take(DEAD, echo(DEAD, number))));
-        second.runFor(10_000);
-        return missed();
-    }
+  /**
+   * The first life's probes are answered late, all of them and again and again, while the second
+   * one probes.
+   */
+  private boolean missedInTheSecondLife(final long seed, final boolean drawn) {
+    world = new SimulatedNetwork(seed);
+    boot(drawn, DEAD);
+    world.every(
+        1, () -> List.copyOf(probes).forEach(probe -> roster.take(DEAD, echo(DEAD, probe.number))));
+    world.runFor(20_000);
+    assertTrue(probes.size() > 15 && !missed(), probes.size() + " probes");
+    final List<Long> firstLife = probes.stream().map(probe -> probe.number).toList();
+    world.host(ASKER).kill();
+    final SimulatedNetwork second = new SimulatedNetwork(seed + 1_000);
+    world = second;
+    boot(drawn, DEAD);
+    second.every(100, () -> firstLife.forEach(number -> roster.take(DEAD, echo(DEAD, number))));
+    second.runFor(10_000);
+    return missed();
+  }
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5})
-    void answersToAnEarlierLifeHideNoLoss(final long seed) {
-        assertTrue(missedInTheSecondLife(seed, true));
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5})
+  void answersToAnEarlierLifeHideNoLoss(final long seed) {
+    assertTrue(missedInTheSecondLife(seed, true));
+  }
 
-    /** The fault planted: each life draws the same, and so numbers alike. */
-    @Test
-    void withNumbersThatBeginAlikeTheLossIsHidden() {
-        assertFalse(missedInTheSecondLife(1, false));
-    }
+  /** The fault planted: each life draws the same, and so numbers alike. */
+  @Test
+  void withNumbersThatBeginAlikeTheLossIsHidden() {
+    assertFalse(missedInTheSecondLife(1, false));
+  }
 
-    /** All that the dead peer is asked another one answers in time, under that name. */
-    private boolean missedWhileAnotherAnswers(final long seed, final String name) {
-        world = new SimulatedNetwork(seed);
-        boot(true, DEAD, OTHER);
-        world.every(20, () -> {
-            probes.forEach(probe -> roster.take(OTHER, echo(name, probe.number)));
+  /** All that the dead peer is asked another one answers in time, under that name. */
+  private boolean missedWhileAnotherAnswers(final long seed, final String name) {
+    world = new SimulatedNetwork(seed);
+    boot(true, DEAD, OTHER);
+    world.every(
+        20,
+        () -> {
+          probes.forEach(probe -> roster.take(OTHER, echo(name, probe.number)));
         });
-        world.runFor(20_000);
-        return missed();
-    }
+    world.runFor(20_000);
+    return missed();
+  }
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5})
-    void anAnswerOfAnotherPeerHidesNoLoss(final long seed) {
-        assertTrue(missedWhileAnotherAnswers(seed, OTHER));
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5})
+  void anAnswerOfAnotherPeerHidesNoLoss(final long seed) {
+    assertTrue(missedWhileAnotherAnswers(seed, OTHER));
+  }
 
-    /** The fault planted: the answer is taken for the dead peer's own. */
-    @Test
-    void anAnswerThatNamesTheDeadPeerDoesHideIt() {
-        assertFalse(missedWhileAnotherAnswers(1, DEAD));
-    }
+  /** The fault planted: the answer is taken for the dead peer's own. */
+  @Test
+  void anAnswerThatNamesTheDeadPeerDoesHideIt() {
+    assertFalse(missedWhileAnotherAnswers(1, DEAD));
+  }
 
-    @Test
-    void aSecondOpinionCountsOnlyFromWhomItWasAsked() {
-        world = new SimulatedNetwork(7);
-        boot(true, DEAD, OTHER);
-        world.every(20, () -> detours.forEach(detour -> roster.take(OTHER, echo(OTHER, detour.number))));
-        world.runFor(15_000);
-        assertFalse(missed());
-        assertTrue(detours.size() > 3, detours.size() + " detours");
-        assertEquals(detours.size(), detours.stream().map(detour -> detour.number).distinct().count());
-    }
+  @Test
+  void aSecondOpinionCountsOnlyFromWhomItWasAsked() {
+    world = new SimulatedNetwork(7);
+    boot(true, DEAD, OTHER);
+    world.every(
+        20, () -> detours.forEach(detour -> roster.take(OTHER, echo(OTHER, detour.number))));
+    world.runFor(15_000);
+    assertFalse(missed());
+    assertTrue(detours.size() > 3, detours.size() + " detours");
+    assertEquals(detours.size(), detours.stream().map(detour -> detour.number).distinct().count());
+  }
 }
--- a/src/test/java/yewjunction/raft/LogReader.java
+++ b/src/test/java/yewjunction/raft/LogReader.java
@@ -1,44 +1,50 @@
 package yewjunction.raft;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
-
 /** Reads a log's entries from a member's disk, past all code that applies them. */
 public final class LogReader {
-    private LogReader() {
-    }
+  private LogReader() {}
 
-    /** Adds what that disk holds up to an index; where two disks hold the same entry they must agree. */
-    public static void gather(final Disk disk, final String name, final long upTo, final Map<Long, byte[]> entries) {
-        final RaftStorage archive = new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> { }, name));
-        for (long index = archive.log.baseIndex() + 1; index <= Math.min(upTo, archive.log.lastIndex()); index++) {
-            final LogEntry entry = archive.log.get(index);
-            if (entry.kind == LogEntry.DATA) {
-                final byte[] known = entries.putIfAbsent(index, entry.data);
-                if (known != null) {
-                    assertArrayEquals(known, entry.data, "entry " + index);
-                }
-            }
+  /**
+   * Adds what that disk holds up to an index; where two disks hold the same entry they must agree.
+   */
+  public static void gather(
+      final Disk disk, final String name, final long upTo, final Map<Long, byte[]> entries) {
+    final RaftStorage archive =
+        new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> {}, name));
+    for (long index = archive.log.baseIndex() + 1;
+        index <= Math.min(upTo, archive.log.lastIndex());
+        index++) {
+      final LogEntry entry = archive.log.get(index);
+      if (entry.kind == LogEntry.DATA) {
+        final byte[] known = entries.putIfAbsent(index, entry.data);
+        if (known != null) {
+          assertArrayEquals(known, entry.data, "entry " + index);
         }
+      }
     }
+  }
 
-    /** The addresses that vote by what that disk holds. */
-    public static List<String> voters(final Disk disk, final String name) {
-        final RaftLog log = new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> { }, name)).log;
-        return log.votersAt(log.lastIndex()).stream().map(RaftNode::address).toList();
-    }
+  /** The addresses that vote by what that disk holds. */
+  public static List<String> voters(final Disk disk, final String name) {
+    final RaftLog log =
+        new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> {}, name)).log;
+    return log.votersAt(log.lastIndex()).stream().map(RaftNode::address).toList();
+  }
 
-    /** Plants a fault: a member that asks to be brought up to date is not understood. */
-    public static void drownJoins(final Object letter) {
-        if (letter instanceof RaftMessages.JoinRequest join) {
-            join.group = -1;
-        }
+  /** Plants a fault: a member that asks to be brought up to date is not understood. */
+  public static void drownJoins(final Object letter) {
+    if (letter instanceof RaftMessages.JoinRequest join) {
+      join.group = -1;
     }
+  }
 
-    public static Map<Long, byte[]> none() {
-        return new TreeMap<>();
-    }
+  public static Map<Long, byte[]> none() {
+    return new TreeMap<>();
+  }
 }
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -12,239 +12,256 @@
 
 /** One member's machine: a clock of its own, timers, a disk, and the ledger that runs here. */
 final class ModelHost implements AgentContext {
-    /** ms; how late a frozen process finds its timers: beyond every patience but that for forgetting a member. */
-    private static final long FROZEN_MS = 2_600;
-    private static final Random LEAST = new ConstantRandom();
-    private static final Comparator<Timer> ORDER = Comparator.comparingLong(Timer::atMs).thenComparingLong(Timer::order);
-    final ModelWorld world;
-    final int number;
-    final String address;
-    ModelDisk disk;
-    RaftNode ledger;
-    ModelTransport post;
-    RecordingStateMachine tale;
-    /** How often this machine has had an empty disk. */
-    int wipes;
-    private int drawn;
-    boolean leaving;
-    long nowMs = 1_000_000;
-    final List<Timer> timers = new ArrayList<>();
-    final ArrayDeque<Work> works = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> commands = new ArrayDeque<>();
-    private long order;
-
-    record Timer(long atMs, long order, Runnable task) {
-    }
+  /**
+   * ms; how late a frozen process finds its timers: beyond every patience but that for forgetting a
+   * member.
+   */
+  private static final long FROZEN_MS = 2_600;
 
-    record Work(Runnable blocking, Runnable afterwards) {
-    }
+  private static final Random LEAST = new ConstantRandom();
+  private static final Comparator<Timer> ORDER =
+      Comparator.comparingLong(Timer::atMs).thenComparingLong(Timer::order);
+  final ModelWorld world;
+  final int number;
+  final String address;
+  ModelDisk disk;
+  RaftNode ledger;
+  ModelTransport post;
+  RecordingStateMachine tale;
 
-    /** Always the least: how timers of different members follow one another is the scheduler's choice anyway. */
-    private static final class ConstantRandom extends Random {
-        @Override
-        public int nextInt(final int bound) {
-            return 0;
-        }
-    }
+  /** How often this machine has had an empty disk. */
+  int wipes;
 
-    /** A machine that only remembers. */
-    static final class RecordingStateMachine implements StateMachine {
-        final TreeMap<Long, Long> told = new TreeMap<>();
-        long restoredTo;
-
-        @Override
-        public void apply(final long index, final byte[] data) {
-            told.put(index, ByteBuffer.wrap(data).getLong());
-        }
-
-        @Override
-        public byte[] snapshot() {
-            final ByteBuffer bytes = ByteBuffer.allocate(16 * told.size());
-            told.forEach((index, value) -> bytes.putLong(index).putLong(value));
-            return bytes.array();
-        }
-
-        @Override
-        public void restore(final long index, final byte[] state) {
-            told.clear();
-            final ByteBuffer bytes = ByteBuffer.wrap(state);
-            while (bytes.hasRemaining()) {
-                told.put(bytes.getLong(), bytes.getLong());
-            }
-            restoredTo = index;
-        }
-    }
+  private int drawn;
+  boolean leaving;
+  long nowMs = 1_000_000;
+  final List<Timer> timers = new ArrayList<>();
+  final ArrayDeque<Work> works = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> commands = new ArrayDeque<>();
+  private long order;
 
-    ModelHost(final ModelWorld world, final int number, final String address) {
-        this.world = world;
-        this.number = number;
-        this.address = address;
-        disk = new ModelDisk(world.fault == ModelFault.SYNC_SKIPPED);
-    }
+  record Timer(long atMs, long order, Runnable task) {}
 
-    boolean up() {
-        return ledger != null;
-    }
+  record Work(Runnable blocking, Runnable afterwards) {}
 
-    void boot(final boolean founder) {
-        if (world.fault == ModelFault.VOTE_FORGOTTEN && disk.read("") != null) {
-            forgetVotes();
-        }
-        post = new ModelTransport(this);
-        tale = new RecordingStateMachine();
-        ledger = new RaftNode(7, this, post, disk, this::work, "ledger", tale);
-        ledger.listen();
-        ledger.electorate().seat(new VoterPlacement(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
-        if (ledger.identity() == null) {
-            final boolean oldName = founder || world.fault == ModelFault.OLD_NAME_AFTER_WIPE && number < world.setup.voters();
-            ledger.name(address + "#" + (oldName ? "f" : "d" + drawn++));
-            if (founder) {
-                ledger.found(world.setup.founders());
-            }
-        }
-        ledger.start();
-        ledger.membership().keep(this::peers, () -> true);
-        leaving = false;
-        runCommands();
+  /**
+   * Always the least: how timers of different members follow one another is the scheduler's choice
+   * anyway.
+   */
+  private static final class ConstantRandom extends Random {
+    @Override
+    public int nextInt(final int bound) {
+      return 0;
     }
+  }
 
-    private List<String> peers() {
-        return world.hosts.stream().filter(other -> other != this).map(other -> other.address).toList();
-    }
+  /** A machine that only remembers. */
+  static final class RecordingStateMachine implements StateMachine {
+    final TreeMap<Long, Long> told = new TreeMap<>();
+    long restoredTo;
 
-    /** Asked to stop: the process ends when the scheduler says so, whether its seat has passed by then or not. */
-    void leave() {
-        leaving = true;
-        ledger.membership().leave(() -> { });
-        runCommands();
+    @Override
+    public void apply(final long index, final byte[] data) {
+      told.put(index, ByteBuffer.wrap(data).getLong());
     }
 
-    private void forgetVotes() {
-        final ByteArrayOutputStream kept = new ByteArrayOutputStream();
-        for (final LogRecord.Content piece : LogRecord.read(disk.read("")).pieces()) {
-            // Kind 2 is a vote: the term stays, as it would in a file that was written without the name.
-            final byte[] body = piece.kind() == 2 ? java.util.Arrays.copyOf(piece.body(), 8) : piece.body();
-            kept.writeBytes(LogRecord.wrapBody(piece.kind(), body, 0));
-        }
-        disk.replace("", kept.toByteArray());
+    @Override
+    public byte[] snapshot() {
+      final ByteBuffer bytes = ByteBuffer.allocate(16 * told.size());
+      told.forEach((index, value) -> bytes.putLong(index).putLong(value));
+      return bytes.array();
     }
 
-    private void work(final Runnable blocking, final Runnable afterwards) {
-        works.add(new Work(blocking, afterwards));
-        if (world.fault == ModelFault.ANSWERED_BEFORE_SYNC) {
-            works.removeLast();
-            works.add(new Work(blocking, () -> { }));
-            commands.add(afterwards);
-        }
+    @Override
+    public void restore(final long index, final byte[] state) {
+      told.clear();
+      final ByteBuffer bytes = ByteBuffer.wrap(state);
+      while (bytes.hasRemaining()) {
+        told.put(bytes.getLong(), bytes.getLong());
+      }
+      restoredTo = index;
     }
+  }
 
-    /** The disk does its oldest work, and the owner hears of it. */
-    void diskWorks() {
-        final Work work = works.poll();
-        work.blocking().run();
-        work.afterwards().run();
-        runCommands();
-    }
+  ModelHost(final ModelWorld world, final int number, final String address) {
+    this.world = world;
+    this.number = number;
+    this.address = address;
+    disk = new ModelDisk(world.fault == ModelFault.SYNC_SKIPPED);
+  }
 
-    /** The process ends; the disk may have done the work under way, in part or not at all. */
-    void stop(final int fate) {
-        if (!works.isEmpty() && fate != ModelDisk.LOST) {
-            beginWork(works.peek(), fate, disk.durable());
-        } else {
-            disk.stopped(fate);
-        }
-        ledger.stop();
-        ledger = null;
-        post.died();
-        timers.clear();
-        works.clear();
-        commands.clear();
-    }
+  boolean up() {
+    return ledger != null;
+  }
 
-    /** Appended bytes meet their fate before the sync; a replaced file is there or it is not. */
-    private void beginWork(final Work work, final int fate, final byte[] before) {
-        disk.replaced = false;
-        work.blocking().run();
-        if (world.fault != ModelFault.SYNC_SKIPPED && !disk.replaced) {
-            final byte[] after = disk.durable();
-            final int keptLength = before == null ? 0 : before.length;
-            disk = new ModelDisk(false);
-            if (before != null) {
-                disk.replace("", before);
-            }
-            disk.append("", java.util.Arrays.copyOfRange(after, keptLength, after.length));
-        }
-        disk.stopped(fate);
+  void boot(final boolean founder) {
+    if (world.fault == ModelFault.VOTE_FORGOTTEN && disk.read("") != null) {
+      forgetVotes();
     }
-
-    void wipe() {
-        wipes++;
-        disk = new ModelDisk(world.fault == ModelFault.SYNC_SKIPPED);
+    post = new ModelTransport(this);
+    tale = new RecordingStateMachine();
+    ledger = new RaftNode(7, this, post, disk, this::work, "ledger", tale);
+    ledger.listen();
+    ledger
+        .electorate()
+        .seat(new VoterPlacement(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
+    if (ledger.identity() == null) {
+      final boolean oldName =
+          founder || world.fault == ModelFault.OLD_NAME_AFTER_WIPE && number < world.setup.voters();
+      ledger.name(address + "#" + (oldName ? "f" : "d" + drawn++));
+      if (founder) {
+        ledger.found(world.setup.founders());
+      }
     }
+    ledger.start();
+    ledger.membership().keep(this::peers, () -> true);
+    leaving = false;
+    runCommands();
+  }
 
-    /** Fires timers, in order, until one of them does something that others or the disk can see. */
-    void timerFires() {
-        final long seenBefore = world.sent;
-        final int worksBefore = works.size();
-        for (int count = 0; count < 12 && world.sent == seenBefore && works.size() == worksBefore; count++) {
-            nowMs = Math.max(nowMs, nextTimer().atMs);
-            fire(nextTimer());
-        }
-    }
+  private List<String> peers() {
+    return world.hosts.stream().filter(other -> other != this).map(other -> other.address).toList();
+  }
 
-    private Timer nextTimer() {
-        Timer first = timers.get(0);
-        for (final Timer timer : timers) {
-            if (ORDER.compare(timer, first) < 0) {
-                first = timer;
-            }
-        }
-        return first;
-    }
+  /**
+   * Asked to stop: the process ends when the scheduler says so, whether its seat has passed by then
+   * or not.
+   */
+  void leave() {
+    leaving = true;
+    ledger.membership().leave(() -> {});
+    runCommands();
+  }
 
-    private void fire(final Timer timer) {
-        timers.remove(timer);
-        timer.task.run();
-        runCommands();
+  private void forgetVotes() {
+    final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+    for (final LogRecord.Content piece : LogRecord.read(disk.read("")).pieces()) {
+      // Kind 2 is a vote: the term stays, as it would in a file that was written without the name.
+      final byte[] body =
+          piece.kind() == 2 ? java.util.Arrays.copyOf(piece.body(), 8) : piece.body();
+      kept.writeBytes(LogRecord.wrapBody(piece.kind(), body, 0));
     }
+    disk.replace("", kept.toByteArray());
+  }
 
-    /** The plain clock: all that is due by then. */
-    void clockGoesTo(final long thenMs) {
-        while (up() && !timers.isEmpty() && nextTimer().atMs <= thenMs) {
-            nowMs = Math.max(nowMs, nextTimer().atMs);
-            fire(nextTimer());
-        }
-        nowMs = Math.max(nowMs, thenMs);
+  private void work(final Runnable blocking, final Runnable afterwards) {
+    works.add(new Work(blocking, afterwards));
+    if (world.fault == ModelFault.ANSWERED_BEFORE_SYNC) {
+      works.removeLast();
+      works.add(new Work(blocking, () -> {}));
+      commands.add(afterwards);
     }
+  }
 
-    /** The process did not run for a while: letters may be read before its timers are. */
-    void froze() {
-        nowMs += FROZEN_MS;
+  /** The disk does its oldest work, and the owner hears of it. */
+  void diskWorks() {
+    final Work work = works.poll();
+    work.blocking().run();
+    work.afterwards().run();
+    runCommands();
+  }
+
+  /** The process ends; the disk may have done the work under way, in part or not at all. */
+  void stop(final int fate) {
+    if (!works.isEmpty() && fate != ModelDisk.LOST) {
+      beginWork(works.peek(), fate, disk.durable());
+    } else {
+      disk.stopped(fate);
     }
+    ledger.stop();
+    ledger = null;
+    post.died();
+    timers.clear();
+    works.clear();
+    commands.clear();
+  }
 
-    void runCommands() {
-        while (!commands.isEmpty()) {
-            commands.poll().run();
-        }
+  /** Appended bytes meet their fate before the sync; a replaced file is there or it is not. */
+  private void beginWork(final Work work, final int fate, final byte[] before) {
+    disk.replaced = false;
+    work.blocking().run();
+    if (world.fault != ModelFault.SYNC_SKIPPED && !disk.replaced) {
+      final byte[] after = disk.durable();
+      final int keptLength = before == null ? 0 : before.length;
+      disk = new ModelDisk(false);
+      if (before != null) {
+        disk.replace("", before);
+      }
+      disk.append("", java.util.Arrays.copyOfRange(after, keptLength, after.length));
     }
+    disk.stopped(fate);
+  }
 
-    @Override
-    public long nowMs() {
-        return nowMs;
+  void wipe() {
+    wipes++;
+    disk = new ModelDisk(world.fault == ModelFault.SYNC_SKIPPED);
+  }
+
+  /** Fires timers, in order, until one of them does something that others or the disk can see. */
+  void timerFires() {
+    final long seenBefore = world.sent;
+    final int worksBefore = works.size();
+    for (int count = 0;
+        count < 12 && world.sent == seenBefore && works.size() == worksBefore;
+        count++) {
+      nowMs = Math.max(nowMs, nextTimer().atMs);
+      fire(nextTimer());
     }
+  }
 
-    @Override
-    public void after(final long delayMs, final Runnable task) {
-        timers.add(new Timer(nowMs + Math.max(1, delayMs), order++, task));
+  private Timer nextTimer() {
+    Timer first = timers.get(0);
+    for (final Timer timer : timers) {
+      if (ORDER.compare(timer, first) < 0) {
+        first = timer;
+      }
     }
+    return first;
+  }
 
-    @Override
-    public void post(final Runnable command) {
-        commands.add(command);
+  private void fire(final Timer timer) {
+    timers.remove(timer);
+    timer.task.run();
+    runCommands();
+  }
+
+  /** The plain clock: all that is due by then. */
+  void clockGoesTo(final long thenMs) {
+    while (up() && !timers.isEmpty() && nextTimer().atMs <= thenMs) {
+      nowMs = Math.max(nowMs, nextTimer().atMs);
+      fire(nextTimer());
     }
+    nowMs = Math.max(nowMs, thenMs);
+  }
 
-    @Override
-    public Random luck() {
-        return world.plainLuck == null ? LEAST : world.plainLuck;
+  /** The process did not run for a while: letters may be read before its timers are. */
+  void froze() {
+    nowMs += FROZEN_MS;
+  }
+
+  void runCommands() {
+    while (!commands.isEmpty()) {
+      commands.poll().run();
     }
+  }
+
+  @Override
+  public long nowMs() {
+    return nowMs;
+  }
+
+  @Override
+  public void after(final long delayMs, final Runnable task) {
+    timers.add(new Timer(nowMs + Math.max(1, delayMs), order++, task));
+  }
+
+  @Override
+  public void post(final Runnable command) {
+    commands.add(command);
+  }
+
+  @Override
+  public Random luck() {
+    return world.plainLuck == null ? LEAST : world.plainLuck;
+  }
 }
--- a/src/test/java/yewjunction/raft/ModelThreads.java
+++ b/src/test/java/yewjunction/raft/ModelThreads.java
@@ -4,29 +4,31 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** The same work on several threads; a defect of the check itself ends it and is never taken for a pass. */
+/**
+ * The same work on several threads; a defect of the check itself ends it and is never taken for a
+ * pass.
+ */
 final class ModelThreads {
-    private ModelThreads() {
-    }
+  private ModelThreads() {}
 
-    static void run(final int count, final Runnable work) {
-        final AtomicReference<Throwable> failure = new AtomicReference<>();
-        final List<Thread> all = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            final Thread thread = new Thread(work, "model-" + i);
-            thread.setUncaughtExceptionHandler((where, defect) -> failure.set(defect));
-            thread.start();
-            all.add(thread);
-        }
-        for (final Thread thread : all) {
-            try {
-                thread.join();
-            } catch (final InterruptedException defect) {
-                throw new IllegalStateException(defect);
-            }
-        }
-        if (failure.get() != null) {
-            throw new IllegalStateException("the check itself failed", failure.get());
-        }
+  static void run(final int count, final Runnable work) {
+    final AtomicReference<Throwable> failure = new AtomicReference<>();
+    final List<Thread> all = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      final Thread thread = new Thread(work, "model-" + i);
+      thread.setUncaughtExceptionHandler((where, defect) -> failure.set(defect));
+      thread.start();
+      all.add(thread);
+    }
+    for (final Thread thread : all) {
+      try {
+        thread.join();
+      } catch (final InterruptedException defect) {
+        throw new IllegalStateException(defect);
+      }
+    }
+    if (failure.get() != null) {
+      throw new IllegalStateException("the check itself failed", failure.get());
     }
+  }
 }
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -1,5 +1,7 @@
 package yewjunction.raft;
 
+import static yewjunction.raft.ModelStep.of;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -7,215 +9,241 @@
 import java.util.function.Supplier;
 import yewjunction.common.YewjunctionException;
 
-import static yewjunction.raft.ModelStep.of;
-
 /** The members of one group and everything between them; moves only by the scheduler's steps. */
 final class ModelWorld {
-    final ModelSetup setup;
-    final ModelFault fault;
-    final List<ModelHost> hosts = new ArrayList<>();
-    final List<ModelTransport.Connection> wires = new ArrayList<>();
-    final ModelMonitor monitor = new ModelMonitor(this);
-    ModelBudget budget;
-    /** Letters so far, whether they arrive or not. */
-    long sent;
-    /** The plain clock draws; the scheduler does not. */
-    Random plainLuck;
-    private long proposed;
-
-    ModelWorld(final ModelSetup setup, final ModelFault fault) {
-        this.setup = setup;
-        this.fault = fault;
-        for (final String address : setup.addresses()) {
-            hosts.add(new ModelHost(this, hosts.size(), address));
-        }
-        hosts.forEach(host -> host.boot(host.number < setup.voters()));
-        budget = new ModelBudget(0, 0, 0, 0, 0, 0, 0, 0);
-        for (int at = 0; at < setup.prefix().length(); at++) {
-            apply(setup.prefix().charAt(at));
-        }
-        budget = new ModelBudget(setup.budget());
+  final ModelSetup setup;
+  final ModelFault fault;
+  final List<ModelHost> hosts = new ArrayList<>();
+  final List<ModelTransport.Connection> wires = new ArrayList<>();
+  final ModelMonitor monitor = new ModelMonitor(this);
+  ModelBudget budget;
+
+  /** Letters so far, whether they arrive or not. */
+  long sent;
+
+  /** The plain clock draws; the scheduler does not. */
+  Random plainLuck;
+
+  private long proposed;
+
+  ModelWorld(final ModelSetup setup, final ModelFault fault) {
+    this.setup = setup;
+    this.fault = fault;
+    for (final String address : setup.addresses()) {
+      hosts.add(new ModelHost(this, hosts.size(), address));
     }
-
-    ModelHost at(final String address) {
-        return hosts.stream().filter(host -> host.address.equals(address)).findFirst().orElseThrow();
+    hosts.forEach(host -> host.boot(host.number < setup.voters()));
+    budget = new ModelBudget(0, 0, 0, 0, 0, 0, 0, 0);
+    for (int at = 0; at < setup.prefix().length(); at++) {
+      apply(setup.prefix().charAt(at));
     }
+    budget = new ModelBudget(setup.budget());
+  }
 
-    /** Runs a schedule to its end or to the first invariant that breaks. */
-    ModelWorld run(final String schedule) {
-        for (int at = 0; at < schedule.length(); at++) {
-            apply(schedule.charAt(at));
-        }
-        return this;
-    }
+  ModelHost at(final String address) {
+    return hosts.stream().filter(host -> host.address.equals(address)).findFirst().orElseThrow();
+  }
 
-    /** All that may happen next. */
-    String enabled() {
-        final StringBuilder steps = new StringBuilder();
-        for (final ModelTransport.Connection wire : wires) {
-            final int from = wire.dialler.owner.number;
-            final int to = wire.taker.owner.number;
-            if (!wire.taker.inbound.isEmpty()) {
-                steps.append(of(ModelStep.DELIVER, from, to, place(wire)));
-            }
-            if (!wire.dialler.inbound.isEmpty()) {
-                steps.append(of(ModelStep.REPLY, to, from, place(wire)));
-            }
-            if (wire.whole && budget.allows(ModelStep.BREAK)) {
-                steps.append(of(ModelStep.BREAK, from, to, place(wire)));
-            }
-        }
-        for (final ModelHost host : hosts) {
-            if (!host.up()) {
-                steps.append(of(ModelStep.BOOT, host.number, 0, 0));
-                if (budget.allows(ModelStep.WIPE) && monitor.mayLose(host)) {
-                    steps.append(of(ModelStep.WIPE, host.number, 0, 0));
-                }
-                continue;
-            }
-            if (!host.works.isEmpty()) {
-                steps.append(of(ModelStep.DISK, host.number, 0, 0));
-            }
-            bounded(steps, ModelStep.TIMER, host, true);
-            bounded(steps, ModelStep.FREEZE, host, true);
-            if (budget.allows(ModelStep.CRASH)) {
-                final boolean owes = !host.works.isEmpty() || host.disk.owes();
-                for (int fate = 0; fate < (owes ? 4 : 1); fate++) {
-                    steps.append(of(ModelStep.CRASH, host.number, 0, fate));
-                }
-            }
-            final boolean leads = host.ledger.leads();
-            bounded(steps, ModelStep.PROPOSE, host, leads && !host.ledger.electorate().handing());
-            bounded(steps, ModelStep.CONFIRM, host, leads);
-            bounded(steps, ModelStep.HAND, host, leads && !host.ledger.electorate().handing());
-            bounded(steps, ModelStep.LEAVE, host, !host.leaving);
-        }
-        return steps.toString();
+  /** Runs a schedule to its end or to the first invariant that breaks. */
+  ModelWorld run(final String schedule) {
+    for (int at = 0; at < schedule.length(); at++) {
+      apply(schedule.charAt(at));
     }
-
-    private void bounded(final StringBuilder steps, final int kind, final ModelHost host, final boolean possible) {
-        if (possible && budget.allows(kind)) {
-            steps.append(of(kind, host.number, 0, 0));
-        }
+    return this;
+  }
+
+  /** All that may happen next. */
+  String enabled() {
+    final StringBuilder steps = new StringBuilder();
+    for (final ModelTransport.Connection wire : wires) {
+      final int from = wire.dialler.owner.number;
+      final int to = wire.taker.owner.number;
+      if (!wire.taker.inbound.isEmpty()) {
+        steps.append(of(ModelStep.DELIVER, from, to, place(wire)));
+      }
+      if (!wire.dialler.inbound.isEmpty()) {
+        steps.append(of(ModelStep.REPLY, to, from, place(wire)));
+      }
+      if (wire.whole && budget.allows(ModelStep.BREAK)) {
+        steps.append(of(ModelStep.BREAK, from, to, place(wire)));
+      }
     }
-
-    /** Which of several links between the same two, dialled by the same one: an end may not know yet that it is dead. */
-    private int place(final ModelTransport.Connection wire) {
-        int place = 0;
-        for (final ModelTransport.Connection other : wires) {
-            if (other == wire) {
-                return place;
-            }
-            place += other.dialler.owner == wire.dialler.owner && other.taker.owner == wire.taker.owner ? 1 : 0;
+    for (final ModelHost host : hosts) {
+      if (!host.up()) {
+        steps.append(of(ModelStep.BOOT, host.number, 0, 0));
+        if (budget.allows(ModelStep.WIPE) && monitor.mayLose(host)) {
+          steps.append(of(ModelStep.WIPE, host.number, 0, 0));
         }
-        throw new IllegalStateException("no such link");
-    }
-
-    private ModelTransport.Connection wire(final int dialler, final int taker, final int place) {
-        int at = 0;
-        for (final ModelTransport.Connection wire : wires) {
-            if (wire.dialler.owner.number == dialler && wire.taker.owner.number == taker && at++ == place) {
-                return wire;
-            }
+        continue;
+      }
+      if (!host.works.isEmpty()) {
+        steps.append(of(ModelStep.DISK, host.number, 0, 0));
+      }
+      bounded(steps, ModelStep.TIMER, host, true);
+      bounded(steps, ModelStep.FREEZE, host, true);
+      if (budget.allows(ModelStep.CRASH)) {
+        final boolean owes = !host.works.isEmpty() || host.disk.owes();
+        for (int fate = 0; fate < (owes ? 4 : 1); fate++) {
+          steps.append(of(ModelStep.CRASH, host.number, 0, fate));
         }
-        throw new IllegalArgumentException("no link " + dialler + " to " + taker);
+      }
+      final boolean leads = host.ledger.leads();
+      bounded(steps, ModelStep.PROPOSE, host, leads && !host.ledger.electorate().handing());
+      bounded(steps, ModelStep.CONFIRM, host, leads);
+      bounded(steps, ModelStep.HAND, host, leads && !host.ledger.electorate().handing());
+      bounded(steps, ModelStep.LEAVE, host, !host.leaving);
     }
+    return steps.toString();
+  }
 
-    void apply(final char step) {
-        final ModelHost host = hosts.get(ModelStep.member(step));
-        budget.spend(ModelStep.kind(step));
-        final ModelHost acted = guarded(ModelStep.text(step), () -> turn(step, host));
-        wires.removeIf(ModelTransport.Connection::over);
-        monitor.look(acted);
+  private void bounded(
+      final StringBuilder steps, final int kind, final ModelHost host, final boolean possible) {
+    if (possible && budget.allows(kind)) {
+      steps.append(of(kind, host.number, 0, 0));
     }
-
-    /** What the code itself refuses to go on with is a broken invariant as well. */
-    private static <T> T guarded(final String what, final Supplier<T> turn) {
-        try {
-            return turn.get();
-        } catch (final IllegalStateException | IndexOutOfBoundsException | NullPointerException | YewjunctionException defect) {
-            throw new ModelViolation("the code's own invariant: " + what + ": " + defect);
-        }
+  }
+
+  /**
+   * Which of several links between the same two, dialled by the same one: an end may not know yet
+   * that it is dead.
+   */
+  private int place(final ModelTransport.Connection wire) {
+    int place = 0;
+    for (final ModelTransport.Connection other : wires) {
+      if (other == wire) {
+        return place;
+      }
+      place +=
+          other.dialler.owner == wire.dialler.owner && other.taker.owner == wire.taker.owner
+              ? 1
+              : 0;
     }
-
-    /** A schedule written by hand may ask for what cannot happen: no finding. */
-    private static void possible(final boolean holds, final char step) {
-        if (!holds) {
-            throw new IllegalArgumentException("not possible here: " + ModelStep.text(step));
-        }
+    throw new IllegalStateException("no such link");
+  }
+
+  private ModelTransport.Connection wire(final int dialler, final int taker, final int place) {
+    int at = 0;
+    for (final ModelTransport.Connection wire : wires) {
+      if (wire.dialler.owner.number == dialler
+          && wire.taker.owner.number == taker
+          && at++ == place) {
+        return wire;
+      }
     }
-
-    private static void deliver(final ModelTransport.End end, final char step) {
-        possible(!end.inbound.isEmpty(), step);
-        end.deliver();
+    throw new IllegalArgumentException("no link " + dialler + " to " + taker);
+  }
+
+  void apply(final char step) {
+    final ModelHost host = hosts.get(ModelStep.member(step));
+    budget.spend(ModelStep.kind(step));
+    final ModelHost acted = guarded(ModelStep.text(step), () -> turn(step, host));
+    wires.removeIf(ModelTransport.Connection::over);
+    monitor.look(acted);
+  }
+
+  /** What the code itself refuses to go on with is a broken invariant as well. */
+  private static <T> T guarded(final String what, final Supplier<T> turn) {
+    try {
+      return turn.get();
+    } catch (final IllegalStateException
+        | IndexOutOfBoundsException
+        | NullPointerException
+        | YewjunctionException defect) {
+      throw new ModelViolation("the code's own invariant: " + what + ": " + defect);
     }
+  }
 
-    /** The member whose turn it was. */
-    private ModelHost turn(final char step, final ModelHost host) {
-        final int kind = ModelStep.kind(step);
-        if (kind != ModelStep.DRAIN && kind != ModelStep.BREAK && kind != ModelStep.DELIVER && kind != ModelStep.REPLY) {
-            possible(host.up() == (kind != ModelStep.BOOT && kind != ModelStep.WIPE), step);
-            possible(kind != ModelStep.DISK || !host.works.isEmpty(), step);
-        }
-        ModelHost acted = host;
-        switch (kind) {
-            case ModelStep.TIMER -> host.timerFires();
-            case ModelStep.DISK -> host.diskWorks();
-            case ModelStep.DELIVER -> {
-                acted = hosts.get(ModelStep.other(step));
-                deliver(wire(host.number, acted.number, ModelStep.which(step)).taker, step);
-            }
-            case ModelStep.REPLY -> {
-                acted = hosts.get(ModelStep.other(step));
-                deliver(wire(acted.number, host.number, ModelStep.which(step)).dialler, step);
-            }
-            case ModelStep.BREAK -> wire(host.number, ModelStep.other(step), ModelStep.which(step)).snap();
-            case ModelStep.CRASH -> host.stop(ModelStep.which(step));
-            case ModelStep.BOOT -> boot(host);
-            case ModelStep.WIPE -> {
-                host.wipe();
-                boot(host);
-            }
-            case ModelStep.FREEZE -> host.froze();
-            case ModelStep.PROPOSE -> propose(host);
-            case ModelStep.CONFIRM -> monitor.confirms(host);
-            case ModelStep.HAND -> {
-                host.ledger.electorate().handOver(() -> { });
-                host.runCommands();
-            }
-            case ModelStep.LEAVE -> host.leave();
-            default -> new ModelRecovery(this).drain();
-        }
-        return acted;
+  /** A schedule written by hand may ask for what cannot happen: no finding. */
+  private static void possible(final boolean holds, final char step) {
+    if (!holds) {
+      throw new IllegalArgumentException("not possible here: " + ModelStep.text(step));
     }
-
-    private void boot(final ModelHost host) {
-        host.boot(false);
-        monitor.booted(host);
+  }
+
+  private static void deliver(final ModelTransport.End end, final char step) {
+    possible(!end.inbound.isEmpty(), step);
+    end.deliver();
+  }
+
+  /** The member whose turn it was. */
+  private ModelHost turn(final char step, final ModelHost host) {
+    final int kind = ModelStep.kind(step);
+    if (kind != ModelStep.DRAIN
+        && kind != ModelStep.BREAK
+        && kind != ModelStep.DELIVER
+        && kind != ModelStep.REPLY) {
+      possible(host.up() == (kind != ModelStep.BOOT && kind != ModelStep.WIPE), step);
+      possible(kind != ModelStep.DISK || !host.works.isEmpty(), step);
     }
-
-    void propose(final ModelHost host) {
-        final long value = ++proposed;
-        final long[] index = new long[1];
-        if (host.ledger.propose(ByteBuffer.allocate(8).putLong(value).array(), done -> {
-            if (done) {
-                monitor.acknowledged(index[0], value);
-            }
-        })) {
-            index[0] = host.ledger.log.lastIndex();
-        }
+    ModelHost acted = host;
+    switch (kind) {
+      case ModelStep.TIMER -> host.timerFires();
+      case ModelStep.DISK -> host.diskWorks();
+      case ModelStep.DELIVER -> {
+        acted = hosts.get(ModelStep.other(step));
+        deliver(wire(host.number, acted.number, ModelStep.which(step)).taker, step);
+      }
+      case ModelStep.REPLY -> {
+        acted = hosts.get(ModelStep.other(step));
+        deliver(wire(acted.number, host.number, ModelStep.which(step)).dialler, step);
+      }
+      case ModelStep.BREAK ->
+          wire(host.number, ModelStep.other(step), ModelStep.which(step)).snap();
+      case ModelStep.CRASH -> host.stop(ModelStep.which(step));
+      case ModelStep.BOOT -> boot(host);
+      case ModelStep.WIPE -> {
+        host.wipe();
+        boot(host);
+      }
+      case ModelStep.FREEZE -> host.froze();
+      case ModelStep.PROPOSE -> propose(host);
+      case ModelStep.CONFIRM -> monitor.confirms(host);
+      case ModelStep.HAND -> {
+        host.ledger.electorate().handOver(() -> {});
         host.runCommands();
+      }
+      case ModelStep.LEAVE -> host.leave();
+      default -> new ModelRecovery(this).drain();
     }
-
-    /** Whatever happened before: once every machine runs and every letter arrives, the group serves again. */
-    void goesOn() {
-        plainLuck = new Random(7);
-        // Whoever was about to end does, and is started again like all that are down.
-        hosts.stream().filter(host -> host.leaving && host.up()).forEach(host -> host.stop(ModelDisk.LOST));
-        hosts.stream().filter(host -> !host.up()).forEach(this::boot);
-        guarded("in plain time", () -> {
-            new ModelRecovery(this).goesOn();
-            return null;
-        });
+    return acted;
+  }
+
+  private void boot(final ModelHost host) {
+    host.boot(false);
+    monitor.booted(host);
+  }
+
+  void propose(final ModelHost host) {
+    final long value = ++proposed;
+    final long[] index = new long[1];
+    if (host.ledger.propose(
+        ByteBuffer.allocate(8).putLong(value).array(),
+        done -> {
+          if (done) {
+            monitor.acknowledged(index[0], value);
+          }
+        })) {
+      index[0] = host.ledger.log.lastIndex();
     }
+    host.runCommands();
+  }
+
+  /**
+   * Whatever happened before: once every machine runs and every letter arrives, the group serves
+   * again.
+   */
+  void goesOn() {
+    plainLuck = new Random(7);
+    // Whoever was about to end does, and is started again like all that are down.
+    hosts.stream()
+        .filter(host -> host.leaving && host.up())
+        .forEach(host -> host.stop(ModelDisk.LOST));
+    hosts.stream().filter(host -> !host.up()).forEach(this::boot);
+    guarded(
+        "in plain time",
+        () -> {
+          new ModelRecovery(this).goesOn();
+          return null;
+        });
+  }
 }
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -1,5 +1,8 @@
 package yewjunction.raft;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,152 +12,201 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import yewjunction.simulation.SimulatedHost;
-import yewjunction.simulation.SimulatedTransport;
 import yewjunction.simulation.SimulatedNetwork;
-
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
+import yewjunction.simulation.SimulatedTransport;
 
 /** Three members on simulated machines, a steady load, and what must hold at every moment. */
 class RaftSimulation {
-    static final List<String> SPARES = List.of("a:2", "a:3", "b:2", "d:1", "d:2");
-    final List<String> addresses = List.of("a:1", "b:1", "c:1");
-    final Map<String, RaftNode> ledgers = new TreeMap<>();
-    final Map<String, RecordingStateMachine> tales = new HashMap<>();
-    /** What any member applied at an index, over the whole run. */
-    private final Map<Long, Long> history = new TreeMap<>();
-    final Set<Long> acknowledged = new HashSet<>();
-    private final Map<Long, String> leaders = new HashMap<>();
-    SimulatedNetwork world;
-    /** Addresses that are to hold no vote. */
-    final Map<String, Boolean> leaving = new TreeMap<>();
-    /** The planted fault: addresses that nobody asks who leads, as if only a former leader were known. */
-    final Set<String> forgotten = new HashSet<>();
-    /** Bytes that each snapshot holds beside what its member was told. */
-    int ballast;
-    /** Plants a fault in letters that are taken. */
-    Consumer<Object> tampering = letter -> { };
-    /** No proposals for the while. */
-    boolean quiet;
-    /** How many snapshots were built, by all members together. */
-    int snapshots;
-    long proposed;
-    private int drawn;
-
-    /** A machine that only remembers. */
-    final class RecordingStateMachine implements StateMachine {
-        final TreeMap<Long, Long> told = new TreeMap<>();
-        private long last;
-
-        @Override
-        public void apply(final long index, final byte[] data) {
-            assertTrue(index > last, "index " + index + " after " + last);
-            last = index;
-            put(index, ByteBuffer.wrap(data).getLong());
-        }
-
-        private void put(final long index, final long value) {
-            told.put(index, value);
-            final Long known = history.putIfAbsent(index, value);
-            assertTrue(known == null || known == value, "two values at " + index);
-        }
-
-        @Override
-        public byte[] snapshot() {
-            snapshots++;
-            // As the vaults' state does, it differs from one moment to the next without any entry: stamped at both ends.
-            final ByteBuffer bytes = ByteBuffer.allocate(20 + 16 * told.size() + ballast);
-            bytes.putLong(world.nowMs()).putInt(told.size());
-            told.forEach((index, value) -> bytes.putLong(index).putLong(value));
-            return bytes.putLong(bytes.limit() - 8, world.nowMs()).array();
-        }
-
-        @Override
-        public void restore(final long index, final byte[] state) {
-            told.clear();
-            final ByteBuffer bytes = ByteBuffer.wrap(state);
-            assertEquals(bytes.getLong(), bytes.getLong(state.length - 8), "a snapshot put together from two");
-            for (int left = bytes.getInt(); left > 0; left--) {
-                put(bytes.getLong(), bytes.getLong());
-            }
-            last = index;
-        }
+  static final List<String> SPARES = List.of("a:2", "a:3", "b:2", "d:1", "d:2");
+  final List<String> addresses = List.of("a:1", "b:1", "c:1");
+  final Map<String, RaftNode> ledgers = new TreeMap<>();
+  final Map<String, RecordingStateMachine> tales = new HashMap<>();
+
+  /** What any member applied at an index, over the whole run. */
+  private final Map<Long, Long> history = new TreeMap<>();
+
+  final Set<Long> acknowledged = new HashSet<>();
+  private final Map<Long, String> leaders = new HashMap<>();
+  SimulatedNetwork world;
+
+  /** Addresses that are to hold no vote. */
+  final Map<String, Boolean> leaving = new TreeMap<>();
+
+  /**
+   * The planted fault: addresses that nobody asks who leads, as if only a former leader were known.
+   */
+  final Set<String> forgotten = new HashSet<>();
+
+  /** Bytes that each snapshot holds beside what its member was told. */
+  int ballast;
+
+  /** Plants a fault in letters that are taken. */
+  Consumer<Object> tampering = letter -> {};
+
+  /** No proposals for the while. */
+  boolean quiet;
+
+  /** How many snapshots were built, by all members together. */
+  int snapshots;
+
+  long proposed;
+  private int drawn;
+
+  /** A machine that only remembers. */
+  final class RecordingStateMachine implements StateMachine {
+    final TreeMap<Long, Long> told = new TreeMap<>();
+    private long last;
+
+    @Override
+    public void apply(final long index, final byte[] data) {
+      assertTrue(index > last, "index " + index + " after " + last);
+      last = index;
+      put(index, ByteBuffer.wrap(data).getLong());
     }
 
-    void boot(final String address, final boolean founder) {
-        final SimulatedHost host = world.host(address);
-        final SimulatedTransport post = host.boot();
-        host.tampering = tampering;
-        final RecordingStateMachine tale = new RecordingStateMachine();
-        final RaftNode ledger = new RaftNode(7, host, post, host.disk, host.clerk(), "ledger", tale);
-        ledger.listen();
-        ledger.electorate().seat(new VoterPlacement(3, leaving::keySet, one -> one.substring(0, 1)));
-        if (ledger.identity() == null) {
-            ledger.name(address + "#" + (founder ? "founder" : "drawn" + drawn++));
-            if (founder) {
-                ledger.found(addresses.stream().map(one -> one + "#founder").toList());
-            }
-        }
-        ledger.start();
-        ledger.membership().keep(() -> ledgers.keySet().stream().filter(one -> !one.equals(address)
-            && !forgotten.contains(one)).toList(), () -> true);
-        ledgers.put(address, ledger);
-        tales.put(address, tale);
+    private void put(final long index, final long value) {
+      told.put(index, value);
+      final Long known = history.putIfAbsent(index, value);
+      assertTrue(known == null || known == value, "two values at " + index);
     }
 
-    void begin(final long seed) {
-        world = new SimulatedNetwork(seed);
-        addresses.forEach(address -> boot(address, true));
-        world.every(7, () -> {
-            final List<String> all = List.copyOf(ledgers.keySet());
-            final RaftNode ledger = ledgers.get(all.get(world.luck.nextInt(all.size())));
-            if (!quiet && world.host(RaftNode.address(ledger.identity())).up() && ledger.leads()) {
-                final long value = ++proposed;
-                ledger.propose(ByteBuffer.allocate(8).putLong(value).array(), done -> {
-                    if (done) {
-                        acknowledged.add(value);
-                    }
-                });
-            }
-            for (final RaftNode one : ledgers.values()) {
-                if (one.leadsTerm() && world.host(RaftNode.address(one.identity())).up()) {
-                    final String known = leaders.putIfAbsent(one.archive.term, one.identity());
-                    assertTrue(known == null || known.equals(one.identity()), "two leaders in term " + one.archive.term);
-                }
-            }
-        });
+    @Override
+    public byte[] snapshot() {
+      snapshots++;
+      // As the vaults' state does, it differs from one moment to the next without any entry:
+      // stamped at both ends.
+      final ByteBuffer bytes = ByteBuffer.allocate(20 + 16 * told.size() + ballast);
+      bytes.putLong(world.nowMs()).putInt(told.size());
+      told.forEach((index, value) -> bytes.putLong(index).putLong(value));
+      return bytes.putLong(bytes.limit() - 8, world.nowMs()).array();
     }
 
-    /** Members without a vote, in zones with a voter and without one; served for a while. */
-    void beginWithSpares(final long seed) {
-        begin(seed);
-        assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-        SPARES.forEach(spare -> boot(spare, false));
-        world.runFor(3_000);
+    @Override
+    public void restore(final long index, final byte[] state) {
+      told.clear();
+      final ByteBuffer bytes = ByteBuffer.wrap(state);
+      assertEquals(
+          bytes.getLong(), bytes.getLong(state.length - 8), "a snapshot put together from two");
+      for (int left = bytes.getInt(); left > 0; left--) {
+        put(bytes.getLong(), bytes.getLong());
+      }
+      last = index;
     }
+  }
 
-    RaftNode leader() {
-        return ledgers.values().stream().filter(one -> world.host(RaftNode.address(one.identity())).up() && one.leads())
-            .findFirst().orElse(null);
+  void boot(final String address, final boolean founder) {
+    final SimulatedHost host = world.host(address);
+    final SimulatedTransport post = host.boot();
+    host.tampering = tampering;
+    final RecordingStateMachine tale = new RecordingStateMachine();
+    final RaftNode ledger = new RaftNode(7, host, post, host.disk, host.clerk(), "ledger", tale);
+    ledger.listen();
+    ledger.electorate().seat(new VoterPlacement(3, leaving::keySet, one -> one.substring(0, 1)));
+    if (ledger.identity() == null) {
+      ledger.name(address + "#" + (founder ? "founder" : "drawn" + drawn++));
+      if (founder) {
+        ledger.found(addresses.stream().map(one -> one + "#founder").toList());
+      }
     }
+    ledger.start();
+    ledger
+        .membership()
+        .keep(
+            () ->
+                ledgers.keySet().stream()
+                    .filter(one -> !one.equals(address) && !forgotten.contains(one))
+                    .toList(),
+            () -> true);
+    ledgers.put(address, ledger);
+    tales.put(address, tale);
+  }
 
-    void checkAll() {
-        world.join();
-        world.loss = 0;
-        for (final String address : addresses) {
-            if (!world.host(address).up()) {
-                boot(address, false);
+  void begin(final long seed) {
+    world = new SimulatedNetwork(seed);
+    addresses.forEach(address -> boot(address, true));
+    world.every(
+        7,
+        () -> {
+          final List<String> all = List.copyOf(ledgers.keySet());
+          final RaftNode ledger = ledgers.get(all.get(world.luck.nextInt(all.size())));
+          if (!quiet && world.host(RaftNode.address(ledger.identity())).up() && ledger.leads()) {
+            final long value = ++proposed;
+            ledger.propose(
+                ByteBuffer.allocate(8).putLong(value).array(),
+                done -> {
+                  if (done) {
+                    acknowledged.add(value);
+                  }
+                });
+          }
+          for (final RaftNode one : ledgers.values()) {
+            if (one.leadsTerm() && world.host(RaftNode.address(one.identity())).up()) {
+              final String known = leaders.putIfAbsent(one.archive.term, one.identity());
+              assertTrue(
+                  known == null || known.equals(one.identity()),
+                  "two leaders in term " + one.archive.term);
             }
-        }
-        final long before = acknowledged.size();
-        assertTrue(world.runUntil(() -> acknowledged.size() > before + 20, 20_000), "no progress when all is well again " + ledgers.values().stream().map(one -> one.identity() + " term " + one.archive.term + " last " + one.log.lastIndex() + "/" + one.log.lastTerm() + " commit " + one.commit() + " leads " + one.leads() + " leader " + one.leader() + " voters " + one.voters()).toList());
-        world.runFor(2_000);
-        // The load goes on: what is acknowledged this very moment is told to the others within a beat.
-        final Set<Long> owed = Set.copyOf(acknowledged);
-        world.runFor(100);
-        for (final String address : addresses) {
-            assertTrue(tales.get(address).told.values().containsAll(owed), address + " lacks an acknowledged entry");
-            assertTrue(leader().voters().contains(ledgers.get(address).identity()), address + " does not vote again");
-        }
+          }
+        });
+  }
+
+  /** Members without a vote, in zones with a voter and without one; served for a while. */
+  void beginWithSpares(final long seed) {
+    begin(seed);
+    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
+    SPARES.forEach(spare -> boot(spare, false));
+    world.runFor(3_000);
+  }
+
+  RaftNode leader() {
+    return ledgers.values().stream()
+        .filter(one -> world.host(RaftNode.address(one.identity())).up() && one.leads())
+        .findFirst()
+        .orElse(null);
+  }
+
+  void checkAll() {
+    world.join();
+    world.loss = 0;
+    for (final String address : addresses) {
+      if (!world.host(address).up()) {
+        boot(address, false);
+      }
+    }
+    final long before = acknowledged.size();
+    assertTrue(
+        world.runUntil(() -> acknowledged.size() > before + 20, 20_000),
+        "no progress when all is well again "
+            + ledgers.values().stream()
+                .map(
+                    one ->
+                        one.identity()
+                            + " term "
+                            + one.archive.term
+                            + " last "
+                            + one.log.lastIndex()
+                            + "/"
+                            + one.log.lastTerm()
+                            + " commit "
+                            + one.commit()
+                            + " leads "
+                            + one.leads()
+                            + " leader "
+                            + one.leader()
+                            + " voters "
+                            + one.voters())
+                .toList());
+    world.runFor(2_000);
+    // The load goes on: what is acknowledged this very moment is told to the others within a beat.
+    final Set<Long> owed = Set.copyOf(acknowledged);
+    world.runFor(100);
+    for (final String address : addresses) {
+      assertTrue(
+          tales.get(address).told.values().containsAll(owed),
+          address + " lacks an acknowledged entry");
+      assertTrue(
+          leader().voters().contains(ledgers.get(address).identity()),
+          address + " does not vote again");
     }
+  }
 }
--- a/src/test/java/yewjunction/raft/RaftWireFormatTest.java
+++ b/src/test/java/yewjunction/raft/RaftWireFormatTest.java
@@ -4,97 +4,107 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import yewjunction.common.MessageCodec;
 import yewjunction.common.GoldenBytes;
+import yewjunction.common.MessageCodec;
 
-/** The bytes of every message between members of a group, and of every record on disk, are those of release 0.1.0. */
+/**
+ * The bytes of every message between members of a group, and of every record on disk, are those of
+ * release 0.1.0.
+ */
 class RaftWireFormatTest {
-    private static <T extends RaftMessages.RaftMessage> T headed(final T message, final int salt) {
-        message.group = 1 + salt;
-        message.from = "10.0.0." + salt + ":7000#ab" + salt;
-        message.to = 1_000_003L + salt;
-        message.term = 70L + salt;
-        return message;
-    }
+  private static <T extends RaftMessages.RaftMessage> T headed(final T message, final int salt) {
+    message.group = 1 + salt;
+    message.from = "10.0.0." + salt + ":7000#ab" + salt;
+    message.to = 1_000_003L + salt;
+    message.term = 70L + salt;
+    return message;
+  }
 
-    private static List<LogEntry> entries() {
-        return List.of(new LogEntry(101, 7, LogEntry.DATA, new byte[] {1, 2, 3}), new LogEntry(102, 8, LogEntry.VOTERS, RaftStorage.votersData(List.of("a:1#x", "b:2#y"))),
-            new LogEntry(103, 9, LogEntry.NOTHING, new byte[0]));
-    }
+  private static List<LogEntry> entries() {
+    return List.of(
+        new LogEntry(101, 7, LogEntry.DATA, new byte[] {1, 2, 3}),
+        new LogEntry(102, 8, LogEntry.VOTERS, RaftStorage.votersData(List.of("a:1#x", "b:2#y"))),
+        new LogEntry(103, 9, LogEntry.NOTHING, new byte[0]));
+  }
 
-    static Map<String, Object> messages() {
-        final Map<String, Object> messages = new LinkedHashMap<>();
-        final RaftMessages.VoteRequest ask = headed(new RaftMessages.VoteRequest(), 1);
-        ask.pre = true;
-        ask.handedOver = false;
-        ask.lastIndex = 501;
-        ask.lastTerm = 12;
-        messages.put("10", ask);
-        final RaftMessages.VoteResponse askAnswer = headed(new RaftMessages.VoteResponse(), 2);
-        askAnswer.pre = true;
-        askAnswer.granted = false;
-        messages.put("11", askAnswer);
-        final RaftMessages.AppendEntriesRequest append = headed(new RaftMessages.AppendEntriesRequest(), 3);
-        append.prevIndex = 100;
-        append.prevTerm = 6;
-        append.commit = 99;
-        append.round = 41;
-        append.quiet = true;
-        append.entries = entries();
-        append.relay = "10.0.0.9:7000#zz";
-        messages.put("12", append);
-        final RaftMessages.AppendEntriesResponse appendAnswer = headed(new RaftMessages.AppendEntriesResponse(), 4);
-        appendAnswer.accepted = true;
-        appendAnswer.match = 777;
-        appendAnswer.round = 42;
-        messages.put("13", appendAnswer);
-        final RaftMessages.InstallSnapshotRequest image = headed(new RaftMessages.InstallSnapshotRequest(), 5);
-        image.lastIndex = 1000;
-        image.lastTerm = 13;
-        image.voters = List.of("a:1#x", "b:2#y", "c:3#z");
-        image.offset = 64;
-        image.length = 4096;
-        image.piece = new byte[] {9, 8, 7};
-        image.number = 21;
-        image.attempt = 3;
-        messages.put("14", image);
-        messages.put("15", headed(new RaftMessages.TimeoutNowRequest(), 6));
-        final RaftMessages.JoinRequest join = headed(new RaftMessages.JoinRequest(), 7);
-        join.wantsVote = true;
-        join.passedOn = true;
-        join.leaves = false;
-        messages.put("16", join);
-        final RaftMessages.InstallSnapshotResponse imageAnswer = headed(new RaftMessages.InstallSnapshotResponse(), 8);
-        imageAnswer.lastIndex = 1001;
-        imageAnswer.held = 128;
-        imageAnswer.number = 22;
-        imageAnswer.attempt = 4;
-        messages.put("17", imageAnswer);
-        final RaftMessages.FetchRequest fetch = headed(new RaftMessages.FetchRequest(), 9);
-        fetch.next = 104;
-        fetch.lastTerm = 9;
-        messages.put("18", fetch);
-        final RaftMessages.FetchResponse fetched = headed(new RaftMessages.FetchResponse(), 10);
-        fetched.prevIndex = 100;
-        fetched.prevTerm = 6;
-        fetched.entries = entries();
-        messages.put("19", fetched);
-        return messages;
-    }
+  static Map<String, Object> messages() {
+    final Map<String, Object> messages = new LinkedHashMap<>();
+    final RaftMessages.VoteRequest ask = headed(new RaftMessages.VoteRequest(), 1);
+    ask.pre = true;
+    ask.handedOver = false;
+    ask.lastIndex = 501;
+    ask.lastTerm = 12;
+    messages.put("10", ask);
+    final RaftMessages.VoteResponse askAnswer = headed(new RaftMessages.VoteResponse(), 2);
+    askAnswer.pre = true;
+    askAnswer.granted = false;
+    messages.put("11", askAnswer);
+    final RaftMessages.AppendEntriesRequest append =
+        headed(new RaftMessages.AppendEntriesRequest(), 3);
+    append.prevIndex = 100;
+    append.prevTerm = 6;
+    append.commit = 99;
+    append.round = 41;
+    append.quiet = true;
+    append.entries = entries();
+    append.relay = "10.0.0.9:7000#zz";
+    messages.put("12", append);
+    final RaftMessages.AppendEntriesResponse appendAnswer =
+        headed(new RaftMessages.AppendEntriesResponse(), 4);
+    appendAnswer.accepted = true;
+    appendAnswer.match = 777;
+    appendAnswer.round = 42;
+    messages.put("13", appendAnswer);
+    final RaftMessages.InstallSnapshotRequest image =
+        headed(new RaftMessages.InstallSnapshotRequest(), 5);
+    image.lastIndex = 1000;
+    image.lastTerm = 13;
+    image.voters = List.of("a:1#x", "b:2#y", "c:3#z");
+    image.offset = 64;
+    image.length = 4096;
+    image.piece = new byte[] {9, 8, 7};
+    image.number = 21;
+    image.attempt = 3;
+    messages.put("14", image);
+    messages.put("15", headed(new RaftMessages.TimeoutNowRequest(), 6));
+    final RaftMessages.JoinRequest join = headed(new RaftMessages.JoinRequest(), 7);
+    join.wantsVote = true;
+    join.passedOn = true;
+    join.leaves = false;
+    messages.put("16", join);
+    final RaftMessages.InstallSnapshotResponse imageAnswer =
+        headed(new RaftMessages.InstallSnapshotResponse(), 8);
+    imageAnswer.lastIndex = 1001;
+    imageAnswer.held = 128;
+    imageAnswer.number = 22;
+    imageAnswer.attempt = 4;
+    messages.put("17", imageAnswer);
+    final RaftMessages.FetchRequest fetch = headed(new RaftMessages.FetchRequest(), 9);
+    fetch.next = 104;
+    fetch.lastTerm = 9;
+    messages.put("18", fetch);
+    final RaftMessages.FetchResponse fetched = headed(new RaftMessages.FetchResponse(), 10);
+    fetched.prevIndex = 100;
+    fetched.prevTerm = 6;
+    fetched.entries = entries();
+    messages.put("19", fetched);
+    return messages;
+  }
 
-    @Test
-    void messagesKeepTheirBytes() {
-        final MessageCodec codec = new MessageCodec();
-        RaftMessages.know(codec);
-        GoldenBytes.assertUnchanged("raft.txt", GoldenBytes.encode(codec, messages()));
-    }
+  @Test
+  void messagesKeepTheirBytes() {
+    final MessageCodec codec = new MessageCodec();
+    RaftMessages.know(codec);
+    GoldenBytes.assertUnchanged("raft.txt", GoldenBytes.encode(codec, messages()));
+  }
 
-    @Test
-    void recordsKeepTheirBytes() {
-        final Map<String, byte[]> records = new LinkedHashMap<>();
-        for (int kind = 1; kind <= 5; kind++) {
-            records.put("record-" + kind, LogRecord.wrapBody(kind, new byte[] {(byte) kind, 2, 3}, 1_000 + kind));
-        }
-        GoldenBytes.assertUnchanged("records.txt", records);
+  @Test
+  void recordsKeepTheirBytes() {
+    final Map<String, byte[]> records = new LinkedHashMap<>();
+    for (int kind = 1; kind <= 5; kind++) {
+      records.put(
+          "record-" + kind, LogRecord.wrapBody(kind, new byte[] {(byte) kind, 2, 3}, 1_000 + kind));
     }
+    GoldenBytes.assertUnchanged("records.txt", records);
+  }
 }
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -1,5 +1,7 @@
 package yewjunction.raft;
 
+import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
+
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
 import io.protostuff.Schema;
@@ -14,101 +16,142 @@
 import yewjunction.store.MessageStore;
 import yewjunction.store.StoredMessage;
 
-import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
-
-/** Prints what the owner's turn costs in which a vault's snapshot is built and its file is rewritten: ms of a thread's processor. */
+/**
+ * Prints what the owner's turn costs in which a vault's snapshot is built and its file is
+ * rewritten: ms of a thread's processor.
+ */
 final class SnapshotTurnCost {
-    private static final Schema<StoredMessage> MESSAGES = RuntimeSchema.getSchema(StoredMessage.class);
+  private static final Schema<StoredMessage> MESSAGES =
+      RuntimeSchema.getSchema(StoredMessage.class);
 
-    private SnapshotTurnCost() {
-    }
+  private SnapshotTurnCost() {}
 
-    private static <T> T timed(final String what, final Callable<T> step) throws Exception {
-        final var threads = ManagementFactory.getThreadMXBean();
-        final long startNs = threads.getCurrentThreadCpuTime();
-        final long wallNs = System.nanoTime();
-        final T made = step.call();
-        System.out.printf("%-22s cpu %6.1f ms, wall %6.1f ms%n", what, (threads.getCurrentThreadCpuTime() - startNs) / 1e6,
-            (System.nanoTime() - wallNs) / 1e6);
-        return made;
-    }
+  private static <T> T timed(final String what, final Callable<T> step) throws Exception {
+    final var threads = ManagementFactory.getThreadMXBean();
+    final long startNs = threads.getCurrentThreadCpuTime();
+    final long wallNs = System.nanoTime();
+    final T made = step.call();
+    System.out.printf(
+        "%-22s cpu %6.1f ms, wall %6.1f ms%n",
+        what,
+        (threads.getCurrentThreadCpuTime() - startNs) / 1e6,
+        (System.nanoTime() - wallNs) / 1e6);
+    return made;
+  }
 
-    public static void main(final String[] words) throws Exception {
-        final int messages = Integer.parseInt(words[0]);
-        final int bodyBytes = Integer.parseInt(words[1]);
-        final SimulatedNetwork world = new SimulatedNetwork(1);
-        final AgentContext pulse = world.host("10.1.1.1:7000");
-        final Settings settings = new Settings("n", "vault", List.of("vault"), "10.1.1.1", "z", "10.1.1.1:8022", "10.1.1.1:8029",
-            "10.1.1.1:8024", 7000, 7015, List.of(), true, "/data", 1, 2, 5, 0.1, 20, 260);
-        final MessageStore cellar = new MessageStore(pulse, new MessageStore.Listener() {
-            @Override
-            public boolean admittedHere(final StoredMessage message) {
+  public static void main(final String[] words) throws Exception {
+    final int messages = Integer.parseInt(words[0]);
+    final int bodyBytes = Integer.parseInt(words[1]);
+    final SimulatedNetwork world = new SimulatedNetwork(1);
+    final AgentContext pulse = world.host("10.1.1.1:7000");
+    final Settings settings =
+        new Settings(
+            "n",
+            "vault",
+            List.of("vault"),
+            "10.1.1.1",
+            "z",
+            "10.1.1.1:8022",
+            "10.1.1.1:8029",
+            "10.1.1.1:8024",
+            7000,
+            7015,
+            List.of(),
+            true,
+            "/data",
+            1,
+            2,
+            5,
+            0.1,
+            20,
+            260);
+    final MessageStore cellar =
+        new MessageStore(
+            pulse,
+            new MessageStore.Listener() {
+              @Override
+              public boolean admittedHere(final StoredMessage message) {
                 return true;
-            }
+              }
 
-            @Override
-            public void settledTo(final long commit) {
-            }
+              @Override
+              public void settledTo(final long commit) {}
 
-            @Override
-            public void leaderIs(final String identity, final boolean self) {
-            }
-        }, settings);
-        final byte[][] snapshot = new byte[1][];
-        final StateMachine machine = new StateMachine() {
-            @Override
-            public void apply(final long index, final byte[] data) {
-                cellar.apply(index, data);
-            }
+              @Override
+              public void leaderIs(final String identity, final boolean self) {}
+            },
+            settings);
+    final byte[][] snapshot = new byte[1][];
+    final StateMachine machine =
+        new StateMachine() {
+          @Override
+          public void apply(final long index, final byte[] data) {
+            cellar.apply(index, data);
+          }
 
-            @Override
-            public byte[] snapshot() {
-                try {
-                    snapshot[0] = timed("Cellar.snapshot", cellar::snapshot);
-                    return snapshot[0];
-                } catch (final Exception defect) {
-                    throw new IllegalStateException(defect);
-                }
+          @Override
+          public byte[] snapshot() {
+            try {
+              snapshot[0] = timed("Cellar.snapshot", cellar::snapshot);
+              return snapshot[0];
+            } catch (final Exception defect) {
+              throw new IllegalStateException(defect);
             }
+          }
 
-            @Override
-            public void restore(final long index, final byte[] state) {
-                cellar.restore(index, state);
-            }
+          @Override
+          public void restore(final long index, final byte[] state) {
+            cellar.restore(index, state);
+          }
         };
-        final Random luck = new Random(1);
-        for (int i = 1; i <= messages; i++) {
-            final StoredMessage message = new StoredMessage();
-            message.topic = "topic-" + i % 400;
-            message.client = "client-" + i % 300;
-            message.number = i;
-            message.body = new byte[bodyBytes];
-            luck.nextBytes(message.body);
-            message.tenant("tenant-" + i % 20);
-            cellar.apply(i, ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512)));
-        }
-        for (int round = 0; round < 5; round++) {
-            // The disk's own time is another thread's: left out.
-            final RaftNode ledger = new RaftNode(1, pulse, null, new InMemoryDisk(), (blocking, afterwards) -> afterwards.run(), "x" + round, machine);
-            ledger.name("a:1#x");
-            // Founding writes the state as a rewrite does: a snapshot and a whole file.
-            timed("turn in all", () -> {
-                ledger.found(List.of("a:1#x"));
-                return null;
-            });
-            System.out.println("snapshot bytes " + snapshot[0].length);
-            // What is kept at most for a member that catches up is written again with it.
-            for (int i = 1; i <= CATCH_UP_BYTES / (bodyBytes + 60); i++) {
-                ledger.archive.append(List.of(new LogEntry(i, 1, LogEntry.DATA, new byte[bodyBytes + 60])), () -> { });
-            }
-            timed("kept tail of " + ledger.log.lastIndex(), () -> {
-                ledger.archive.rewrite(0, new byte[0], () -> { });
-                return null;
-            });
-            timed("Cellar.restore", () -> {
-                cellar.restore(messages, snapshot[0]);
-                return null;
-            });
-        }
+    final Random luck = new Random(1);
+    for (int i = 1; i <= messages; i++) {
+      final StoredMessage message = new StoredMessage();
+      message.topic = "topic-" + i % 400;
+      message.client = "client-" + i % 300;
+      message.number = i;
+      message.body = new byte[bodyBytes];
+      luck.nextBytes(message.body);
+      message.tenant("tenant-" + i % 20);
+      cellar.apply(i, ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512)));
+    }
+    for (int round = 0; round < 5; round++) {
+      // The disk's own time is another thread's: left out.
+      final RaftNode ledger =
+          new RaftNode(
+              1,
+              pulse,
+              null,
+              new InMemoryDisk(),
+              (blocking, afterwards) -> afterwards.run(),
+              "x" + round,
+              machine);
+      ledger.name("a:1#x");
+      // Founding writes the state as a rewrite does: a snapshot and a whole file.
+      timed(
+          "turn in all",
+          () -> {
+            ledger.found(List.of("a:1#x"));
+            return null;
+          });
+      System.out.println("snapshot bytes " + snapshot[0].length);
+      // What is kept at most for a member that catches up is written again with it.
+      for (int i = 1; i <= CATCH_UP_BYTES / (bodyBytes + 60); i++) {
+        ledger.archive.append(
+            List.of(new LogEntry(i, 1, LogEntry.DATA, new byte[bodyBytes + 60])), () -> {});
+      }
+      timed(
+          "kept tail of " + ledger.log.lastIndex(),
+          () -> {
+            ledger.archive.rewrite(0, new byte[0], () -> {});
+            return null;
+          });
+      timed(
+          "Cellar.restore",
+          () -> {
+            cellar.restore(messages, snapshot[0]);
+            return null;
+          });
     }
+  }
 }
--- a/src/test/java/yewjunction/raft/StoredDataTest.java
+++ b/src/test/java/yewjunction/raft/StoredDataTest.java
@@ -1,5 +1,9 @@
 package yewjunction.raft;
 
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,59 +14,69 @@
 import yewjunction.control.ControlStateFixture;
 import yewjunction.store.StoreStateFixture;
 
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-
 /** Data folders that release 0.1.0 wrote are opened with every fact in them. */
 class StoredDataTest {
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private void opens(final String node, final String name, final StateMachine machine, final List<byte[]> commands,
-            final Consumer<StateMachine> complete) throws IOException {
-        final Path file = folder.resolve(name);
-        Files.copy(Path.of("src/test/resources/stored-data", node, name), file);
-        final long written = Files.size(file);
-        final StorageInspection health = StorageInspection.look(folder).get(0);
-        assertFalse(health.damaged());
-        assertEquals(written - StoredDataFixture.TORN_BYTES, health.goodBytes());
+  private void opens(
+      final String node,
+      final String name,
+      final StateMachine machine,
+      final List<byte[]> commands,
+      final Consumer<StateMachine> complete)
+      throws IOException {
+    final Path file = folder.resolve(name);
+    Files.copy(Path.of("src/test/resources/stored-data", node, name), file);
+    final long written = Files.size(file);
+    final StorageInspection health = StorageInspection.look(folder).get(0);
+    assertFalse(health.damaged());
+    assertEquals(written - StoredDataFixture.TORN_BYTES, health.goodBytes());
 
-        final RaftStorage archive = StoredDataFixture.open(folder, name);
-        assertEquals(written - StoredDataFixture.TORN_BYTES, Files.size(file));
-        assertEquals(StoredDataFixture.IDENTITY, archive.identity);
-        assertEquals(4, archive.term);
-        assertEquals(StoredDataFixture.IDENTITY, archive.votedFor);
-        final int inSnapshot = commands.size() / 2;
-        final RaftLog log = archive.log;
-        assertEquals(inSnapshot, archive.stateIndex());
-        assertEquals(inSnapshot - 1, log.baseIndex());
-        assertEquals(3, log.termAt(log.baseIndex()));
-        assertEquals(commands.size() + 2, log.lastIndex());
-        assertEquals(5, log.lastTerm());
-        assertEquals(StoredDataFixture.FIRST_VOTERS, log.votersAt(commands.size()));
-        assertEquals(StoredDataFixture.LAST_VOTERS, log.votersAt(log.lastIndex()));
-        assertEquals(LogEntry.VOTERS, log.get(commands.size() + 1).kind);
-        assertEquals(LogEntry.NOTHING, log.get(commands.size() + 2).kind);
+    final RaftStorage archive = StoredDataFixture.open(folder, name);
+    assertEquals(written - StoredDataFixture.TORN_BYTES, Files.size(file));
+    assertEquals(StoredDataFixture.IDENTITY, archive.identity);
+    assertEquals(4, archive.term);
+    assertEquals(StoredDataFixture.IDENTITY, archive.votedFor);
+    final int inSnapshot = commands.size() / 2;
+    final RaftLog log = archive.log;
+    assertEquals(inSnapshot, archive.stateIndex());
+    assertEquals(inSnapshot - 1, log.baseIndex());
+    assertEquals(3, log.termAt(log.baseIndex()));
+    assertEquals(commands.size() + 2, log.lastIndex());
+    assertEquals(5, log.lastTerm());
+    assertEquals(StoredDataFixture.FIRST_VOTERS, log.votersAt(commands.size()));
+    assertEquals(StoredDataFixture.LAST_VOTERS, log.votersAt(log.lastIndex()));
+    assertEquals(LogEntry.VOTERS, log.get(commands.size() + 1).kind);
+    assertEquals(LogEntry.NOTHING, log.get(commands.size() + 2).kind);
 
-        machine.restore(archive.stateIndex(), archive.takeState());
-        for (int index = inSnapshot + 1; index <= commands.size(); index++) {
-            final LogEntry entry = log.get(index);
-            assertEquals(LogEntry.DATA, entry.kind);
-            assertEquals(4, entry.term);
-            assertArrayEquals(commands.get(index - 1), entry.data);
-            machine.apply(index, entry.data);
-        }
-        complete.accept(machine);
+    machine.restore(archive.stateIndex(), archive.takeState());
+    for (int index = inSnapshot + 1; index <= commands.size(); index++) {
+      final LogEntry entry = log.get(index);
+      assertEquals(LogEntry.DATA, entry.kind);
+      assertEquals(4, entry.term);
+      assertArrayEquals(commands.get(index - 1), entry.data);
+      machine.apply(index, entry.data);
     }
+    complete.accept(machine);
+  }
 
-    @Test
-    void aControlNodesFolder() throws IOException {
-        opens("control", "charter", ControlStateFixture.machine(), ControlStateFixture.commands(), ControlStateFixture::assertComplete);
-    }
+  @Test
+  void aControlNodesFolder() throws IOException {
+    opens(
+        "control",
+        "charter",
+        ControlStateFixture.machine(),
+        ControlStateFixture.commands(),
+        ControlStateFixture::assertComplete);
+  }
 
-    @Test
-    void aStoreNodesFolder() throws IOException {
-        opens("store", "messages", StoreStateFixture.machine(), StoreStateFixture.commands(), StoreStateFixture::assertComplete);
-    }
+  @Test
+  void aStoreNodesFolder() throws IOException {
+    opens(
+        "store",
+        "messages",
+        StoreStateFixture.machine(),
+        StoreStateFixture.commands(),
+        StoreStateFixture::assertComplete);
+  }
 }
--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -1,217 +1,282 @@
 package yewjunction.raft;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
-/** Three seats and more machines than that: who sits in them when machines go for good, fall silent or stall. */
+/**
+ * Three seats and more machines than that: who sits in them when machines go for good, fall silent
+ * or stall.
+ */
 class VoterPlacementSimulationTest extends RaftSimulation {
-    private void beginWith(final long seed, final String... spares) {
-        begin(seed);
-        assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-        for (final String spare : spares) {
-            boot(spare, false);
-        }
-        world.runFor(2_000);
+  private void beginWith(final long seed, final String... spares) {
+    begin(seed);
+    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
+    for (final String spare : spares) {
+      boot(spare, false);
     }
+    world.runFor(2_000);
+  }
 
-    private List<String> voters() {
-        return leader() == null ? List.of() : leader().voters().stream().map(RaftNode::address).sorted().toList();
-    }
+  private List<String> voters() {
+    return leader() == null
+        ? List.of()
+        : leader().voters().stream().map(RaftNode::address).sorted().toList();
+  }
 
-    private void awaitProgress(final long more, final long withinMs) {
-        final long before = acknowledged.size();
-        assertTrue(world.runUntil(() -> acknowledged.size() > before + more, withinMs), "stuck, voters " + voters());
-    }
+  private void awaitProgress(final long more, final long withinMs) {
+    final long before = acknowledged.size();
+    assertTrue(
+        world.runUntil(() -> acknowledged.size() > before + more, withinMs),
+        "stuck, voters " + voters());
+  }
 
-    @Test
-    void aSpareMachineTakesNoSeatWhileAllAreFilled() {
-        beginWith(1, "a:2", "b:2");
-        assertEquals(addresses, voters());
-        // It learns all the same, but for what is on its way right now.
-        final long learnt = acknowledged.stream().filter(tales.get("a:2").told::containsValue).count();
-        assertTrue(learnt > 50 && learnt >= acknowledged.size() - 5, learnt + " of " + acknowledged.size());
-    }
+  @Test
+  void aSpareMachineTakesNoSeatWhileAllAreFilled() {
+    beginWith(1, "a:2", "b:2");
+    assertEquals(addresses, voters());
+    // It learns all the same, but for what is on its way right now.
+    final long learnt = acknowledged.stream().filter(tales.get("a:2").told::containsValue).count();
+    assertTrue(
+        learnt > 50 && learnt >= acknowledged.size() - 5, learnt + " of " + acknowledged.size());
+  }
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aMachineReplacedAtAnotherAddressIsBackInItsSeatBeforeTheNextLoss(final long seed) {
-        beginWith(seed);
-        world.loss = 0.02;
-        final String gone = addresses.get((int) (seed % 3));
-        world.host(gone).powerOff();
-        world.runFor(1_000);
-        // Empty, and nobody told the others that it stands for the one that went.
-        boot("d:9", false);
-        assertTrue(world.runUntil(() -> voters().contains("d:9") && voters().size() == 3, 4_000), "voters " + voters());
-        // Committed and told: well within the time for which a machine that came back still counts as lost.
-        world.runFor(500);
-        // From now on any other single machine may go, whether with its disk or without.
-        final String next = addresses.get((int) ((seed + 1) % 3));
-        world.host(next).powerOff();
-        if (seed % 2 == 0) {
-            world.host(next).wipe();
-        }
-        awaitProgress(50, 5_000);
-        final String last = addresses.get((int) ((seed + 2) % 3));
-        assertTrue(tales.get(last).told.values().containsAll(acknowledged) || tales.get("d:9").told.values()
-            .containsAll(acknowledged), "an acknowledged entry is gone");
-        assertTrue(!voters().contains(gone), "the departed address votes");
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+  void aMachineReplacedAtAnotherAddressIsBackInItsSeatBeforeTheNextLoss(final long seed) {
+    beginWith(seed);
+    world.loss = 0.02;
+    final String gone = addresses.get((int) (seed % 3));
+    world.host(gone).powerOff();
+    world.runFor(1_000);
+    // Empty, and nobody told the others that it stands for the one that went.
+    boot("d:9", false);
+    assertTrue(
+        world.runUntil(() -> voters().contains("d:9") && voters().size() == 3, 4_000),
+        "voters " + voters());
+    // Committed and told: well within the time for which a machine that came back still counts as
+    // lost.
+    world.runFor(500);
+    // From now on any other single machine may go, whether with its disk or without.
+    final String next = addresses.get((int) ((seed + 1) % 3));
+    world.host(next).powerOff();
+    if (seed % 2 == 0) {
+      world.host(next).wipe();
     }
+    awaitProgress(50, 5_000);
+    final String last = addresses.get((int) ((seed + 2) % 3));
+    assertTrue(
+        tales.get(last).told.values().containsAll(acknowledged)
+            || tales.get("d:9").told.values().containsAll(acknowledged),
+        "an acknowledged entry is gone");
+    assertTrue(!voters().contains(gone), "the departed address votes");
+  }
 
-    @Test
-    void oneThatLostItsSeatWhileItWasCutOffLearnsOfItAndWaitsAsASpare() {
-        beginWith(7, "d:1");
-        final String away = addresses.stream().filter(one -> !one.equals(RaftNode.address(leader().identity()))).findFirst().orElseThrow();
-        ledgers.keySet().forEach(other -> world.cut(away, other));
-        assertTrue(world.runUntil(() -> voters().contains("d:1"), 5_000));
-        // Long enough for the leader to forget it altogether.
-        world.runFor(25_000);
-        world.join();
-        world.runFor(6_000);
-        assertEquals(voters().size(), 3);
-        assertTrue(!voters().contains(away));
-        // The load goes on: what is acknowledged this very moment reaches it within a beat.
-        final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
-        world.runFor(100);
-        assertTrue(tales.get(away).told.values().containsAll(owed), "it was not brought up to date");
-        assertTrue(!ledgers.get(away).voters().contains(ledgers.get(away).identity()), "it still thinks that it votes");
-    }
+  @Test
+  void oneThatLostItsSeatWhileItWasCutOffLearnsOfItAndWaitsAsASpare() {
+    beginWith(7, "d:1");
+    final String away =
+        addresses.stream()
+            .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+            .findFirst()
+            .orElseThrow();
+    ledgers.keySet().forEach(other -> world.cut(away, other));
+    assertTrue(world.runUntil(() -> voters().contains("d:1"), 5_000));
+    // Long enough for the leader to forget it altogether.
+    world.runFor(25_000);
+    world.join();
+    world.runFor(6_000);
+    assertEquals(voters().size(), 3);
+    assertTrue(!voters().contains(away));
+    // The load goes on: what is acknowledged this very moment reaches it within a beat.
+    final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
+    world.runFor(100);
+    assertTrue(tales.get(away).told.values().containsAll(owed), "it was not brought up to date");
+    assertTrue(
+        !ledgers.get(away).voters().contains(ledgers.get(away).identity()),
+        "it still thinks that it votes");
+  }
 
-    @Test
-    void aVoterWhoseDiskStallsGivesItsSeatToASpareAndALeaderHandsOverFirst() {
-        beginWith(8, "d:1");
-        final String stalled = RaftNode.address(leader().identity());
-        world.host(stalled).syncMicros = 60_000_000;
-        assertTrue(world.runUntil(() -> leader() != null && !RaftNode.address(leader().identity()).equals(stalled), 4_000));
-        assertTrue(world.runUntil(() -> !voters().contains(stalled) && voters().contains("d:1"), 8_000), "voters " + voters());
-        // From here on somebody leads all the time, and what is offered is acknowledged.
-        final long offeredBefore = proposed;
-        final long before = acknowledged.size();
-        world.runFor(3_000);
-        final long offered = proposed - offeredBefore;
-        assertTrue(offered > 80 && acknowledged.size() - before >= offered - 5, (acknowledged.size() - before) + " of " + offered);
-    }
+  @Test
+  void aVoterWhoseDiskStallsGivesItsSeatToASpareAndALeaderHandsOverFirst() {
+    beginWith(8, "d:1");
+    final String stalled = RaftNode.address(leader().identity());
+    world.host(stalled).syncMicros = 60_000_000;
+    assertTrue(
+        world.runUntil(
+            () -> leader() != null && !RaftNode.address(leader().identity()).equals(stalled),
+            4_000));
+    assertTrue(
+        world.runUntil(() -> !voters().contains(stalled) && voters().contains("d:1"), 8_000),
+        "voters " + voters());
+    // From here on somebody leads all the time, and what is offered is acknowledged.
+    final long offeredBefore = proposed;
+    final long before = acknowledged.size();
+    world.runFor(3_000);
+    final long offered = proposed - offeredBefore;
+    assertTrue(
+        offered > 80 && acknowledged.size() - before >= offered - 5,
+        (acknowledged.size() - before) + " of " + offered);
+  }
 
-    @Test
-    void aLeavingMachineHandsItsSeatOnBeforeItGoes() {
-        beginWith(9, "d:1");
-        leaving.put("b:1", true);
-        assertTrue(world.runUntil(() -> voters().size() == 4, 5_000), "voters " + voters());
-        assertTrue(voters().contains("d:1"));
-    }
+  @Test
+  void aLeavingMachineHandsItsSeatOnBeforeItGoes() {
+    beginWith(9, "d:1");
+    leaving.put("b:1", true);
+    assertTrue(world.runUntil(() -> voters().size() == 4, 5_000), "voters " + voters());
+    assertTrue(voters().contains("d:1"));
+  }
 
-    /** The one that leads, or another voter, stops for good while a spare that followed it is there. */
-    private boolean replacedAsPlanned(final long seed, final boolean leads) {
-        beginWith(seed);
-        world.loss = 0.02;
-        // The new machine first, then the old one's orderly stop.
-        boot("d:9", false);
-        world.runFor(2_000);
-        final String gone = leads ? RaftNode.address(leader().identity()) : addresses.stream()
-            .filter(one -> !one.equals(RaftNode.address(leader().identity()))).findFirst().orElseThrow();
-        final boolean[] ended = new boolean[1];
-        ledgers.get(gone).membership().leave(() -> {
-            ended[0] = true;
-            world.host(gone).powerOff();
-        });
-        world.runUntil(() -> ended[0], 3_000);
-        world.host(gone).wipe();
-        return leader() != null && voters().equals(java.util.stream.Stream.concat(addresses.stream(), java.util.stream.Stream.of("d:9"))
-            .filter(one -> !one.equals(gone)).toList());
-    }
+  /**
+   * The one that leads, or another voter, stops for good while a spare that followed it is there.
+   */
+  private boolean replacedAsPlanned(final long seed, final boolean leads) {
+    beginWith(seed);
+    world.loss = 0.02;
+    // The new machine first, then the old one's orderly stop.
+    boot("d:9", false);
+    world.runFor(2_000);
+    final String gone =
+        leads
+            ? RaftNode.address(leader().identity())
+            : addresses.stream()
+                .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+                .findFirst()
+                .orElseThrow();
+    final boolean[] ended = new boolean[1];
+    ledgers
+        .get(gone)
+        .membership()
+        .leave(
+            () -> {
+              ended[0] = true;
+              world.host(gone).powerOff();
+            });
+    world.runUntil(() -> ended[0], 3_000);
+    world.host(gone).wipe();
+    return leader() != null
+        && voters()
+            .equals(
+                java.util.stream.Stream.concat(
+                        addresses.stream(), java.util.stream.Stream.of("d:9"))
+                    .filter(one -> !one.equals(gone))
+                    .toList());
+  }
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void aSpareSitsInTheSeatBeforeWhoeverStopsForGoodHasEnded(final long seed) {
-        assertTrue(replacedAsPlanned(seed, seed % 2 == 0), "voters " + voters());
-        // At once: its successor may have been there for long, so the next loss may come now, with its disk.
-        final String next = voters().get((int) (seed % 3));
-        world.host(next).powerOff();
-        world.host(next).wipe();
-        awaitProgress(50, 5_000);
-        final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
-        world.runFor(100);
-        assertTrue(tales.get(RaftNode.address(leader().identity())).told.values().containsAll(owed), "an acknowledged entry is gone");
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
+  void aSpareSitsInTheSeatBeforeWhoeverStopsForGoodHasEnded(final long seed) {
+    assertTrue(replacedAsPlanned(seed, seed % 2 == 0), "voters " + voters());
+    // At once: its successor may have been there for long, so the next loss may come now, with its
+    // disk.
+    final String next = voters().get((int) (seed % 3));
+    world.host(next).powerOff();
+    world.host(next).wipe();
+    awaitProgress(50, 5_000);
+    final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
+    world.runFor(100);
+    assertTrue(
+        tales.get(RaftNode.address(leader().identity())).told.values().containsAll(owed),
+        "an acknowledged entry is gone");
+  }
 
-    /** Planted: what a member says of its end is not heard, so its seat passes only once it has been silent. */
-    @Test
-    void aSeatThatPassesOnlyAfterSilenceIsSeen() {
-        int late = 0;
-        for (long seed = 1; seed <= 4; seed++) {
-            final VoterPlacementSimulationTest one = new VoterPlacementSimulationTest();
-            one.tampering = letter -> {
-                if (letter instanceof RaftMessages.JoinRequest join) {
-                    join.leaves = null;
-                }
-            };
-            late += one.replacedAsPlanned(seed, false) ? 0 : 1;
-        }
-        assertEquals(4, late);
+  /**
+   * Planted: what a member says of its end is not heard, so its seat passes only once it has been
+   * silent.
+   */
+  @Test
+  void aSeatThatPassesOnlyAfterSilenceIsSeen() {
+    int late = 0;
+    for (long seed = 1; seed <= 4; seed++) {
+      final VoterPlacementSimulationTest one = new VoterPlacementSimulationTest();
+      one.tampering =
+          letter -> {
+            if (letter instanceof RaftMessages.JoinRequest join) {
+              join.leaves = null;
+            }
+          };
+      late += one.replacedAsPlanned(seed, false) ? 0 : 1;
     }
+    assertEquals(4, late);
+  }
 
-    @Test
-    void aMemberThatStopsWithNobodyToTakeItsSeatEndsAtOnce() {
-        beginWith(2);
-        final String gone = addresses.stream().filter(one -> !one.equals(RaftNode.address(leader().identity()))).findFirst().orElseThrow();
-        final boolean[] ended = new boolean[1];
-        ledgers.get(gone).membership().leave(() -> ended[0] = true);
-        world.runFor(1);
-        assertTrue(ended[0], "it waits for nothing");
-        assertEquals(addresses, voters());
-    }
+  @Test
+  void aMemberThatStopsWithNobodyToTakeItsSeatEndsAtOnce() {
+    beginWith(2);
+    final String gone =
+        addresses.stream()
+            .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+            .findFirst()
+            .orElseThrow();
+    final boolean[] ended = new boolean[1];
+    ledgers.get(gone).membership().leave(() -> ended[0] = true);
+    world.runFor(1);
+    assertTrue(ended[0], "it waits for nothing");
+    assertEquals(addresses, voters());
+  }
 
-    /** Planted: nobody but the former leader is asked, as when a spare never let go of one. */
-    @Test
-    void aSpareThatKnowsOnlyTheFormerLeaderIsSeenToStayOutside() {
-        forgotten.addAll(addresses);
-        beginWith(1, "d:9");
-        final String gone = RaftNode.address(leader().identity());
-        world.host(gone).powerOff();
-        assertTrue(!world.runUntil(() -> voters().contains("d:9"), 6_000), "the planted fault does not show");
-        forgotten.clear();
-        assertTrue(world.runUntil(() -> voters().contains("d:9") && !voters().contains(gone), 4_000), "voters " + voters());
-    }
+  /** Planted: nobody but the former leader is asked, as when a spare never let go of one. */
+  @Test
+  void aSpareThatKnowsOnlyTheFormerLeaderIsSeenToStayOutside() {
+    forgotten.addAll(addresses);
+    beginWith(1, "d:9");
+    final String gone = RaftNode.address(leader().identity());
+    world.host(gone).powerOff();
+    assertTrue(
+        !world.runUntil(() -> voters().contains("d:9"), 6_000), "the planted fault does not show");
+    forgotten.clear();
+    assertTrue(
+        world.runUntil(() -> voters().contains("d:9") && !voters().contains(gone), 4_000),
+        "voters " + voters());
+  }
 
-    /** Away for as long as a seat is kept, and back: meanwhile another voter goes for good, but the rest have everything. */
-    @ParameterizedTest
-    @ValueSource(ints = {1_450, 1_500, 1_550, 1_600, 1_650, 1_700, 1_750, 1_800, 1_850, 1_900})
-    void nobodyIsVotedOutByAChangeThatCanNeverBeCommitted(final int awayMs) {
-        beginWith(awayMs, "d:1");
-        world.loss = 0;
-        final List<String> others = addresses.stream().filter(one -> !one.equals(RaftNode.address(leader().identity()))).toList();
-        ledgers.keySet().forEach(other -> world.cut(others.get(0), other));
-        world.runFor(awayMs);
-        world.host(others.get(1)).powerOff();
-        world.host(others.get(1)).wipe();
-        world.runFor(100);
-        world.join();
-        awaitProgress(50, 12_000);
-        assertTrue(tales.get(RaftNode.address(leader().identity())).told.values().containsAll(acknowledged), "an acknowledged entry is gone");
-    }
+  /**
+   * Away for as long as a seat is kept, and back: meanwhile another voter goes for good, but the
+   * rest have everything.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {1_450, 1_500, 1_550, 1_600, 1_650, 1_700, 1_750, 1_800, 1_850, 1_900})
+  void nobodyIsVotedOutByAChangeThatCanNeverBeCommitted(final int awayMs) {
+    beginWith(awayMs, "d:1");
+    world.loss = 0;
+    final List<String> others =
+        addresses.stream()
+            .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+            .toList();
+    ledgers.keySet().forEach(other -> world.cut(others.get(0), other));
+    world.runFor(awayMs);
+    world.host(others.get(1)).powerOff();
+    world.host(others.get(1)).wipe();
+    world.runFor(100);
+    world.join();
+    awaitProgress(50, 12_000);
+    assertTrue(
+        tales.get(RaftNode.address(leader().identity())).told.values().containsAll(acknowledged),
+        "an acknowledged entry is gone");
+  }
 
-    @Test
-    void aMemberThatLagsSaysForHowLong() {
-        beginWith(3, "d:1");
-        world.loss = 0;
-        world.runFor(1_000);
-        assertTrue(ledgers.get("d:1").membership().behindMs() < 100, "behind while all is well");
-        // It hears how far the others are, but not the entries.
-        world.host("d:1").tampering = letter -> {
-            if (letter instanceof RaftMessages.AppendEntriesRequest append) {
-                append.entries.clear();
-                append.relay = null;
-            } else if (letter instanceof RaftMessages.FetchResponse fetched) {
-                fetched.entries.clear();
-            }
+  @Test
+  void aMemberThatLagsSaysForHowLong() {
+    beginWith(3, "d:1");
+    world.loss = 0;
+    world.runFor(1_000);
+    assertTrue(ledgers.get("d:1").membership().behindMs() < 100, "behind while all is well");
+    // It hears how far the others are, but not the entries.
+    world.host("d:1").tampering =
+        letter -> {
+          if (letter instanceof RaftMessages.AppendEntriesRequest append) {
+            append.entries.clear();
+            append.relay = null;
+          } else if (letter instanceof RaftMessages.FetchResponse fetched) {
+            fetched.entries.clear();
+          }
         };
-        assertTrue(world.runUntil(() -> ledgers.get("d:1").membership().behindMs() > 1_000, 3_000));
-        world.host("d:1").tampering = letter -> { };
-        assertTrue(world.runUntil(() -> ledgers.get("d:1").membership().behindMs() == 0, 3_000));
-    }
+    assertTrue(world.runUntil(() -> ledgers.get("d:1").membership().behindMs() > 1_000, 3_000));
+    world.host("d:1").tampering = letter -> {};
+    assertTrue(world.runUntil(() -> ledgers.get("d:1").membership().behindMs() == 0, 3_000));
+  }
 }
--- a/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -1,5 +1,10 @@
 package yewjunction.raft;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
@@ -8,73 +13,77 @@
 import yewjunction.raft.RaftMessages.AppendEntriesRequest;
 import yewjunction.raft.RaftMessages.FetchResponse;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertThrows;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
-/** A member that learns of a term by entries that were handed on takes nothing more from the leader of an earlier one. */
+/**
+ * A member that learns of a term by entries that were handed on takes nothing more from the leader
+ * of an earlier one.
+ */
 class ZoneRelayTermsTest extends RaftSimulation {
-    /** What stands behind the end, after an entry of the next term was handed on, and then a former leader's append came. */
-    private long termAfterALateAppend(final boolean named) {
-        beginWithSpares(1);
-        final RaftNode spare = ledgers.get("b:2");
-        final String former = leader().identity();
-        final long term = spare.archive.term;
-        final long prevIndex = spare.log.lastIndex();
-        final long prevTerm = spare.log.lastTerm();
-        assertNotNull(spare.leader());
-        final FetchResponse handedOn = new FetchResponse();
-        handedOn.term = named ? term + 1 : 0;
-        handedOn.prevIndex = prevIndex;
-        handedOn.prevTerm = prevTerm;
-        handedOn.entries = List.of(new LogEntry(prevIndex + 1, term + 1, LogEntry.NOTHING, new byte[0]));
-        spare.relay.taken(handedOn);
-        assertEquals(prevIndex + 1, spare.commit());
-        final AppendEntriesRequest late = new AppendEntriesRequest();
-        late.from = former;
-        late.term = term;
-        late.prevIndex = prevIndex;
-        late.prevTerm = prevTerm;
-        late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NOTHING, new byte[0]));
-        spare.following.append(spare.post.dial("a:1"), late);
-        return spare.log.termAt(prevIndex + 1) - term;
-    }
+  /**
+   * What stands behind the end, after an entry of the next term was handed on, and then a former
+   * leader's append came.
+   */
+  private long termAfterALateAppend(final boolean named) {
+    beginWithSpares(1);
+    final RaftNode spare = ledgers.get("b:2");
+    final String former = leader().identity();
+    final long term = spare.archive.term;
+    final long prevIndex = spare.log.lastIndex();
+    final long prevTerm = spare.log.lastTerm();
+    assertNotNull(spare.leader());
+    final FetchResponse handedOn = new FetchResponse();
+    handedOn.term = named ? term + 1 : 0;
+    handedOn.prevIndex = prevIndex;
+    handedOn.prevTerm = prevTerm;
+    handedOn.entries =
+        List.of(new LogEntry(prevIndex + 1, term + 1, LogEntry.NOTHING, new byte[0]));
+    spare.relay.taken(handedOn);
+    assertEquals(prevIndex + 1, spare.commit());
+    final AppendEntriesRequest late = new AppendEntriesRequest();
+    late.from = former;
+    late.term = term;
+    late.prevIndex = prevIndex;
+    late.prevTerm = prevTerm;
+    late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NOTHING, new byte[0]));
+    spare.following.append(spare.post.dial("a:1"), late);
+    return spare.log.termAt(prevIndex + 1) - term;
+  }
 
-    @Test
-    void aFormerLeadersLateAppendCutsNothingCommitted() {
-        assertEquals(1, termAfterALateAppend(true));
-    }
+  @Test
+  void aFormerLeadersLateAppendCutsNothingCommitted() {
+    assertEquals(1, termAfterALateAppend(true));
+  }
 
-    /** The fault planted: the letter names no term. */
-    @Test
-    void withoutItsTermItWouldBeCut() {
-        assertThrows(IllegalStateException.class, () -> termAfterALateAppend(false));
-    }
+  /** The fault planted: the letter names no term. */
+  @Test
+  void withoutItsTermItWouldBeCut() {
+    assertThrows(IllegalStateException.class, () -> termAfterALateAppend(false));
+  }
 
-    static LongStream worlds() {
-        return LongStream.rangeClosed(1, 100);
-    }
+  static LongStream worlds() {
+    return LongStream.rangeClosed(1, 100);
+  }
 
-    @ParameterizedTest
-    @MethodSource("worlds")
-    void oneHistoryUnderKillsAndCuts(final long seed) {
-        beginWithSpares(seed);
-        world.loss = 0.03;
-        final List<String> all = List.copyOf(ledgers.keySet());
-        for (int round = 0; round < 12; round++) {
-            final String victim = all.get(world.luck.nextInt(all.size()));
-            if (world.luck.nextInt(4) < 3) {
-                world.host(victim).kill();
-            } else {
-                all.forEach(other -> world.cut(victim, other));
-            }
-            world.runFor(300 + world.luck.nextInt(2_500));
-            world.join();
-            all.stream().filter(address -> !world.host(address).up()).forEach(address -> boot(address, false));
-            world.runFor(2_500);
-        }
-        world.runFor(6_000);
-        assertTrue(acknowledged.size() > 500, "acknowledged " + acknowledged.size());
+  @ParameterizedTest
+  @MethodSource("worlds")
+  void oneHistoryUnderKillsAndCuts(final long seed) {
+    beginWithSpares(seed);
+    world.loss = 0.03;
+    final List<String> all = List.copyOf(ledgers.keySet());
+    for (int round = 0; round < 12; round++) {
+      final String victim = all.get(world.luck.nextInt(all.size()));
+      if (world.luck.nextInt(4) < 3) {
+        world.host(victim).kill();
+      } else {
+        all.forEach(other -> world.cut(victim, other));
+      }
+      world.runFor(300 + world.luck.nextInt(2_500));
+      world.join();
+      all.stream()
+          .filter(address -> !world.host(address).up())
+          .forEach(address -> boot(address, false));
+      world.runFor(2_500);
     }
+    world.runFor(6_000);
+    assertTrue(acknowledged.size() > 500, "acknowledged " + acknowledged.size());
+  }
 }
--- a/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
+++ b/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
@@ -1,6 +1,9 @@
 package yewjunction.server;
 
-import yewjunction.common.ExitCode;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -10,107 +13,121 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import yewjunction.common.ErrorCode;
 import yewjunction.common.AgentContext;
+import yewjunction.common.ErrorCode;
+import yewjunction.common.ExitCode;
 import yewjunction.raft.TaskExecutor;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
 /** The disk thread: whoever gave it work hears of it, or the process ends. */
 class BlockingTaskExecutorTest {
-    private final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
-    private final AgentContext pulse = new AgentContext() {
+  private final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
+  private final AgentContext pulse =
+      new AgentContext() {
         @Override
         public long nowMs() {
-            return 0;
+          return 0;
         }
 
         @Override
         public void after(final long delayMs, final Runnable task) {
-            throw new UnsupportedOperationException("alarms belong to the owner's thread");
+          throw new UnsupportedOperationException("alarms belong to the owner's thread");
         }
 
         @Override
         public void post(final Runnable command) {
-            posted.add(command);
+          posted.add(command);
         }
 
         @Override
         public Random luck() {
-            throw new UnsupportedOperationException();
+          throw new UnsupportedOperationException();
         }
-    };
+      };
 
-    private static void fail() {
-        throw new OutOfMemoryError("no room for a buffer");
-    }
+  private static void fail() {
+    throw new OutOfMemoryError("no room for a buffer");
+  }
 
-    /** The invariant: work that was given is answered, or the process ends; it is never silently forgotten. */
-    private boolean answeredOrEnded(final TaskExecutor clerk) throws InterruptedException {
-        clerk.work(BlockingTaskExecutorTest::fail, () -> { });
-        // The one thread takes things in order: once this is answered, the one before has had its turn.
-        clerk.work(() -> { }, () -> codes.add(-1));
-        final Runnable answer = posted.poll(10, TimeUnit.SECONDS);
-        assertTrue(answer != null, "the next work was not answered");
-        return posted.poll(200, TimeUnit.MILLISECONDS) != null || !codes.isEmpty();
-    }
+  /**
+   * The invariant: work that was given is answered, or the process ends; it is never silently
+   * forgotten.
+   */
+  private boolean answeredOrEnded(final TaskExecutor clerk) throws InterruptedException {
+    clerk.work(BlockingTaskExecutorTest::fail, () -> {});
+    // The one thread takes things in order: once this is answered, the one before has had its turn.
+    clerk.work(() -> {}, () -> codes.add(-1));
+    final Runnable answer = posted.poll(10, TimeUnit.SECONDS);
+    assertTrue(answer != null, "the next work was not answered");
+    return posted.poll(200, TimeUnit.MILLISECONDS) != null || !codes.isEmpty();
+  }
 
-    @Test
-    void anErrorEndsTheProcess() throws InterruptedException {
-        assertTrue(answeredOrEnded(new BlockingTaskExecutor(pulse, codes::add)));
-        assertEquals(ExitCode.DISK_FAILED, codes.poll());
-    }
+  @Test
+  void anErrorEndsTheProcess() throws InterruptedException {
+    assertTrue(answeredOrEnded(new BlockingTaskExecutor(pulse, codes::add)));
+    assertEquals(ExitCode.DISK_FAILED, codes.poll());
+  }
 
-    /** Planted: only exceptions are looked at, and the pool goes on with another thread. */
-    @Test
-    void anErrorThatOnlyTheThreadHearsOfShows() throws InterruptedException {
-        final ExecutorService pool = Executors.newSingleThreadExecutor(task -> {
-            final Thread thread = new Thread(task);
-            thread.setUncaughtExceptionHandler((dead, defect) -> { });
-            return thread;
-        });
-        assertEquals(false, answeredOrEnded((blocking, afterwards) -> pool.execute(() -> {
-            try {
-                blocking.run();
-            } catch (final RuntimeException defect) {
-                codes.add(ExitCode.DISK_FAILED);
-            }
-            pulse.post(afterwards);
-        })));
-        pool.shutdown();
-    }
+  /** Planted: only exceptions are looked at, and the pool goes on with another thread. */
+  @Test
+  void anErrorThatOnlyTheThreadHearsOfShows() throws InterruptedException {
+    final ExecutorService pool =
+        Executors.newSingleThreadExecutor(
+            task -> {
+              final Thread thread = new Thread(task);
+              thread.setUncaughtExceptionHandler((dead, defect) -> {});
+              return thread;
+            });
+    assertEquals(
+        false,
+        answeredOrEnded(
+            (blocking, afterwards) ->
+                pool.execute(
+                    () -> {
+                      try {
+                        blocking.run();
+                      } catch (final RuntimeException defect) {
+                        codes.add(ExitCode.DISK_FAILED);
+                      }
+                      pulse.post(afterwards);
+                    })));
+    pool.shutdown();
+  }
 
-    @Test
-    void aFailedSyncEndsTheProcessAndNobodyIsToldThatItWorked() throws InterruptedException {
-        final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
-        worker.work(() -> {
-            throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FAILED, "sync failed");
-        }, () -> { });
-        assertEquals(ExitCode.DISK_FAILED, codes.poll(10, TimeUnit.SECONDS));
-        assertNull(posted.poll());
-    }
+  @Test
+  void aFailedSyncEndsTheProcessAndNobodyIsToldThatItWorked() throws InterruptedException {
+    final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
+    worker.work(
+        () -> {
+          throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FAILED, "sync failed");
+        },
+        () -> {});
+    assertEquals(ExitCode.DISK_FAILED, codes.poll(10, TimeUnit.SECONDS));
+    assertNull(posted.poll());
+  }
 
-    @Test
-    void afterAFullDiskTheVerySameIsWrittenAndTheOrderStays() throws InterruptedException {
-        final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
-        final List<String> written = new ArrayList<>();
-        final int[] tries = new int[1];
-        worker.work(() -> {
-            if (tries[0]++ < 2) {
-                throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FULL, "no room");
-            }
-            written.add("one");
-        }, () -> written.add("one answered"));
-        worker.work(() -> written.add("two"), () -> written.add("two answered"));
-        for (int answered = 0; answered < 2; answered++) {
-            final Runnable answer = posted.poll(10, TimeUnit.SECONDS);
-            assertTrue(answer != null, "not answered");
-            answer.run();
-        }
-        assertEquals(List.of("one", "two"), written.stream().filter(one -> !one.contains("answered")).toList());
-        assertTrue(written.indexOf("one answered") < written.indexOf("two answered") && codes.isEmpty());
+  @Test
+  void afterAFullDiskTheVerySameIsWrittenAndTheOrderStays() throws InterruptedException {
+    final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
+    final List<String> written = new ArrayList<>();
+    final int[] tries = new int[1];
+    worker.work(
+        () -> {
+          if (tries[0]++ < 2) {
+            throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FULL, "no room");
+          }
+          written.add("one");
+        },
+        () -> written.add("one answered"));
+    worker.work(() -> written.add("two"), () -> written.add("two answered"));
+    for (int answered = 0; answered < 2; answered++) {
+      final Runnable answer = posted.poll(10, TimeUnit.SECONDS);
+      assertTrue(answer != null, "not answered");
+      answer.run();
     }
+    assertEquals(
+        List.of("one", "two"), written.stream().filter(one -> !one.contains("answered")).toList());
+    assertTrue(
+        written.indexOf("one answered") < written.indexOf("two answered") && codes.isEmpty());
+  }
 }
--- a/src/test/java/yewjunction/server/SignalHandlersTest.java
+++ b/src/test/java/yewjunction/server/SignalHandlersTest.java
@@ -1,5 +1,10 @@
 package yewjunction.server;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static yewjunction.server.SignalHandlers.Kind.REREAD;
+import static yewjunction.server.SignalHandlers.Kind.STOP;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -10,102 +15,106 @@
 import org.jetbrains.kotlinx.lincheck.strategy.managed.modelchecking.ModelCheckingOptions;
 import org.junit.jupiter.api.Test;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
-import static yewjunction.server.SignalHandlers.Kind.REREAD;
-import static yewjunction.server.SignalHandlers.Kind.STOP;
-
 /** A signal that comes while the process is put together, or while it takes them, arrives once. */
 public class SignalHandlersTest {
-    @Test
-    void earlyOnesComeFirstAndInTheirOrder() {
-        final SignalHandlers signals = new SignalHandlers();
-        final List<SignalHandlers.Kind> taken = new ArrayList<>();
-        signals.came(REREAD);
-        signals.came(STOP);
-        signals.deliver(taken::add);
-        signals.came(STOP);
-        assertEquals(List.of(REREAD, STOP, STOP), taken);
-    }
+  @Test
+  void earlyOnesComeFirstAndInTheirOrder() {
+    final SignalHandlers signals = new SignalHandlers();
+    final List<SignalHandlers.Kind> taken = new ArrayList<>();
+    signals.came(REREAD);
+    signals.came(STOP);
+    signals.deliver(taken::add);
+    signals.came(STOP);
+    assertEquals(List.of(REREAD, STOP, STOP), taken);
+  }
 
-    /** Signals and the process that begins to take them, switched at any point. */
-    public static class Start {
-        private final SignalHandlers signals;
-        private final AtomicInteger came = new AtomicInteger();
-        private final AtomicInteger taken = new AtomicInteger();
+  /** Signals and the process that begins to take them, switched at any point. */
+  public static class Start {
+    private final SignalHandlers signals;
+    private final AtomicInteger came = new AtomicInteger();
+    private final AtomicInteger taken = new AtomicInteger();
 
-        public Start() {
-            this(new SignalHandlers());
-        }
+    public Start() {
+      this(new SignalHandlers());
+    }
 
-        Start(final SignalHandlers signals) {
-            this.signals = signals;
-        }
+    Start(final SignalHandlers signals) {
+      this.signals = signals;
+    }
 
-        @Operation
-        public void signal() {
-            came.incrementAndGet();
-            signals.came(STOP);
-        }
+    @Operation
+    public void signal() {
+      came.incrementAndGet();
+      signals.came(STOP);
+    }
 
-        @Operation(runOnce = true)
-        public void start() {
-            signals.deliver(kind -> taken.incrementAndGet());
-        }
+    @Operation(runOnce = true)
+    public void start() {
+      signals.deliver(kind -> taken.incrementAndGet());
+    }
 
-        @Validate
-        public void eachArrivedOnce() {
-            final int early = taken.get();
-            // Whatever still waits is delivered to the next that asks.
-            signals.deliver(kind -> taken.incrementAndGet());
-            if (taken.get() != came.get()) {
-                throw new IllegalStateException(came.get() + " came, " + early + " and then " + taken.get() + " were taken");
-            }
-        }
+    @Validate
+    public void eachArrivedOnce() {
+      final int early = taken.get();
+      // Whatever still waits is delivered to the next that asks.
+      signals.deliver(kind -> taken.incrementAndGet());
+      if (taken.get() != came.get()) {
+        throw new IllegalStateException(
+            came.get() + " came, " + early + " and then " + taken.get() + " were taken");
+      }
     }
+  }
 
-    /** Planted: looks whether somebody takes them, and keeps the signal only after that. */
-    public static class Careless extends Start {
-        public Careless() {
-            super(new SignalHandlers() {
-                private final AtomicInteger kept = new AtomicInteger();
-                private volatile boolean started;
+  /** Planted: looks whether somebody takes them, and keeps the signal only after that. */
+  public static class Careless extends Start {
+    public Careless() {
+      super(
+          new SignalHandlers() {
+            private final AtomicInteger kept = new AtomicInteger();
+            private volatile boolean started;
 
-                @Override
-                void came(final Kind kind) {
-                    if (started) {
-                        super.came(kind);
-                    } else {
-                        kept.incrementAndGet();
-                    }
-                }
+            @Override
+            void came(final Kind kind) {
+              if (started) {
+                super.came(kind);
+              } else {
+                kept.incrementAndGet();
+              }
+            }
 
-                @Override
-                void deliver(final java.util.function.Consumer<Kind> newTaker) {
-                    if (!started) {
-                        for (int count = kept.get(); count > 0; count--) {
-                            newTaker.accept(STOP);
-                        }
-                        started = true;
-                    }
-                    super.deliver(newTaker);
+            @Override
+            void deliver(final java.util.function.Consumer<Kind> newTaker) {
+              if (!started) {
+                for (int count = kept.get(); count > 0; count--) {
+                  newTaker.accept(STOP);
                 }
-            });
-        }
+                started = true;
+              }
+              super.deliver(newTaker);
+            }
+          });
     }
+  }
 
-    private static ModelCheckingOptions everySwitch() {
-        return new ModelCheckingOptions().iterations(6).invocationsPerIteration(150).threads(2).actorsPerThread(3)
-            .actorsBefore(0).actorsAfter(0).minimizeFailedScenario(false);
-    }
+  private static ModelCheckingOptions everySwitch() {
+    return new ModelCheckingOptions()
+        .iterations(6)
+        .invocationsPerIteration(150)
+        .threads(2)
+        .actorsPerThread(3)
+        .actorsBefore(0)
+        .actorsAfter(0)
+        .minimizeFailedScenario(false);
+  }
 
-    @Test
-    void noSwitchLosesOrDoublesASignal() {
-        LinChecker.check(Start.class, everySwitch());
-    }
+  @Test
+  void noSwitchLosesOrDoublesASignal() {
+    LinChecker.check(Start.class, everySwitch());
+  }
 
-    @Test
-    void aSignalKeptTooLateShows() {
-        assertThrows(LincheckAssertionError.class, () -> LinChecker.check(Careless.class, everySwitch()));
-    }
+  @Test
+  void aSignalKeptTooLateShows() {
+    assertThrows(
+        LincheckAssertionError.class, () -> LinChecker.check(Careless.class, everySwitch()));
+  }
 }
--- a/src/test/java/yewjunction/settings/SettingsTest.java
+++ b/src/test/java/yewjunction/settings/SettingsTest.java
@@ -1,17 +1,18 @@
 package yewjunction.settings;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import yewjunction.common.ErrorCode;
 import yewjunction.common.YewjunctionException;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
 class SettingsTest {
-    private static final String GOOD = """
+  private static final String GOOD =
+      """
         Nodename: edge-1
         Role: tide
         Serves: [edge, ctl]
@@ -27,17 +28,19 @@
         NeverHeardOf: {a: [1]}
         """;
 
-    @Test
-    void unknownFieldsAreIgnoredAndTheRestIsRead() {
-        final Settings settings = Settings.read(GOOD);
-        assertEquals("10.1.0.3:80", settings.front());
-        assertEquals("10.2.0.3:7001", settings.coreAddresses().get(1));
-        assertEquals(0.1, settings.quotaExcess());
-        assertTrue(settings.founding());
-    }
+  @Test
+  void unknownFieldsAreIgnoredAndTheRestIsRead() {
+    final Settings settings = Settings.read(GOOD);
+    assertEquals("10.1.0.3:80", settings.front());
+    assertEquals("10.2.0.3:7001", settings.coreAddresses().get(1));
+    assertEquals(0.1, settings.quotaExcess());
+    assertTrue(settings.founding());
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "Nodename: edge-1|Nodename:|Nodename",
         "Ip: 10.1.0.3|Ip: ten|Ip",
         "PortRange: [7000, 7015]|PortRange: [7000]|PortRange",
@@ -47,15 +50,22 @@
         "Datadir: /data|Datadir: ''|Datadir",
         "PingS: 2|PingS: fast|Bounds.PingS",
         "Listen: {|Listen: [{|Listen",
-    })
-    void aBadFieldIsNamed(final String good, final String bad, final String field) {
-        final YewjunctionException defect = assertThrows(YewjunctionException.class, () -> Settings.read(GOOD.replace(good, bad)));
-        assertTrue(defect.getMessage().startsWith(field) || defect.code() == ErrorCode.SETTINGS_UNREADABLE, defect.getMessage());
-    }
+      })
+  void aBadFieldIsNamed(final String good, final String bad, final String field) {
+    final YewjunctionException defect =
+        assertThrows(YewjunctionException.class, () -> Settings.read(GOOD.replace(good, bad)));
+    assertTrue(
+        defect.getMessage().startsWith(field) || defect.code() == ErrorCode.SETTINGS_UNREADABLE,
+        defect.getMessage());
+  }
 
-    @Test
-    void whatIsNoYamlIsUnreadable() {
-        assertEquals(ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("a: [")).code());
-        assertEquals(ErrorCode.SETTINGS_UNREADABLE, assertThrows(YewjunctionException.class, () -> Settings.read("just words")).code());
-    }
+  @Test
+  void whatIsNoYamlIsUnreadable() {
+    assertEquals(
+        ErrorCode.SETTINGS_UNREADABLE,
+        assertThrows(YewjunctionException.class, () -> Settings.read("a: [")).code());
+    assertEquals(
+        ErrorCode.SETTINGS_UNREADABLE,
+        assertThrows(YewjunctionException.class, () -> Settings.read("just words")).code());
+  }
 }
--- a/src/test/java/yewjunction/simulation/ScriptedTransport.java
+++ b/src/test/java/yewjunction/simulation/ScriptedTransport.java
@@ -11,70 +11,72 @@
 
 /** Links that keep what is sent on them; the test itself answers, in any order and from anyone. */
 public final class ScriptedTransport implements PeerTransport {
-    private final Map<String, ScriptedConnection> links = new HashMap<>();
-    private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
+  private final Map<String, ScriptedConnection> links = new HashMap<>();
+  private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
 
-    /** A link, with what was sent on it. */
-    public static final class ScriptedConnection implements PeerConnection {
-        private final String remote;
-        private final List<Object> letters = new ArrayList<>();
-        private boolean open = true;
+  /** A link, with what was sent on it. */
+  public static final class ScriptedConnection implements PeerConnection {
+    private final String remote;
+    private final List<Object> letters = new ArrayList<>();
+    private boolean open = true;
 
-        ScriptedConnection(final String remote) {
-            this.remote = remote;
-        }
-
-        public int size() {
-            return letters.size();
-        }
-
-        @SuppressWarnings("unchecked")
-        public <T> T newest() {
-            return (T) letters.get(letters.size() - 1);
-        }
-
-        @Override
-        public boolean send(final Object letter) {
-            return letters.add(letter);
-        }
-
-        @Override
-        public void close() {
-            open = false;
-        }
+    ScriptedConnection(final String remote) {
+      this.remote = remote;
+    }
 
-        @Override
-        public boolean open() {
-            return open;
-        }
+    public int size() {
+      return letters.size();
+    }
 
-        @Override
-        public String remote() {
-            return remote;
-        }
+    @SuppressWarnings("unchecked")
+    public <T> T newest() {
+      return (T) letters.get(letters.size() - 1);
     }
 
     @Override
-    public ScriptedConnection dial(final String address) {
-        return links.compute(address, (key, known) -> known == null || !known.open ? new ScriptedConnection(address) : known);
+    public boolean send(final Object letter) {
+      return letters.add(letter);
     }
 
     @Override
-    public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-        handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
+    public void close() {
+      open = false;
     }
 
     @Override
-    public void onClose(final Consumer<PeerConnection> handler) {
-        // Only the owner itself closes these links.
+    public boolean open() {
+      return open;
     }
 
-    public void answer(final String from, final Object letter) {
-        answer(dial(from), letter);
+    @Override
+    public String remote() {
+      return remote;
     }
+  }
 
-    /** On that very link, also on one that was closed: as it were still being read. */
-    public void answer(final PeerConnection on, final Object letter) {
-        handlers.get(letter.getClass()).accept(on, letter);
-    }
+  @Override
+  public ScriptedConnection dial(final String address) {
+    return links.compute(
+        address,
+        (key, known) -> known == null || !known.open ? new ScriptedConnection(address) : known);
+  }
+
+  @Override
+  public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
+    handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
+  }
+
+  @Override
+  public void onClose(final Consumer<PeerConnection> handler) {
+    // Only the owner itself closes these links.
+  }
+
+  public void answer(final String from, final Object letter) {
+    answer(dial(from), letter);
+  }
+
+  /** On that very link, also on one that was closed: as it were still being read. */
+  public void answer(final PeerConnection on, final Object letter) {
+    handlers.get(letter.getClass()).accept(on, letter);
+  }
 }
--- a/src/test/java/yewjunction/simulation/SimulatedHost.java
+++ b/src/test/java/yewjunction/simulation/SimulatedHost.java
@@ -3,185 +3,202 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import yewjunction.common.MessageCodec;
 import yewjunction.common.AgentContext;
+import yewjunction.common.MessageCodec;
 import yewjunction.raft.TaskExecutor;
 
 /** One process's place: it may be up, killed or dark; its disk outlives it unless it is wiped. */
 public final class SimulatedHost implements AgentContext {
-    public final SimulatedNetwork world;
-    public final String address;
-    public SimulatedDisk disk = new SimulatedDisk();
-    public long syncMicros = 2_000;
-    SimulatedTransport post;
-    /** Sees each letter before it is taken, and may plant a fault in it. */
-    public java.util.function.Consumer<Object> tampering = letter -> { };
-    private java.util.function.BiConsumer<String, Object> datagrams = (from, letter) -> { };
-    private boolean up;
-    private boolean dark;
-    private boolean frozen;
-    private long diskStalledUntilMs;
-    /** What a frozen process would have done, in the order in which it would have. */
-    private final List<Runnable> heldUp = new ArrayList<>();
-    private int life;
-
-    SimulatedHost(final SimulatedNetwork world, final String address) {
-        this.world = world;
-        this.address = address;
-    }
-
-    /** A process starts here. */
-    public SimulatedTransport boot() {
-        if (up) {
-            throw new IllegalStateException(address + " is up already");
-        }
-        up = true;
-        dark = false;
-        thaw();
-        life++;
-        post = new SimulatedTransport(this);
-        return post;
-    }
-
-    public boolean up() {
-        return up;
-    }
-
-    boolean dark() {
-        return dark;
-    }
-
-    public int life() {
-        return life;
-    }
-
-    /** The process dies; its machine answers with resets. */
-    public void kill() {
-        up = false;
-        life++;
-        if (post != null) {
-            post.drop(true);
-        }
-    }
-
-    /** The machine loses power: nothing answers, and unsynced writes are at the mercy of luck. */
-    public void powerOff() {
-        up = false;
-        dark = true;
-        life++;
-        if (post != null) {
-            post.drop(false);
-        }
-        disk.powerLost(world.luck);
-    }
-
-    public void wipe() {
-        disk = new SimulatedDisk();
-    }
-
-    /** Does nothing from now on, though its links stay up and take what comes. */
-    public void freeze() {
-        frozen = true;
-    }
-
-    public boolean frozen() {
-        return frozen;
-    }
-
-    public void thaw() {
-        frozen = false;
-        final List<Runnable> late = new ArrayList<>(heldUp);
-        heldUp.clear();
-        late.forEach(task -> world.afterMicros(0, task));
-    }
-
-    /** Its disk takes nothing until then, as one that stalls or has no room. */
-    public void stallDisk(final long forMs) {
-        diskStalledUntilMs = world.nowMs() + forMs;
-    }
-
-    /** All its links break, at both ends. */
-    public void resetLinks() {
-        if (up) {
-            post.reset();
-        }
-    }
-
-    public void guarded(final int ofLife, final Runnable task) {
-        if (up && life == ofLife) {
-            if (frozen) {
-                heldUp.add(() -> guarded(ofLife, task));
-            } else {
-                task.run();
-            }
-        }
-    }
-
-    @Override
-    public long nowMs() {
-        return world.nowMs();
-    }
-
-    @Override
-    public void after(final long delayMs, final Runnable task) {
-        final int ofLife = life;
-        world.after(Math.max(1, delayMs), () -> guarded(ofLife, task));
-    }
-
-    @Override
-    public void post(final Runnable command) {
-        final int ofLife = life;
-        world.afterMicros(10, () -> guarded(ofLife, command));
-    }
-
-    @Override
-    public Random luck() {
-        return world.luck;
-    }
-
-    /** Blocking work takes the disk's time; a process that dies meanwhile may or may not have done it. */
-    public TaskExecutor clerk() {
-        final int ofLife = life;
-        final SimulatedDisk ofDisk = disk;
-        final List<Runnable> waiting = new ArrayList<>();
-        return (blocking, afterwards) -> {
-            waiting.add(() -> world.afterMicros(syncMicros + 1_000 * Math.max(0, diskStalledUntilMs - world.nowMs()), () -> guarded(ofLife, () -> {
-                if (ofDisk == disk) {
-                    blocking.run();
-                }
-                afterwards.run();
-                waiting.remove(0);
-                if (!waiting.isEmpty()) {
-                    waiting.get(0).run();
-                }
-            })));
-            if (waiting.size() == 1) {
-                waiting.get(0).run();
-            }
-        };
-    }
-
-    public void onDatagram(final java.util.function.BiConsumer<String, Object> handler) {
-        datagrams = handler;
-    }
-
-    public void datagram(final String to, final Object letter) {
-        final MessageCodec codec = post.codec;
-        final byte[] bytes = codec.encode(letter);
-        if (world.meter != null) {
-            world.meter.sent(address, to, letter, bytes.length);
-        }
-        final SimulatedHost target = world.known(to);
-        if (target == null || world.luck.nextDouble() < world.loss || world.parted(address, to)) {
-            return;
-        }
-        world.afterMicros(400 + world.luck.nextInt(1_000), () -> {
-            target.guarded(target.life, () -> {
+  public final SimulatedNetwork world;
+  public final String address;
+  public SimulatedDisk disk = new SimulatedDisk();
+  public long syncMicros = 2_000;
+  SimulatedTransport post;
+
+  /** Sees each letter before it is taken, and may plant a fault in it. */
+  public java.util.function.Consumer<Object> tampering = letter -> {};
+
+  private java.util.function.BiConsumer<String, Object> datagrams = (from, letter) -> {};
+  private boolean up;
+  private boolean dark;
+  private boolean frozen;
+  private long diskStalledUntilMs;
+
+  /** What a frozen process would have done, in the order in which it would have. */
+  private final List<Runnable> heldUp = new ArrayList<>();
+
+  private int life;
+
+  SimulatedHost(final SimulatedNetwork world, final String address) {
+    this.world = world;
+    this.address = address;
+  }
+
+  /** A process starts here. */
+  public SimulatedTransport boot() {
+    if (up) {
+      throw new IllegalStateException(address + " is up already");
+    }
+    up = true;
+    dark = false;
+    thaw();
+    life++;
+    post = new SimulatedTransport(this);
+    return post;
+  }
+
+  public boolean up() {
+    return up;
+  }
+
+  boolean dark() {
+    return dark;
+  }
+
+  public int life() {
+    return life;
+  }
+
+  /** The process dies; its machine answers with resets. */
+  public void kill() {
+    up = false;
+    life++;
+    if (post != null) {
+      post.drop(true);
+    }
+  }
+
+  /** The machine loses power: nothing answers, and unsynced writes are at the mercy of luck. */
+  public void powerOff() {
+    up = false;
+    dark = true;
+    life++;
+    if (post != null) {
+      post.drop(false);
+    }
+    disk.powerLost(world.luck);
+  }
+
+  public void wipe() {
+    disk = new SimulatedDisk();
+  }
+
+  /** Does nothing from now on, though its links stay up and take what comes. */
+  public void freeze() {
+    frozen = true;
+  }
+
+  public boolean frozen() {
+    return frozen;
+  }
+
+  public void thaw() {
+    frozen = false;
+    final List<Runnable> late = new ArrayList<>(heldUp);
+    heldUp.clear();
+    late.forEach(task -> world.afterMicros(0, task));
+  }
+
+  /** Its disk takes nothing until then, as one that stalls or has no room. */
+  public void stallDisk(final long forMs) {
+    diskStalledUntilMs = world.nowMs() + forMs;
+  }
+
+  /** All its links break, at both ends. */
+  public void resetLinks() {
+    if (up) {
+      post.reset();
+    }
+  }
+
+  public void guarded(final int ofLife, final Runnable task) {
+    if (up && life == ofLife) {
+      if (frozen) {
+        heldUp.add(() -> guarded(ofLife, task));
+      } else {
+        task.run();
+      }
+    }
+  }
+
+  @Override
+  public long nowMs() {
+    return world.nowMs();
+  }
+
+  @Override
+  public void after(final long delayMs, final Runnable task) {
+    final int ofLife = life;
+    world.after(Math.max(1, delayMs), () -> guarded(ofLife, task));
+  }
+
+  @Override
+  public void post(final Runnable command) {
+    final int ofLife = life;
+    world.afterMicros(10, () -> guarded(ofLife, command));
+  }
+
+  @Override
+  public Random luck() {
+    return world.luck;
+  }
+
+  /**
+   * Blocking work takes the disk's time; a process that dies meanwhile may or may not have done it.
+   */
+  public TaskExecutor clerk() {
+    final int ofLife = life;
+    final SimulatedDisk ofDisk = disk;
+    final List<Runnable> waiting = new ArrayList<>();
+    return (blocking, afterwards) -> {
+      waiting.add(
+          () ->
+              world.afterMicros(
+                  syncMicros + 1_000 * Math.max(0, diskStalledUntilMs - world.nowMs()),
+                  () ->
+                      guarded(
+                          ofLife,
+                          () -> {
+                            if (ofDisk == disk) {
+                              blocking.run();
+                            }
+                            afterwards.run();
+                            waiting.remove(0);
+                            if (!waiting.isEmpty()) {
+                              waiting.get(0).run();
+                            }
+                          })));
+      if (waiting.size() == 1) {
+        waiting.get(0).run();
+      }
+    };
+  }
+
+  public void onDatagram(final java.util.function.BiConsumer<String, Object> handler) {
+    datagrams = handler;
+  }
+
+  public void datagram(final String to, final Object letter) {
+    final MessageCodec codec = post.codec;
+    final byte[] bytes = codec.encode(letter);
+    if (world.meter != null) {
+      world.meter.sent(address, to, letter, bytes.length);
+    }
+    final SimulatedHost target = world.known(to);
+    if (target == null || world.luck.nextDouble() < world.loss || world.parted(address, to)) {
+      return;
+    }
+    world.afterMicros(
+        400 + world.luck.nextInt(1_000),
+        () -> {
+          target.guarded(
+              target.life,
+              () -> {
                 if (world.meter != null) {
-                    world.meter.taken(to, letter, bytes.length);
+                  world.meter.taken(to, letter, bytes.length);
                 }
                 target.datagrams.accept(address, codec.decode(bytes, 0, bytes.length));
-            });
+              });
         });
-    }
+  }
 }
--- a/src/test/java/yewjunction/simulation/SimulatedNodes.java
+++ b/src/test/java/yewjunction/simulation/SimulatedNodes.java
@@ -1,40 +1,41 @@
 package yewjunction.simulation;
 
+import yewjunction.membership.Member;
+import yewjunction.membership.MembershipList;
 import yewjunction.membership.NodeRole;
 import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
 import yewjunction.node.StoreNode;
-import yewjunction.membership.MembershipList;
-import yewjunction.membership.Member;
 import yewjunction.settings.Settings;
 
 /** Starts a process's real code on a simulated machine, as the command line does on a real one. */
 public final class SimulatedNodes {
-    private SimulatedNodes() {
-    }
+  private SimulatedNodes() {}
 
-    public record Running(Node node, MembershipList roster) {
-    }
+  public record Running(Node node, MembershipList roster) {}
 
-    public static Running boot(final SimulatedHost host, final Settings settings, final NodeRole role, final long life) {
-        final SimulatedTransport post = host.boot();
-        final Member self = new Member();
-        self.address = host.address;
-        self.node = settings.node();
-        self.zone = settings.zone();
-        self.duty = role.wireName();
-        self.front = role == NodeRole.EDGE ? settings.front() : "";
-        self.life = life;
-        final MembershipList roster = new MembershipList(host, self, host::datagram);
-        host.onDatagram(roster::take);
-        final Node node = switch (role) {
-            case CONTROL -> new ControlNode(host, post, host.disk, host.clerk(), roster, settings, life);
-            case STORE -> new StoreNode(host, post, host.disk, host.clerk(), roster, settings, life);
-            case EDGE -> new EdgeNode(host, post, roster, settings, life);
+  public static Running boot(
+      final SimulatedHost host, final Settings settings, final NodeRole role, final long life) {
+    final SimulatedTransport post = host.boot();
+    final Member self = new Member();
+    self.address = host.address;
+    self.node = settings.node();
+    self.zone = settings.zone();
+    self.duty = role.wireName();
+    self.front = role == NodeRole.EDGE ? settings.front() : "";
+    self.life = life;
+    final MembershipList roster = new MembershipList(host, self, host::datagram);
+    host.onDatagram(roster::take);
+    final Node node =
+        switch (role) {
+          case CONTROL ->
+              new ControlNode(host, post, host.disk, host.clerk(), roster, settings, life);
+          case STORE -> new StoreNode(host, post, host.disk, host.clerk(), roster, settings, life);
+          case EDGE -> new EdgeNode(host, post, roster, settings, life);
         };
-        roster.start(settings.coreAddresses());
-        node.start();
-        return new Running(node, roster);
-    }
+    roster.start(settings.coreAddresses());
+    node.start();
+    return new Running(node, roster);
+  }
 }
