--- a/src/main/java/yewjunction/cli/DoctorCommand.java
+++ b/src/main/java/yewjunction/cli/DoctorCommand.java
@@ -1,6 +1,6 @@
 package yewjunction.cli;
 
-import static yewjunction.common.ToolLimits.DOCTOR_AGAIN_MS;
+import static yewjunction.limits.ToolLimits.SECOND_LOOK_DELAY_MS;
 
 import com.github.rvesse.airline.annotations.Command;
 import com.github.rvesse.airline.annotations.Option;
@@ -110,7 +110,7 @@
       return first;
     }
     try {
-      Thread.sleep(DOCTOR_AGAIN_MS);
+      Thread.sleep(SECOND_LOOK_DELAY_MS);
     } catch (final InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/yewjunction/cli/Rehearsal.java
+++ b/src/main/java/yewjunction/cli/Rehearsal.java
@@ -137,9 +137,9 @@
             "HELLO c key", "SUB rehearsal.one", "PUB rehearsal.one 1 20\r\nabcdefghijklmnopqrst"
           }) {
         client.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.US_ASCII));
-        final String answer = in.readLine();
-        out.println("rehearsal: " + line.lines().findFirst().orElse("") + " -> " + answer);
-        if (answer == null || answer.startsWith("REFUSE")) {
+        final String response = in.readLine();
+        out.println("rehearsal: " + line.lines().findFirst().orElse("") + " -> " + response);
+        if (response == null || response.startsWith("REFUSE")) {
           return ExitCode.FINDINGS;
         }
       }
--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -27,14 +27,14 @@
   }
 
   @SuppressWarnings("unchecked")
-  public byte[] encode(final Object letter) {
-    final Integer number = kinds.get(letter.getClass());
+  public byte[] encode(final Object message) {
+    final Integer number = kinds.get(message.getClass());
     if (number == null) {
-      throw new CodecException(MESSAGE_UNKNOWN, letter.getClass().getName());
+      throw new CodecException(MESSAGE_UNKNOWN, message.getClass().getName());
     }
     final byte[] body;
     try {
-      body = ProtostuffIOUtil.toByteArray(letter, (Schema<Object>) schemas.get(number), scratch);
+      body = ProtostuffIOUtil.toByteArray(message, (Schema<Object>) schemas.get(number), scratch);
     } finally {
       scratch.clear();
     }
@@ -55,11 +55,11 @@
           MESSAGE_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
     }
     try {
-      final Object letter = schema.newMessage();
-      ProtostuffIOUtil.mergeFrom(bytes, offset + 1, length - 1, letter, schema);
-      return letter;
-    } catch (final RuntimeException defect) {
-      throw new CodecException(MESSAGE_GARBLED, "kind " + (bytes[offset] & 0xff), defect);
+      final Object message = schema.newMessage();
+      ProtostuffIOUtil.mergeFrom(bytes, offset + 1, length - 1, message, schema);
+      return message;
+    } catch (final RuntimeException failure) {
+      throw new CodecException(MESSAGE_GARBLED, "kind " + (bytes[offset] & 0xff), failure);
     }
   }
 }
--- a/src/main/java/yewjunction/common/PeerConnection.java
+++ b/src/main/java/yewjunction/common/PeerConnection.java
@@ -3,7 +3,7 @@
 /** An ordered connection to a peer; letters are lost only together with the link. */
 public interface PeerConnection {
   /** Queues a letter; false when the link is closed. */
-  boolean send(Object letter);
+  boolean send(Object message);
 
   void close();
 
--- a/src/main/java/yewjunction/common/PendingRequests.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -1,6 +1,6 @@
 package yewjunction.common;
 
-import static yewjunction.common.ControlLimits.QUESTION_BITS;
+import static yewjunction.limits.TransportLimits.REQUEST_ID_SEED_BITS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -30,7 +30,7 @@
     long mixed = life * 0x9e3779b97f4a7c15L;
     mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
-    newest = (mixed ^ mixed >>> 31) >>> Long.SIZE - QUESTION_BITS;
+    newest = (mixed ^ mixed >>> 31) >>> Long.SIZE - REQUEST_ID_SEED_BITS;
   }
 
   /** The number that the answer is to repeat. */
--- a/src/main/java/yewjunction/control/AccountBalance.java
+++ b/src/main/java/yewjunction/control/AccountBalance.java
@@ -9,7 +9,9 @@
  */
 public final class AccountBalance {
   /** Thousandths, and millionths of a share. */
-  private static final double ONE = 1_000, WHOLE = 1_000_000;
+  private static final double ONE = 1_000;
+
+  private static final double WHOLE = 1_000_000;
 
   public String tenant = "";
 
--- a/src/main/java/yewjunction/control/CallDecision.java
+++ b/src/main/java/yewjunction/control/CallDecision.java
@@ -8,25 +8,25 @@
  * answer. Fact: see there.
  */
 record CallDecision(
-    OperatorApi.Response answer,
+    OperatorApi.Response response,
     boolean fact,
     Runnable beside,
-    ControlCommand deed,
+    ControlCommand command,
     Runnable done) {
   /**
    * True whatever else is agreed on meanwhile: it depends on the request alone, or stays so once it
    * is so.
    */
-  static CallDecision lasting(final OperatorApi.Response answer) {
-    return new CallDecision(answer, false, null, null, null);
+  static CallDecision lasting(final OperatorApi.Response response) {
+    return new CallDecision(response, false, null, null, null);
   }
 
   /**
    * True of this member's state; told only by a leader that a majority has confirmed after the call
    * came.
    */
-  static CallDecision fact(final OperatorApi.Response answer) {
-    return new CallDecision(answer, true, null, null, null);
+  static CallDecision fact(final OperatorApi.Response response) {
+    return new CallDecision(response, true, null, null, null);
   }
 
   static CallDecision beside(final Runnable work) {
@@ -34,8 +34,8 @@
   }
 
   static CallDecision agree(
-      final ControlCommand deed, final OperatorApi.Response answer, final Runnable done) {
+      final ControlCommand command, final OperatorApi.Response response, final Runnable done) {
     // Without a deed the answer would be a promise of nothing.
-    return new CallDecision(answer, false, null, requireNonNull(deed), done);
+    return new CallDecision(response, false, null, requireNonNull(command), done);
   }
 }
--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -10,12 +10,12 @@
 
 /** The operator's changes, one at a time, so that each is checked against the one before. */
 final class ChangeQueue {
-  private final AgentContext pulse;
-  private final RaftNode ledger;
+  private final AgentContext context;
+  private final RaftNode raftNode;
   private final Supplier<OperatorApi.Response> elsewhere;
   private final ArrayDeque<PendingCall> queue = new ArrayDeque<>();
   private boolean busy;
-  private TaskExecutor reader =
+  private TaskExecutor executor =
       (blocking, afterwards) -> {
         blocking.run();
         afterwards.run();
@@ -24,22 +24,22 @@
   private record PendingCall(
       Runnable reading,
       Supplier<CallDecision> look,
-      Consumer<OperatorApi.Response> answer,
+      Consumer<OperatorApi.Response> responder,
       long untilMs,
       boolean confirmed) {}
 
   /** Elsewhere: what to say where this member does not lead. */
   ChangeQueue(
-      final AgentContext pulse,
-      final RaftNode ledger,
+      final AgentContext context,
+      final RaftNode raftNode,
       final Supplier<OperatorApi.Response> elsewhere) {
-    this.pulse = pulse;
-    this.ledger = ledger;
+    this.context = context;
+    this.raftNode = raftNode;
     this.elsewhere = elsewhere;
   }
 
-  void readBy(final TaskExecutor chosenReader) {
-    reader = chosenReader;
+  void readBy(final TaskExecutor chosenExecutor) {
+    executor = chosenExecutor;
   }
 
   /**
@@ -50,12 +50,12 @@
       final long patienceMs,
       final Runnable reading,
       final Supplier<CallDecision> look,
-      final Consumer<OperatorApi.Response> answer) {
-    enter(new PendingCall(reading, look, answer, pulse.nowMs() + patienceMs, false));
+      final Consumer<OperatorApi.Response> responder) {
+    enter(new PendingCall(reading, look, responder, context.nowMs() + patienceMs, false));
   }
 
-  private void enter(final PendingCall turn) {
-    queue.add(turn);
+  private void enter(final PendingCall call) {
+    queue.add(call);
     if (!busy) {
       next();
     }
@@ -72,102 +72,102 @@
   }
 
   /** True when the next one may go on; false while this one is read, or the ledger has its deed. */
-  private boolean over(final PendingCall turn) {
-    if (pulse.nowMs() > turn.untilMs) {
+  private boolean over(final PendingCall call) {
+    if (context.nowMs() > call.untilMs) {
       // Its caller has been told that there is no answer, and asks again: begun now it would only
       // be in the way.
-      turn.answer.accept(OperatorApi.Response.unclear("this took too long, ask again"));
+      call.responder.accept(OperatorApi.Response.unclear("this took too long, ask again"));
       return true;
     }
-    if (!ledger.leads()) {
-      turn.answer.accept(elsewhere.get());
+    if (!raftNode.leads()) {
+      call.responder.accept(elsewhere.get());
       return true;
     }
-    if (turn.confirmed || turn.reading == null) {
-      return looked(turn, false);
+    if (call.confirmed || call.reading == null) {
+      return looked(call, false);
     }
-    return beside(turn, turn.reading, false);
+    return beside(call, call.reading, false);
   }
 
   /** Works beside the owner's thread, then looks: nobody else's turn comes meanwhile. */
-  private boolean beside(final PendingCall turn, final Runnable work, final boolean worked) {
+  private boolean beside(final PendingCall call, final Runnable work, final boolean worked) {
     try {
-      reader.work(
+      executor.work(
           work,
           () -> {
-            if (looked(turn, worked)) {
+            if (looked(call, worked)) {
               next();
             }
           });
       return false;
-    } catch (final OutOfMemoryError defect) {
+    } catch (final OutOfMemoryError failure) {
       // No thread to be had: said so, and the others have their turns.
-      turn.answer.accept(OperatorApi.Response.unclear("no memory to read this"));
+      call.responder.accept(OperatorApi.Response.unclear("no memory to read this"));
       return true;
     }
   }
 
-  private boolean looked(final PendingCall turn, final boolean worked) {
+  private boolean looked(final PendingCall call, final boolean worked) {
     // Its reading took a while: what is taken now its repeat will know, but only a leader takes it.
-    if (!ledger.leads()) {
-      turn.answer.accept(elsewhere.get());
+    if (!raftNode.leads()) {
+      call.responder.accept(elsewhere.get());
       return true;
     }
-    final CallDecision verdict;
+    final CallDecision decision;
     try {
-      verdict = turn.look.get();
-      if (worked && verdict.beside() != null) {
+      decision = call.look.get();
+      if (worked && decision.beside() != null) {
         throw new IllegalStateException("worked out, and still open");
       }
-    } catch (final RuntimeException defect) {
+    } catch (final RuntimeException failure) {
       // One call that cannot be worked out must not hold up all behind it for good.
-      LogEvent.TURN_DEFECT.warn("an operator's call", defect);
-      turn.answer.accept(OperatorApi.Response.unclear("this could not be worked out"));
+      LogEvent.TURN_DEFECT.warn("an operator's call", failure);
+      call.responder.accept(OperatorApi.Response.unclear("this could not be worked out"));
       return true;
     }
-    if (verdict.beside() != null && !worked) {
-      return beside(turn, verdict.beside(), true);
+    if (decision.beside() != null && !worked) {
+      return beside(call, decision.beside(), true);
     }
-    if (verdict.deed() != null) {
-      return !proposed(turn, verdict);
+    if (decision.command() != null) {
+      return !proposed(call, decision);
     }
-    if (verdict.fact() && !turn.confirmed) {
+    if (decision.fact() && !call.confirmed) {
       // Asked outside the turn: others need not wait, and what they change meanwhile the second
       // look sees.
-      ledger.confirm(held -> pulse.post(() -> confirmed(turn, held)));
+      raftNode.confirm(held -> context.post(() -> confirmed(call, held)));
     } else {
-      turn.answer.accept(verdict.answer());
+      call.responder.accept(decision.response());
     }
     return true;
   }
 
-  private boolean proposed(final PendingCall turn, final CallDecision verdict) {
+  private boolean proposed(final PendingCall call, final CallDecision decision) {
     final boolean proposed =
-        ledger.propose(
-            ControlStateMachine.bytes(verdict.deed()),
+        raftNode.propose(
+            ControlStateMachine.bytes(decision.command()),
             done -> {
               if (done) {
-                verdict.done().run();
+                decision.done().run();
               }
               // Not done is not refused: the next leader may hold it, and its repeat finds out.
-              turn.answer.accept(
+              call.responder.accept(
                   done
-                      ? verdict.answer()
+                      ? decision.response()
                       : OperatorApi.Response.unclear("the leader changed, ask again"));
               next();
             });
     if (!proposed) {
-      turn.answer.accept(elsewhere.get());
+      call.responder.accept(elsewhere.get());
     }
     return proposed;
   }
 
   /** Comes as a command of its own: the ledger drops questions before it has let go of its lead. */
-  private void confirmed(final PendingCall turn, final boolean held) {
+  private void confirmed(final PendingCall call, final boolean held) {
     if (held) {
-      enter(new PendingCall(turn.reading, turn.look, turn.answer, turn.untilMs, true));
+      enter(new PendingCall(call.reading, call.look, call.responder, call.untilMs, true));
     } else {
-      turn.answer.accept(elsewhere.get());
+      call.responder.accept(elsewhere.get());
     }
   }
 }
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -15,10 +15,10 @@
   List<Replica> replicas = new ArrayList<>();
 
   /** The first voters of the vaults' ledger; later changes are that ledger's own. */
-  List<String> vaults = new ArrayList<>();
+  List<String> stores = new ArrayList<>();
 
   /** Their zones, in the same order. */
-  List<String> vaultZones = new ArrayList<>();
+  List<String> storeZones = new ArrayList<>();
 
   List<Retirement> retiring = new ArrayList<>();
   private transient Map<String, Replica> byAddress;
@@ -40,7 +40,7 @@
   static final class Change {
     long before;
     long index;
-    ControlCommand deed = new ControlCommand();
+    ControlCommand command = new ControlCommand();
   }
 
   public long number() {
@@ -49,7 +49,7 @@
 
   /** The same at every crux, and at whoever is told of it; false when it changes nothing. */
   boolean apply(final Change change) {
-    final boolean changed = apply(change.deed);
+    final boolean changed = apply(change.command);
     if (changed) {
       number = change.index;
       byAddress = null;
@@ -57,47 +57,47 @@
     return changed;
   }
 
-  private boolean apply(final ControlCommand deed) {
-    switch (deed.kind) {
+  private boolean apply(final ControlCommand command) {
+    switch (command.kind) {
       case ControlCommand.REPLICA -> {
-        if (replica(deed.address, deed.life) != 0) {
+        if (replica(command.address, command.life) != 0) {
           return false;
         }
         // A new process at an address means that the old one there is gone for good.
-        replicas.removeIf(replica -> replica.address.equals(deed.address));
+        replicas.removeIf(replica -> replica.address.equals(command.address));
         final Replica replica = new Replica();
         replica.name = ++newestReplica;
-        replica.address = deed.address;
-        replica.life = deed.life;
+        replica.address = command.address;
+        replica.life = command.life;
         replicas.add(replica);
       }
       case ControlCommand.REPLICA_GONE -> {
-        return replicas.removeIf(replica -> replica.name == deed.name);
+        return replicas.removeIf(replica -> replica.name == command.name);
       }
       case ControlCommand.VAULTS -> {
-        if (!vaults.isEmpty()) {
+        if (!stores.isEmpty()) {
           return false;
         }
-        vaults.addAll(deed.identities);
-        vaultZones.addAll(deed.zones);
+        stores.addAll(command.identities);
+        storeZones.addAll(command.zones);
       }
       case ControlCommand.RETIRE -> {
-        if (retiring(deed.node) != null) {
+        if (retiring(command.node) != null) {
           return false;
         }
-        final Retirement one = new Retirement();
-        one.node = deed.node;
-        one.address = deed.address;
-        retiring.add(one);
+        final Retirement retirement = new Retirement();
+        retirement.node = command.node;
+        retirement.address = command.address;
+        retiring.add(retirement);
       }
       case ControlCommand.RETIRED -> {
-        final Retirement one = retiring(deed.node);
-        if (one == null || one.finished) {
+        final Retirement retirement = retiring(command.node);
+        if (retirement == null || retirement.finished) {
           return false;
         }
-        one.finished = true;
+        retirement.finished = true;
       }
-      default -> throw new IllegalStateException("deed " + deed.kind);
+      default -> throw new IllegalStateException("deed " + command.kind);
     }
     return true;
   }
@@ -133,16 +133,16 @@
   }
 
   public List<String> vaults() {
-    return vaults;
+    return stores;
   }
 
   /** Addresses of the first voters in a zone, or in all others. */
   public List<String> vaultAddresses(final String zone, final boolean inside) {
     final List<String> addresses = new ArrayList<>();
-    for (int place = 0; place < vaults.size(); place++) {
-      final boolean there = place < vaultZones.size() && vaultZones.get(place).equals(zone);
+    for (int place = 0; place < stores.size(); place++) {
+      final boolean there = place < storeZones.size() && storeZones.get(place).equals(zone);
       if (there == inside) {
-        addresses.add(RaftNode.address(vaults.get(place)));
+        addresses.add(RaftNode.address(stores.get(place)));
       }
     }
     return addresses;
@@ -151,24 +151,24 @@
   /** Addresses of vaults that are to hold no duty. */
   public Set<String> retiringAddresses() {
     final Set<String> addresses = new HashSet<>();
-    retiring.forEach(one -> addresses.add(one.address));
+    retiring.forEach(retirement -> addresses.add(retirement.address));
     return addresses;
   }
 
   /** The node at that address when it is being emptied and not yet finished, else null. */
   public String retiringNode(final String address) {
-    for (final Retirement one : retiring) {
-      if (one.address.equals(address) && !one.finished) {
-        return one.node;
+    for (final Retirement retirement : retiring) {
+      if (retirement.address.equals(address) && !retirement.finished) {
+        return retirement.node;
       }
     }
     return null;
   }
 
   Retirement retiring(final String node) {
-    for (final Retirement one : retiring) {
-      if (one.node.equals(node)) {
-        return one;
+    for (final Retirement retirement : retiring) {
+      if (retirement.node.equals(node)) {
+        return retirement;
       }
     }
     return null;
--- a/src/main/java/yewjunction/control/ClusterStatus.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -15,67 +15,67 @@
  * own tables.
  */
 final class ClusterStatus {
-  private final ControlStateMachine core;
-  private final RaftNode ledger;
-  private final MembershipList roster;
-  private final NodeRegistry registrar;
-  private final LeasedProcesses wards;
+  private final ControlStateMachine stateMachine;
+  private final RaftNode raftNode;
+  private final MembershipList membership;
+  private final NodeRegistry registry;
+  private final LeasedProcesses processes;
 
   ClusterStatus(
-      final ControlStateMachine core,
-      final RaftNode ledger,
-      final MembershipList roster,
-      final NodeRegistry registrar,
-      final LeasedProcesses wards) {
-    this.core = core;
-    this.ledger = ledger;
-    this.roster = roster;
-    this.registrar = registrar;
-    this.wards = wards;
+      final ControlStateMachine stateMachine,
+      final RaftNode raftNode,
+      final MembershipList membership,
+      final NodeRegistry registry,
+      final LeasedProcesses processes) {
+    this.stateMachine = stateMachine;
+    this.raftNode = raftNode;
+    this.membership = membership;
+    this.registry = registry;
+    this.processes = processes;
   }
 
   /** Breaks of the declared order that the edges which ask this crux for leases have met. */
   String order() {
-    return ConfigValueFactory.fromMap(Map.of("Channels", wards.disorders()))
+    return ConfigValueFactory.fromMap(Map.of("Channels", processes.disorders()))
         .render(ConfigRenderOptions.concise());
   }
 
   String json() {
     final Map<String, Object> page = new LinkedHashMap<>();
-    page.put("Nodename", roster.self().node);
-    page.put("Addr", roster.self().address);
-    page.put("Leads", ledger.leads());
-    page.put("Leader", ledger.leader() == null ? "" : RaftNode.address(ledger.leader()));
-    page.put("Voters", ledger.voters().stream().map(RaftNode::address).toList());
-    page.put("Votes", ledger.voters().contains(ledger.identity()));
-    page.put("Applied", ledger.applied());
-    page.put("Ver", core.version());
+    page.put("Nodename", membership.self().node);
+    page.put("Addr", membership.self().address);
+    page.put("Leads", raftNode.leads());
+    page.put("Leader", raftNode.leader() == null ? "" : RaftNode.address(raftNode.leader()));
+    page.put("Voters", raftNode.voters().stream().map(RaftNode::address).toList());
+    page.put("Votes", raftNode.voters().contains(raftNode.identity()));
+    page.put("Applied", raftNode.applied());
+    page.put("Ver", stateMachine.version());
     final List<Map<String, Object>> peers = new ArrayList<>();
-    for (final Member peer : roster.all()) {
+    for (final Member member : membership.all()) {
       peers.add(
           Map.of(
               "Nodename",
-              peer.node,
+              member.node,
               "Duty",
-              peer.duty,
+              member.duty,
               "Az",
-              peer.zone,
+              member.zone,
               "Addr",
-              peer.address,
+              member.address,
               "Up",
-              peer.up(),
+              member.up(),
               "Suspect",
-              peer.suspect(),
+              member.suspect(),
               "Ready",
-              peer.ready));
+              member.ready));
     }
     page.put("Siblings", peers);
     // Only the leader hears from all vaults; on the others the list is empty.
-    page.put("Vaults", registrar.vaultRows());
-    page.put("DiskOwedMs", ledger.course().owedMs());
+    page.put("Vaults", registry.vaultRows());
+    page.put("DiskOwedMs", raftNode.course().owedMs());
     // Those that ask this crux for their leases: mostly its zone's.
-    page.put("Wards", wards.rows());
-    page.put("Channels", wards.disorders());
+    page.put("Wards", processes.rows());
+    page.put("Channels", processes.disorders());
     return ConfigValueFactory.fromMap(page).render(ConfigRenderOptions.concise());
   }
 }
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -6,12 +6,12 @@
 import static yewjunction.common.ErrorCode.CONFIG_SERVICE;
 import static yewjunction.common.ErrorCode.CONFIG_TIMEOUT;
 import static yewjunction.common.ErrorCode.CONFIG_UNREADABLE;
-import static yewjunction.common.Limits.BORROW_MOST;
-import static yewjunction.common.Limits.REPAY_SHARE;
 import static yewjunction.control.FieldReader.items;
 import static yewjunction.control.FieldReader.names;
 import static yewjunction.control.FieldReader.number;
 import static yewjunction.control.FieldReader.text;
+import static yewjunction.limits.QuotaLimits.DEFAULT_REPAY_SHARE;
+import static yewjunction.limits.QuotaLimits.MAX_BORROW;
 
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
@@ -33,7 +33,7 @@
 public final class Configuration {
   private final Config whole;
   private final long version;
-  private final List<Route> spaces = new ArrayList<>();
+  private final List<Route> routes = new ArrayList<>();
   private final Map<String, Tenant> tenantsByKey = new HashMap<>();
   private final Map<String, Tenant> tenantsByName = new HashMap<>();
   private int subs = Integer.MAX_VALUE;
@@ -86,22 +86,22 @@
     try {
       return ConfigFactory.parseString(
           json, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.JSON));
-    } catch (final ConfigException defect) {
-      throw new ConfigurationException(CONFIG_UNREADABLE, defect.getMessage(), defect);
+    } catch (final ConfigException failure) {
+      throw new ConfigurationException(CONFIG_UNREADABLE, failure.getMessage(), failure);
     }
   }
 
   public static Configuration of(final Config whole) {
     try {
-      final Configuration charter = new Configuration(whole);
-      charter.readSpaces();
-      charter.readTenants();
+      final Configuration configuration = new Configuration(whole);
+      configuration.readSpaces();
+      configuration.readTenants();
       if (whole.hasPath("Lims.Subs")) {
-        charter.subs = whole.getInt("Lims.Subs");
+        configuration.subs = whole.getInt("Lims.Subs");
       }
-      return charter;
-    } catch (final ConfigException defect) {
-      throw new ConfigurationException(CONFIG_FIELD, defect.getMessage(), defect);
+      return configuration;
+    } catch (final ConfigException failure) {
+      throw new ConfigurationException(CONFIG_FIELD, failure.getMessage(), failure);
     }
   }
 
@@ -133,7 +133,7 @@
         throw new ConfigurationException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
       }
       final double keepS = route.hasPath("LingerS") ? route.getDouble("LingerS") : 0;
-      spaces.add(
+      routes.add(
           new Route(
               name,
               host,
@@ -143,22 +143,22 @@
               route.hasPath("Public") && route.getBoolean("Public"),
               Set.copyOf(names(route, "After", path))));
     }
-    for (final Route space : spaces) {
-      for (final String earlier : space.after) {
-        if (earlier.equals(space.name) || !names.contains(earlier)) {
+    for (final Route route : routes) {
+      for (final String earlier : route.after) {
+        if (earlier.equals(route.name) || !names.contains(earlier)) {
           throw new ConfigurationException(
               CONFIG_FIELD,
               "Routes."
-                  + space.name
+                  + route.name
                   + ".After: "
-                  + (earlier.equals(space.name)
+                  + (earlier.equals(route.name)
                       ? "names the route itself"
                       : "there is no route " + earlier));
         }
       }
     }
     // The longest prefix wins: the first that fits is the one.
-    spaces.sort((one, other) -> other.prefix.length() - one.prefix.length());
+    routes.sort((one, other) -> other.prefix.length() - one.prefix.length());
   }
 
   private void readTenants() {
@@ -183,20 +183,20 @@
     final String path = "Tenants." + name;
     final double rate = item.hasPath("RatePerS") ? item.getDouble("RatePerS") : 0;
     final double borrowMax = number(item, "BorrowMax", path, 0);
-    final double repayShare = number(item, "RepayShare", path, REPAY_SHARE);
-    if (borrowMax < 0 || borrowMax > BORROW_MOST || borrowMax != Math.rint(borrowMax)) {
+    final double repayShare = number(item, "RepayShare", path, DEFAULT_REPAY_SHARE);
+    if (borrowMax < 0 || borrowMax > MAX_BORROW || borrowMax != Math.rint(borrowMax)) {
       throw new ConfigurationException(
-          CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + BORROW_MOST);
+          CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + MAX_BORROW);
     }
     // A share that no millionth is left of would never repay anything.
     if (!(repayShare >= 1e-6 && repayShare <= 1)) {
       throw new ConfigurationException(
           CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
     }
-    if (borrowMax > 0 && !(rate > 0 && rate <= BORROW_MOST)) {
+    if (borrowMax > 0 && !(rate > 0 && rate <= MAX_BORROW)) {
       throw new ConfigurationException(
           CONFIG_FIELD,
-          path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + BORROW_MOST);
+          path + ".BorrowMax: needs a RatePerS above 0 that repays it, at most " + MAX_BORROW);
     }
     return new Tenant(
         name,
@@ -212,9 +212,9 @@
   }
 
   public Route space(final String topic) {
-    for (final Route space : spaces) {
-      if (space.host.isEmpty() && topic.startsWith(space.prefix)) {
-        return space;
+    for (final Route route : routes) {
+      if (route.host.isEmpty() && topic.startsWith(route.prefix)) {
+        return route;
       }
     }
     return null;
@@ -233,7 +233,7 @@
   }
 
   public Collection<Route> spaces() {
-    return Collections.unmodifiableCollection(spaces);
+    return Collections.unmodifiableCollection(routes);
   }
 
   public int subs() {
@@ -254,21 +254,21 @@
    */
   long digest() {
     long sum = version * 31 + subs;
-    for (final Route space : spaces) {
+    for (final Route route : routes) {
       // Spelt out: the order in which a set lists its names differs from process to process.
       sum +=
-          (space.name
+          (route.name
                       + " "
-                      + space.host
+                      + route.host
                       + " "
-                      + space.prefix
+                      + route.prefix
                       + " "
-                      + space.timeoutMs
+                      + route.timeoutMs
                       + " "
-                      + space.keepMs
+                      + route.keepMs
                       + " "
-                      + space.open
-                      + new TreeSet<>(space.after))
+                      + route.open
+                      + new TreeSet<>(route.after))
                   .hashCode()
               * 0x9e3779b97f4a7c15L;
     }
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -31,10 +31,10 @@
   private Configuration replacement;
 
   /** Why it can be valid on no base at all, null where it can. */
-  private ConfigurationException defect;
+  private ConfigurationException failure;
 
   private boolean prepared;
-  private ControlCommand deed;
+  private ControlCommand command;
   private Configuration next;
 
   ConfigurationChange(final String shape, final String base, final byte[] body) {
@@ -48,7 +48,7 @@
     try {
       Long.parseLong(String.valueOf(base).trim());
       return true;
-    } catch (final NumberFormatException defect) {
+    } catch (final NumberFormatException failure) {
       return false;
     }
   }
@@ -61,13 +61,13 @@
       digest = digest(shape + " " + base + " " + Configuration.render(sent));
       check();
     } catch (final ConfigurationException found) {
-      defect = found;
+      failure = found;
     } catch (final ConfigException found) {
-      defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
+      failure = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
     } catch (final StackOverflowError found) {
       // The reader calls itself for each level: a text that only opens brackets ends its stack, and
       // nothing else.
-      defect = new ConfigurationException(CONFIG_UNREADABLE, "nested too deeply", found);
+      failure = new ConfigurationException(CONFIG_UNREADABLE, "nested too deeply", found);
     }
   }
 
@@ -76,7 +76,7 @@
     sent = null;
     replacement = null;
     prepared = false;
-    deed = null;
+    command = null;
     next = null;
   }
 
@@ -103,7 +103,7 @@
   }
 
   ConfigurationException defect() {
-    return defect;
+    return failure;
   }
 
   /**
@@ -117,17 +117,17 @@
     }
     try {
       next = on(current);
-      final ControlCommand made = new ControlCommand(ControlCommand.CONFIG);
-      made.base = base;
-      made.digest = digest;
-      made.json = next.json();
-      made.version = next.version();
-      ConfigurationPatches.add(made, current, next);
-      deed = made;
+      final ControlCommand prepared = new ControlCommand(ControlCommand.CONFIG);
+      prepared.base = base;
+      prepared.digest = digest;
+      prepared.json = next.json();
+      prepared.version = next.version();
+      ConfigurationPatches.add(prepared, current, next);
+      command = prepared;
     } catch (final ConfigurationException found) {
-      defect = found;
+      failure = found;
     } catch (final ConfigException found) {
-      defect = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
+      failure = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
     }
   }
 
@@ -147,7 +147,7 @@
 
   /** Null until it is prepared, or where it has a defect. */
   ControlCommand deed() {
-    return deed;
+    return command;
   }
 
   /** What its base becomes by it. */
@@ -160,8 +160,8 @@
       return HexFormat.of()
           .formatHex(
               MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
-    } catch (final NoSuchAlgorithmException defect) {
-      throw new IllegalStateException(defect);
+    } catch (final NoSuchAlgorithmException failure) {
+      throw new IllegalStateException(failure);
     }
   }
 }
--- a/src/main/java/yewjunction/control/ConfigurationPatches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -23,7 +23,7 @@
 
   /** Adds the patch to the deed where there is one that leads to exactly the same. */
   static void add(
-      final ControlCommand deed, final Configuration before, final Configuration after) {
+      final ControlCommand command, final Configuration before, final Configuration after) {
     if (before == null) {
       return;
     }
@@ -32,12 +32,12 @@
       if (patch != null
           && Configuration.of(before.updated(Configuration.parse(patch))).digest()
               == after.digest()) {
-        deed.patch = patch;
-        deed.patchDigest = after.digest();
+        command.patch = patch;
+        command.patchDigest = after.digest();
       }
-    } catch (final ConfigException | ConfigurationException defect) {
+    } catch (final ConfigException | ConfigurationException failure) {
       // Without a patch all are told the whole: never a reason to deny what was checked already.
-      deed.patch = null;
+      command.patch = null;
     }
   }
 
--- a/src/main/java/yewjunction/control/ControlService.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -18,43 +18,54 @@
   /** Group number of the core's ledger. */
   public static final int GROUP = 0;
 
-  private final AgentContext pulse;
-  private final RaftNode ledger;
-  private final MembershipList roster;
-  private final LeaseServer lessor;
-  private final OperatorApi desk;
+  private final AgentContext context;
+  private final RaftNode raftNode;
+  private final MembershipList membership;
+  private final LeaseServer leaseServer;
+  private final OperatorApi operatorApi;
   private final String ownAddress;
 
   /** Without a disk of its own it only serves: what it promised would end with its process. */
   private final boolean votes;
 
   public ControlService(
-      final AgentContext pulse,
-      final PeerTransport post,
+      final AgentContext context,
+      final PeerTransport transport,
       final Disk disk,
-      final TaskExecutor clerk,
-      final MembershipList roster,
+      final TaskExecutor executor,
+      final MembershipList membership,
       final String ownAddress,
       final Settings settings) {
-    this.pulse = pulse;
-    this.roster = roster;
+    this.context = context;
+    this.membership = membership;
     this.ownAddress = ownAddress;
     votes = !settings.dataFolder().isEmpty();
-    final ControlStateMachine core = new ControlStateMachine(this);
-    ledger = new RaftNode(GROUP, pulse, post, disk, clerk, "charter", core);
-    ledger.listen();
-    ledger.electorate().seat(new VoterPlacement(settings.votersNeeded(), Set::of, roster::zoneAt));
-    final NodeRegistry registrar =
-        new NodeRegistry(pulse, post, core, ledger, roster, settings.votersNeeded());
-    final LeasedProcesses wards = new LeasedProcesses(pulse);
-    lessor = new LeaseServer(pulse, post, core, ledger, registrar, wards, roster.self().life);
-    desk =
+    final ControlStateMachine stateMachine = new ControlStateMachine(this);
+    raftNode = new RaftNode(GROUP, context, transport, disk, executor, "charter", stateMachine);
+    raftNode.listen();
+    raftNode
+        .electorate()
+        .seat(new VoterPlacement(settings.votersNeeded(), Set::of, membership::zoneAt));
+    final NodeRegistry registry =
+        new NodeRegistry(
+            context, transport, stateMachine, raftNode, membership, settings.votersNeeded());
+    final LeasedProcesses processes = new LeasedProcesses(context);
+    leaseServer =
+        new LeaseServer(
+            context,
+            transport,
+            stateMachine,
+            raftNode,
+            registry,
+            processes,
+            membership.self().life);
+    operatorApi =
         new OperatorApi(
-            pulse,
-            core,
-            ledger,
-            registrar,
-            new ClusterStatus(core, ledger, roster, registrar, wards));
+            context,
+            stateMachine,
+            raftNode,
+            registry,
+            new ClusterStatus(stateMachine, raftNode, membership, registry, processes));
   }
 
   /**
@@ -63,58 +74,60 @@
    */
   public void start(
       final boolean founding, final List<String> seedAddresses, final String drawnName) {
-    if (ledger.identity() == null) {
+    if (raftNode.identity() == null) {
       final boolean founder = votes && founding && seedAddresses.contains(ownAddress);
-      ledger.name(ownAddress + "#" + (founder ? "founder" : drawnName));
+      raftNode.name(ownAddress + "#" + (founder ? "founder" : drawnName));
       if (founder) {
-        ledger.found(seedAddresses.stream().sorted().map(address -> address + "#founder").toList());
+        raftNode.found(
+            seedAddresses.stream().sorted().map(address -> address + "#founder").toList());
       }
     }
-    ledger.start();
-    ledger.membership().keep(() -> others(seedAddresses), () -> votes);
+    raftNode.start();
+    raftNode.membership().keep(() -> others(seedAddresses), () -> votes);
   }
 
   private List<String> others(final List<String> seedAddresses) {
     return Stream.concat(
-            seedAddresses.stream(), roster.up(NodeRole.CONTROL).stream().map(peer -> peer.address))
+            seedAddresses.stream(),
+            membership.up(NodeRole.CONTROL).stream().map(member -> member.address))
         .distinct()
         .filter(address -> !address.equals(ownAddress))
         .toList();
   }
 
   public OperatorApi desk() {
-    return desk;
+    return operatorApi;
   }
 
   public RaftNode ledger() {
-    return ledger;
+    return raftNode;
   }
 
   @Override
   public void configChanged() {
-    if (lessor != null) {
-      lessor.tell();
+    if (leaseServer != null) {
+      leaseServer.tell();
     }
   }
 
   @Override
   public void factsChanged() {
-    if (lessor != null) {
-      lessor.tellFacts();
+    if (leaseServer != null) {
+      leaseServer.tellFacts();
     }
   }
 
   @Override
   public void settledTo(final long commit) {
-    if (lessor != null) {
-      lessor.settled();
+    if (leaseServer != null) {
+      leaseServer.settled();
     }
   }
 
   @Override
   public void leaderIs(final String identity, final boolean self) {
-    if (lessor != null && identity != null) {
-      pulse.post(lessor::leaderChanged);
+    if (leaseServer != null && identity != null) {
+      context.post(leaseServer::leaderChanged);
     }
   }
 }
--- a/src/main/java/yewjunction/control/ControlStateMachine.java
+++ b/src/main/java/yewjunction/control/ControlStateMachine.java
@@ -1,6 +1,6 @@
 package yewjunction.control;
 
-import static yewjunction.common.Limits.TAKEN_VERSIONS;
+import static yewjunction.limits.OperatorLimits.REMEMBERED_VERSIONS;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -15,9 +15,9 @@
 final class ControlStateMachine implements StateMachine {
   private static final Schema<ControlCommand> DEEDS = RuntimeSchema.getSchema(ControlCommand.class);
   private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
-  private Snapshot image = new Snapshot();
+  private Snapshot snapshot = new Snapshot();
   private Configuration current;
-  private final RecentChanges news = new RecentChanges();
+  private final RecentChanges recentChanges = new RecentChanges();
   private final Listener watcher;
 
   /** All of the state, as a snapshot holds it. */
@@ -25,7 +25,7 @@
     String json;
     long version;
     List<AcceptedChange> taken = new ArrayList<>();
-    ClusterState facts = new ClusterState();
+    ClusterState clusterState = new ClusterState();
   }
 
   /** A request that was taken, so that its exact repeat is known. */
@@ -49,17 +49,17 @@
     this.watcher = watcher;
   }
 
-  static byte[] bytes(final ControlCommand deed) {
-    return ProtostuffIOUtil.toByteArray(deed, DEEDS, LinkedBuffer.allocate(512));
+  static byte[] bytes(final ControlCommand command) {
+    return ProtostuffIOUtil.toByteArray(command, DEEDS, LinkedBuffer.allocate(512));
   }
 
   long version() {
-    return image.version;
+    return snapshot.version;
   }
 
   /** The configuration as text, null before the first. */
   String json() {
-    return image.json;
+    return snapshot.json;
   }
 
   /**
@@ -67,8 +67,8 @@
    * service lost.
    */
   Configuration current() {
-    if (current == null && image.json != null) {
-      current = Configuration.read(image.json);
+    if (current == null && snapshot.json != null) {
+      current = Configuration.read(snapshot.json);
     }
     return current;
   }
@@ -80,22 +80,22 @@
 
   /** Whoever made the newest version has it read already. */
   void adopt(final Configuration made) {
-    if (made.version() == image.version) {
+    if (made.version() == snapshot.version) {
       current = made;
     }
   }
 
   /** What changed lately, for those that know what was before. */
   RecentChanges news() {
-    return news;
+    return recentChanges;
   }
 
   ClusterState facts() {
-    return image.facts;
+    return snapshot.clusterState;
   }
 
   boolean taken(final long version, final String digest) {
-    return image.taken.stream()
+    return snapshot.taken.stream()
         .anyMatch(one -> one.version == version && one.digest.equals(digest));
   }
 
@@ -104,76 +104,77 @@
    * remembered.
    */
   boolean forgot(final long version) {
-    return image.taken.size() >= TAKEN_VERSIONS && version < image.taken.get(0).version;
+    return snapshot.taken.size() >= REMEMBERED_VERSIONS && version < snapshot.taken.get(0).version;
   }
 
   @Override
   public void apply(final long index, final byte[] data) {
-    final ControlCommand deed = DEEDS.newMessage();
-    ProtostuffIOUtil.mergeFrom(data, deed, DEEDS);
-    if (deed.kind == ControlCommand.CONFIG) {
-      config(deed);
+    final ControlCommand command = DEEDS.newMessage();
+    ProtostuffIOUtil.mergeFrom(data, command, DEEDS);
+    if (command.kind == ControlCommand.CONFIG) {
+      config(command);
     } else {
       final ClusterState.Change change = new ClusterState.Change();
-      change.before = image.facts.number;
+      change.before = snapshot.clusterState.number;
       change.index = index;
-      change.deed = deed;
-      if (image.facts.apply(change)) {
-        told(deed);
-        news.changed(change);
+      change.command = command;
+      if (snapshot.clusterState.apply(change)) {
+        told(command);
+        recentChanges.changed(change);
         watcher.factsChanged();
       }
     }
   }
 
-  private void config(final ControlCommand deed) {
+  private void config(final ControlCommand command) {
     // Invariant: versions only rise, each on top of the one it names. The text was checked before
     // it came here.
-    if (deed.base != image.version || deed.version <= image.version) {
+    if (command.base != snapshot.version || command.version <= snapshot.version) {
       throw new IllegalStateException(
-          "version " + deed.version + " on " + deed.base + " after " + image.version);
+          "version " + command.version + " on " + command.base + " after " + snapshot.version);
     }
     current = null;
-    news.changed(deed);
-    image.json = deed.json;
-    image.version = deed.version;
+    recentChanges.changed(command);
+    snapshot.json = command.json;
+    snapshot.version = command.version;
     final AcceptedChange taken = new AcceptedChange();
-    taken.version = deed.version;
-    taken.digest = deed.digest;
-    image.taken.add(taken);
-    if (image.taken.size() > TAKEN_VERSIONS) {
-      image.taken.remove(0);
+    taken.version = command.version;
+    taken.digest = command.digest;
+    snapshot.taken.add(taken);
+    if (snapshot.taken.size() > REMEMBERED_VERSIONS) {
+      snapshot.taken.remove(0);
     }
-    LogEvent.CONFIG_TAKEN.info("version " + deed.version);
+    LogEvent.CONFIG_TAKEN.info("version " + command.version);
     watcher.configChanged();
   }
 
-  private void told(final ControlCommand deed) {
-    switch (deed.kind) {
+  private void told(final ControlCommand command) {
+    switch (command.kind) {
       case ControlCommand.REPLICA ->
-          LogEvent.REPLICA_GIVEN.info(image.facts.newestReplica + " to " + deed.node);
-      case ControlCommand.REPLICA_GONE -> LogEvent.REPLICA_RETIRED.info(String.valueOf(deed.name));
-      case ControlCommand.VAULTS -> LogEvent.VAULTS_CHOSEN.info(String.valueOf(deed.identities));
-      case ControlCommand.RETIRE -> LogEvent.MACHINE_RETIRING.info(deed.node);
-      default -> LogEvent.MACHINE_RETIRED.info(deed.node);
+          LogEvent.REPLICA_GIVEN.info(snapshot.clusterState.newestReplica + " to " + command.node);
+      case ControlCommand.REPLICA_GONE ->
+          LogEvent.REPLICA_RETIRED.info(String.valueOf(command.name));
+      case ControlCommand.VAULTS -> LogEvent.VAULTS_CHOSEN.info(String.valueOf(command.identities));
+      case ControlCommand.RETIRE -> LogEvent.MACHINE_RETIRING.info(command.node);
+      default -> LogEvent.MACHINE_RETIRED.info(command.node);
     }
   }
 
   @Override
   public byte[] snapshot() {
-    return ProtostuffIOUtil.toByteArray(image, IMAGES, LinkedBuffer.allocate(4096));
+    return ProtostuffIOUtil.toByteArray(snapshot, IMAGES, LinkedBuffer.allocate(4096));
   }
 
   @Override
   public void restore(final long index, final byte[] state) {
     final Snapshot restored = IMAGES.newMessage();
     ProtostuffIOUtil.mergeFrom(state, restored, IMAGES);
-    image = restored;
-    if (image.facts == null) {
-      image.facts = new ClusterState();
+    snapshot = restored;
+    if (snapshot.clusterState == null) {
+      snapshot.clusterState = new ClusterState();
     }
     current = null;
-    news.forget();
+    recentChanges.forget();
     watcher.configChanged();
     watcher.factsChanged();
   }
--- a/src/main/java/yewjunction/control/LeaseMessages.java
+++ b/src/main/java/yewjunction/control/LeaseMessages.java
@@ -24,7 +24,7 @@
 
     long version;
     long factsNumber;
-    ProcessReport who = new ProcessReport();
+    ProcessReport process = new ProcessReport();
   }
 
   /** Who asks: a tide that needs a replica name, or a vault. */
@@ -78,7 +78,7 @@
     String json;
 
     /** The facts, when newer. */
-    ClusterState facts;
+    ClusterState clusterState;
 
     /** In their place, to an asker that knows what was before: the changes since, in order. */
     List<RecentChanges.VersionPatch> patches = new ArrayList<>();
@@ -99,6 +99,6 @@
 
   /** A home tells the leader of a process that needs a name, or of a vault. */
   static final class RegisterRequest {
-    ProcessReport who = new ProcessReport();
+    ProcessReport process = new ProcessReport();
   }
 }
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -1,9 +1,9 @@
 package yewjunction.control;
 
-import static yewjunction.common.Limits.FACTS_BATCH_MS;
-import static yewjunction.common.Limits.LEASE_ANSWER_MS;
-import static yewjunction.common.Limits.LEASE_BATCH_MS;
-import static yewjunction.common.Limits.LEASE_MS;
+import static yewjunction.limits.LeaseLimits.CLUSTER_STATE_BATCH_MS;
+import static yewjunction.limits.LeaseLimits.LEASE_CONFIRMATION_INTERVAL_MS;
+import static yewjunction.limits.LeaseLimits.LEASE_DURATION_MS;
+import static yewjunction.limits.LeaseLimits.LEASE_RESPONSE_TIMEOUT_MS;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -26,17 +26,17 @@
  * Home for the tides and vaults of a zone: leases on the leader's confirmed word, and news at once.
  */
 final class LeaseServer {
-  private final AgentContext pulse;
-  private final PeerTransport post;
-  private final ControlStateMachine core;
-  private final RaftNode ledger;
-  private final NodeRegistry registrar;
-  private final LeasedProcesses wards;
+  private final AgentContext context;
+  private final PeerTransport transport;
+  private final ControlStateMachine stateMachine;
+  private final RaftNode raftNode;
+  private final NodeRegistry registry;
+  private final LeasedProcesses processes;
   private final Map<PeerConnection, SubscriberState> subscribers = new LinkedHashMap<>();
   private List<PendingRenewal> waiting = new ArrayList<>();
 
   /** To the leader: one at a time. */
-  private final PendingRequests<PeerConnection, List<PendingRenewal>> questions;
+  private final PendingRequests<PeerConnection, List<PendingRenewal>> pendingRequests;
 
   private final List<ConfirmedBatch> proven = new ArrayList<>();
   private final Set<PeerConnection> unnamed = new HashSet<>();
@@ -45,13 +45,13 @@
   private boolean tellingFacts;
   private boolean batching;
 
-  private record PendingRenewal(PeerConnection link, LeaseRequest renew, long atMs) {}
+  private record PendingRenewal(PeerConnection connection, LeaseRequest request, long atMs) {}
 
   /**
    * What a process has been told on its link. Links lose nothing, so nothing is told twice on one.
    */
   private static final class SubscriberState {
-    LeaseRequest renew;
+    LeaseRequest request;
     long version;
     long factsNumber;
     long toldMs;
@@ -61,47 +61,51 @@
   private record ConfirmedBatch(long commit, List<PendingRenewal> asked) {}
 
   LeaseServer(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final ControlStateMachine core,
-      final RaftNode ledger,
-      final NodeRegistry registrar,
-      final LeasedProcesses wards,
+      final AgentContext context,
+      final PeerTransport transport,
+      final ControlStateMachine stateMachine,
+      final RaftNode raftNode,
+      final NodeRegistry registry,
+      final LeasedProcesses processes,
       final long life) {
-    this.pulse = pulse;
-    this.post = post;
-    this.core = core;
-    this.ledger = ledger;
-    this.registrar = registrar;
-    this.wards = wards;
-    questions = new PendingRequests<>(life);
-    post.on(LeaseRequest.class, this::renew);
-    post.on(ConfirmLeadershipRequest.class, this::confirm);
-    post.on(ConfirmLeadershipResponse.class, this::confirmed);
-    post.onClose(
-        link -> {
-          subscribers.remove(link);
-          unnamed.remove(link);
+    this.context = context;
+    this.transport = transport;
+    this.stateMachine = stateMachine;
+    this.raftNode = raftNode;
+    this.registry = registry;
+    this.processes = processes;
+    pendingRequests = new PendingRequests<>(life);
+    transport.on(LeaseRequest.class, this::renew);
+    transport.on(ConfirmLeadershipRequest.class, this::confirm);
+    transport.on(ConfirmLeadershipResponse.class, this::confirmed);
+    transport.onClose(
+        connection -> {
+          subscribers.remove(connection);
+          unnamed.remove(connection);
         });
   }
 
-  private void renew(final PeerConnection link, final LeaseRequest renew) {
-    final long nowMs = pulse.nowMs();
-    final SubscriberState told = subscribers.computeIfAbsent(link, key -> new SubscriberState());
-    told.renew = renew;
+  private void renew(final PeerConnection connection, final LeaseRequest request) {
+    final long nowMs = context.nowMs();
+    final SubscriberState subscriber =
+        subscribers.computeIfAbsent(connection, key -> new SubscriberState());
+    subscriber.request = request;
     // Less than it was told some time ago: it could not take that, and gets the whole.
-    final boolean old = nowMs - told.toldMs > 2 * LEASE_MS;
-    told.version = renew.version >= told.version ? renew.version : old ? 0 : told.version;
-    told.factsNumber =
-        renew.factsNumber >= told.factsNumber ? renew.factsNumber : old ? -1 : told.factsNumber;
-    registrar.heard(renew.who);
-    wards.heard(renew.who);
-    if (NodeRole.EDGE.is(renew.who.duty) && !named(renew)) {
-      unnamed.add(link);
+    final boolean old = nowMs - subscriber.toldMs > 2 * LEASE_DURATION_MS;
+    subscriber.version =
+        request.version >= subscriber.version ? request.version : old ? 0 : subscriber.version;
+    subscriber.factsNumber =
+        request.factsNumber >= subscriber.factsNumber
+            ? request.factsNumber
+            : old ? -1 : subscriber.factsNumber;
+    registry.heard(request.process);
+    processes.heard(request.process);
+    if (NodeRole.EDGE.is(request.process.duty) && !named(request)) {
+      unnamed.add(connection);
     }
     // The newest question of an asker stands for its earlier ones.
-    waiting.removeIf(asked -> asked.link == link);
-    waiting.add(new PendingRenewal(link, renew, nowMs));
+    waiting.removeIf(renewal -> renewal.connection == connection);
+    waiting.add(new PendingRenewal(connection, request, nowMs));
     ask();
   }
 
@@ -110,17 +114,17 @@
    * earlier one.
    */
   private void ask() {
-    final long nowMs = pulse.nowMs();
-    final boolean lost = nowMs - askedMs > LEASE_ANSWER_MS / 2;
-    if (waiting.isEmpty() || !questions.none() && !lost) {
+    final long nowMs = context.nowMs();
+    final boolean lost = nowMs - askedMs > LEASE_RESPONSE_TIMEOUT_MS / 2;
+    if (waiting.isEmpty() || !pendingRequests.none() && !lost) {
       return;
     }
     // One question serves all askers of a short while: each goes through a majority, across zones.
-    if (nowMs - askedMs < LEASE_BATCH_MS) {
+    if (nowMs - askedMs < LEASE_CONFIRMATION_INTERVAL_MS) {
       if (!batching) {
         batching = true;
-        pulse.after(
-            LEASE_BATCH_MS - (nowMs - askedMs),
+        context.after(
+            LEASE_CONFIRMATION_INTERVAL_MS - (nowMs - askedMs),
             () -> {
               batching = false;
               ask();
@@ -128,57 +132,59 @@
       }
       return;
     }
-    if (ledger.leads()) {
+    if (raftNode.leads()) {
       final List<PendingRenewal> asked = waiting;
       waiting = new ArrayList<>();
       askedMs = nowMs;
-      ledger.confirm(
+      raftNode.confirm(
           held -> {
             if (held) {
               asked.forEach(this::grant);
             }
           });
-    } else if (ledger.leader() != null && !ledger.leader().equals(ledger.identity())) {
-      final PeerConnection link = post.dial(RaftNode.address(ledger.leader()));
-      final ConfirmLeadershipRequest confirm = new ConfirmLeadershipRequest();
-      questions.dropAll();
-      confirm.number = questions.ask(link, waiting);
+    } else if (raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
+      final PeerConnection connection = transport.dial(RaftNode.address(raftNode.leader()));
+      final ConfirmLeadershipRequest request = new ConfirmLeadershipRequest();
+      pendingRequests.dropAll();
+      request.number = pendingRequests.ask(connection, waiting);
       waiting = new ArrayList<>();
       askedMs = nowMs;
-      link.send(confirm);
+      connection.send(request);
     } else {
       // Nobody leads: they wait for the next leader, since a lease counts from when it was asked
       // for anyway.
-      waiting.removeIf(asked -> !asked.link.open() || nowMs - asked.atMs > LEASE_MS);
+      waiting.removeIf(
+          renewal -> !renewal.connection.open() || nowMs - renewal.atMs > LEASE_DURATION_MS);
     }
   }
 
   /** Somebody leads now: whoever waited is served at once. */
   void leaderChanged() {
-    registrar.leaderChanged();
-    questions.dropAll();
+    registry.leaderChanged();
+    pendingRequests.dropAll();
     askedMs = 0;
     ask();
   }
 
-  private void confirm(final PeerConnection link, final ConfirmLeadershipRequest confirm) {
-    ledger.confirm(
+  private void confirm(final PeerConnection connection, final ConfirmLeadershipRequest request) {
+    raftNode.confirm(
         held -> {
-          final ConfirmLeadershipResponse confirmed = new ConfirmLeadershipResponse();
-          confirmed.number = confirm.number;
-          confirmed.held = held;
-          confirmed.commit = ledger.commit();
-          link.send(confirmed);
+          final ConfirmLeadershipResponse response = new ConfirmLeadershipResponse();
+          response.number = request.number;
+          response.held = held;
+          response.commit = raftNode.commit();
+          connection.send(response);
         });
   }
 
-  private void confirmed(final PeerConnection link, final ConfirmLeadershipResponse confirmed) {
-    final List<PendingRenewal> asked = questions.answered(confirmed.number, link);
+  private void confirmed(
+      final PeerConnection connection, final ConfirmLeadershipResponse response) {
+    final List<PendingRenewal> asked = pendingRequests.answered(response.number, connection);
     if (asked == null) {
       return;
     }
-    if (confirmed.held) {
-      proven.add(new ConfirmedBatch(confirmed.commit, asked));
+    if (response.held) {
+      proven.add(new ConfirmedBatch(response.commit, asked));
       settled();
     }
     ask();
@@ -187,50 +193,51 @@
   /** Grants what was proven once this home has applied as much. */
   void settled() {
     for (final ConfirmedBatch one : List.copyOf(proven)) {
-      if (ledger.applied() >= one.commit) {
+      if (raftNode.applied() >= one.commit) {
         proven.remove(one);
         one.asked.forEach(this::grant);
       }
     }
   }
 
-  private void grant(final PendingRenewal asked) {
-    final SubscriberState told = subscribers.get(asked.link);
-    if (told == null) {
+  private void grant(final PendingRenewal renewal) {
+    final SubscriberState subscriber = subscribers.get(renewal.connection);
+    if (subscriber == null) {
       return;
     }
-    final LeaseResponse lease = news(told);
-    lease.held = true;
-    lease.request = asked.renew.request;
-    asked.link.send(lease);
+    final LeaseResponse response = news(subscriber);
+    response.held = true;
+    response.request = renewal.request.request;
+    renewal.connection.send(response);
   }
 
-  private LeaseResponse news(final SubscriberState told) {
-    final LeaseResponse lease = new LeaseResponse();
-    lease.version = core.version();
-    if (told.version < core.version()) {
+  private LeaseResponse news(final SubscriberState subscriber) {
+    final LeaseResponse response = new LeaseResponse();
+    response.version = stateMachine.version();
+    if (subscriber.version < stateMachine.version()) {
       final List<RecentChanges.VersionPatch> patches =
-          core.news().patchesFrom(told.version, core.json().length());
-      lease.json = patches == null ? core.json() : null;
-      lease.patches = patches == null ? lease.patches : patches;
-      told.version = core.version();
-      told.toldMs = pulse.nowMs();
+          stateMachine.news().patchesFrom(subscriber.version, stateMachine.json().length());
+      response.json = patches == null ? stateMachine.json() : null;
+      response.patches = patches == null ? response.patches : patches;
+      subscriber.version = stateMachine.version();
+      subscriber.toldMs = context.nowMs();
     }
-    if (told.factsNumber < core.facts().number) {
-      final List<ClusterState.Change> changes = core.news().changesFrom(told.factsNumber);
-      lease.facts = changes == null ? core.facts() : null;
-      lease.changes = changes == null ? lease.changes : changes;
-      told.factsNumber = core.facts().number;
-      told.toldMs = pulse.nowMs();
+    if (subscriber.factsNumber < stateMachine.facts().number) {
+      final List<ClusterState.Change> changes =
+          stateMachine.news().changesFrom(subscriber.factsNumber);
+      response.clusterState = changes == null ? stateMachine.facts() : null;
+      response.changes = changes == null ? response.changes : changes;
+      subscriber.factsNumber = stateMachine.facts().number;
+      subscriber.toldMs = context.nowMs();
     }
-    return lease;
+    return response;
   }
 
   /** Tells all subscribers of a configuration; what one turn changes goes out in one letter. */
   void tell() {
     if (!telling) {
       telling = true;
-      pulse.post(this::tellAll);
+      context.post(this::tellAll);
     }
   }
 
@@ -239,13 +246,13 @@
     subscribers.forEach(this::tell);
   }
 
-  private void tell(final PeerConnection link, final SubscriberState told) {
-    final LeaseResponse news = news(told);
-    if (news.json != null
-        || news.facts != null
-        || !news.patches.isEmpty()
-        || !news.changes.isEmpty()) {
-      link.send(news);
+  private void tell(final PeerConnection connection, final SubscriberState subscriber) {
+    final LeaseResponse response = news(subscriber);
+    if (response.json != null
+        || response.clusterState != null
+        || !response.patches.isEmpty()
+        || !response.changes.isEmpty()) {
+      connection.send(response);
     }
   }
 
@@ -254,19 +261,19 @@
    * hears at once.
    */
   void tellFacts() {
-    for (final PeerConnection link : List.copyOf(unnamed)) {
-      final SubscriberState told = subscribers.get(link);
-      if (told == null || named(told.renew)) {
-        unnamed.remove(link);
-        if (told != null) {
-          tell(link, told);
+    for (final PeerConnection connection : List.copyOf(unnamed)) {
+      final SubscriberState subscriber = subscribers.get(connection);
+      if (subscriber == null || named(subscriber.request)) {
+        unnamed.remove(connection);
+        if (subscriber != null) {
+          tell(connection, subscriber);
         }
       }
     }
     if (!tellingFacts) {
       tellingFacts = true;
-      pulse.after(
-          FACTS_BATCH_MS,
+      context.after(
+          CLUSTER_STATE_BATCH_MS,
           () -> {
             tellingFacts = false;
             tellAll();
@@ -274,7 +281,7 @@
     }
   }
 
-  private boolean named(final LeaseRequest renew) {
-    return core.facts().replica(renew.who.address, renew.who.life) != 0;
+  private boolean named(final LeaseRequest request) {
+    return stateMachine.facts().replica(request.process.address, request.process.life) != 0;
   }
 }
--- a/src/main/java/yewjunction/control/LeasedProcesses.java
+++ b/src/main/java/yewjunction/control/LeasedProcesses.java
@@ -1,6 +1,6 @@
 package yewjunction.control;
 
-import static yewjunction.common.ToolLimits.WARD_MS;
+import static yewjunction.limits.LeaseLimits.PROCESS_REPORT_EXPIRY_MS;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -15,17 +15,17 @@
  * doctor only.
  */
 final class LeasedProcesses {
-  private final AgentContext pulse;
+  private final AgentContext context;
   private final Map<String, TimedReport> seen = new TreeMap<>();
 
-  private record TimedReport(ProcessReport who, long atMs) {}
+  private record TimedReport(ProcessReport process, long atMs) {}
 
-  LeasedProcesses(final AgentContext pulse) {
-    this.pulse = pulse;
+  LeasedProcesses(final AgentContext context) {
+    this.context = context;
   }
 
-  void heard(final ProcessReport who) {
-    seen.put(who.address, new TimedReport(who, pulse.nowMs()));
+  void heard(final ProcessReport process) {
+    seen.put(process.address, new TimedReport(process, context.nowMs()));
   }
 
   /** Breaks of the declared order, by channel and edge. */
@@ -33,26 +33,28 @@
     final List<Map<String, Object>> rows = new ArrayList<>();
     seen.values()
         .forEach(
-            one -> one.who.disorders.forEach(disorder -> rows.add(disorder.row(one.who.node))));
+            report ->
+                report.process.disorders.forEach(
+                    disorder -> rows.add(disorder.row(report.process.node))));
     return rows;
   }
 
   List<Map<String, Object>> rows() {
-    final long nowMs = pulse.nowMs();
+    final long nowMs = context.nowMs();
     // Whoever asks another crux now is that one's ward.
-    seen.values().removeIf(one -> nowMs - one.atMs > WARD_MS);
+    seen.values().removeIf(report -> nowMs - report.atMs > PROCESS_REPORT_EXPIRY_MS);
     final List<Map<String, Object>> rows = new ArrayList<>();
-    for (final TimedReport one : seen.values()) {
+    for (final TimedReport report : seen.values()) {
       final Map<String, Object> row = new LinkedHashMap<>();
-      row.put("Nodename", one.who.node);
-      row.put("Duty", one.who.duty);
-      row.put("Az", one.who.zone);
-      row.put("SeenMs", nowMs - one.atMs);
-      row.put("Held", one.who.held);
-      row.put("Waiting", one.who.waiting);
-      row.put("Dark", one.who.dark);
-      row.put("DiskOwedMs", one.who.diskOwedMs);
-      row.put("MemoryPct", one.who.memoryPct);
+      row.put("Nodename", report.process.node);
+      row.put("Duty", report.process.duty);
+      row.put("Az", report.process.zone);
+      row.put("SeenMs", nowMs - report.atMs);
+      row.put("Held", report.process.held);
+      row.put("Waiting", report.process.waiting);
+      row.put("Dark", report.process.dark);
+      row.put("DiskOwedMs", report.process.diskOwedMs);
+      row.put("MemoryPct", report.process.memoryPct);
       rows.add(row);
     }
     return rows;
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -1,9 +1,9 @@
 package yewjunction.control;
 
-import static yewjunction.common.ControlLimits.VAULTS_HEARD_MS;
-import static yewjunction.common.Limits.ENROL_MS;
-import static yewjunction.common.Limits.REPLICA_GONE_MS;
-import static yewjunction.common.Limits.VAULTS_WAIT_MS;
+import static yewjunction.limits.LeaseLimits.FIRST_STORES_WAIT_MS;
+import static yewjunction.limits.LeaseLimits.REPLICA_RETIREMENT_MS;
+import static yewjunction.limits.LeaseLimits.STORES_REPORT_MS;
+import static yewjunction.limits.RaftLimits.REGISTRATION_INTERVAL_MS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,11 +23,11 @@
 
 /** The leader's decisions about processes: replica names, the first vault voters, retirements. */
 final class NodeRegistry {
-  private final AgentContext pulse;
-  private final PeerTransport post;
-  private final ControlStateMachine core;
-  private final RaftNode ledger;
-  private final MembershipList roster;
+  private final AgentContext context;
+  private final PeerTransport transport;
+  private final ControlStateMachine stateMachine;
+  private final RaftNode raftNode;
+  private final MembershipList membership;
   private final int voterCount;
   private final Map<String, StoreReport> vaults = new TreeMap<>();
   private final Map<String, Long> goneMs = new HashMap<>();
@@ -36,64 +36,65 @@
   private final Map<String, ProcessReport> early = new TreeMap<>();
   private final Set<String> proposed = new HashSet<>();
 
-  private record StoreReport(ProcessReport who, long atMs) {}
+  private record StoreReport(ProcessReport process, long atMs) {}
 
   NodeRegistry(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final ControlStateMachine core,
-      final RaftNode ledger,
-      final MembershipList roster,
+      final AgentContext context,
+      final PeerTransport transport,
+      final ControlStateMachine stateMachine,
+      final RaftNode raftNode,
+      final MembershipList membership,
       final int voterCount) {
-    this.pulse = pulse;
-    this.post = post;
-    this.core = core;
-    this.ledger = ledger;
-    this.roster = roster;
+    this.context = context;
+    this.transport = transport;
+    this.stateMachine = stateMachine;
+    this.raftNode = raftNode;
+    this.membership = membership;
     this.voterCount = voterCount;
-    post.on(RegisterRequest.class, (link, enlist) -> heard(enlist.who));
-    pulse.every(ENROL_MS, this::look);
+    transport.on(RegisterRequest.class, (connection, request) -> heard(request.process));
+    context.every(REGISTRATION_INTERVAL_MS, this::look);
   }
 
-  void heard(final ProcessReport who) {
-    final boolean vault = NodeRole.STORE.is(who.duty);
-    if (!ledger.leads()) {
+  void heard(final ProcessReport process) {
+    final boolean vault = NodeRole.STORE.is(process.duty);
+    if (!raftNode.leads()) {
       // Only the leader decides; vaults are told of each time, tides until they have their name.
-      final boolean news = vault || core.facts().replica(who.address, who.life) == 0;
-      if (news && ledger.leader() != null && !ledger.leader().equals(ledger.identity())) {
-        final RegisterRequest enlist = new RegisterRequest();
-        enlist.who = who;
-        post.dial(RaftNode.address(ledger.leader())).send(enlist);
+      final boolean news =
+          vault || stateMachine.facts().replica(process.address, process.life) == 0;
+      if (news && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
+        final RegisterRequest request = new RegisterRequest();
+        request.process = process;
+        transport.dial(RaftNode.address(raftNode.leader())).send(request);
       } else if (news) {
         // Nobody leads yet, or this member is about to: kept until then, so that nobody has to ask
         // again.
-        early.put(who.address, who);
+        early.put(process.address, process);
       }
       return;
     }
     if (vault) {
-      vaults.put(who.address, new StoreReport(who, pulse.nowMs()));
+      vaults.put(process.address, new StoreReport(process, context.nowMs()));
       chooseVaults();
-      who.emptied.forEach(this::retired);
-    } else if (core.facts().replica(who.address, who.life) == 0) {
-      final ControlCommand deed = new ControlCommand(ControlCommand.REPLICA);
-      deed.address = who.address;
-      deed.node = who.node;
-      deed.life = who.life;
-      propose("replica " + who.address + " " + who.life, deed);
+      process.emptied.forEach(this::retired);
+    } else if (stateMachine.facts().replica(process.address, process.life) == 0) {
+      final ControlCommand command = new ControlCommand(ControlCommand.REPLICA);
+      command.address = process.address;
+      command.node = process.node;
+      command.life = process.life;
+      propose("replica " + process.address + " " + process.life, command);
     }
   }
 
   void leaderChanged() {
-    leaderMs = pulse.nowMs();
+    leaderMs = context.nowMs();
     final List<ProcessReport> kept = new ArrayList<>(early.values());
     early.clear();
     kept.forEach(this::heard);
   }
 
-  private void propose(final String what, final ControlCommand deed) {
+  private void propose(final String what, final ControlCommand command) {
     if (proposed.add(what)
-        && !ledger.propose(ControlStateMachine.bytes(deed), done -> proposed.remove(what))) {
+        && !raftNode.propose(ControlStateMachine.bytes(command), done -> proposed.remove(what))) {
       proposed.remove(what);
     }
   }
@@ -103,34 +104,35 @@
    * them.
    */
   private void chooseVaults() {
-    if (!core.facts().vaults.isEmpty()) {
+    if (!stateMachine.facts().stores.isEmpty()) {
       return;
     }
     final List<String> identities = new ArrayList<>();
     final Set<String> zones = new HashSet<>();
-    for (final StoreReport seen : vaults.values()) {
-      if (identities.size() < voterCount && zones.add(seen.who.zone)) {
-        identities.add(seen.who.identity);
+    for (final StoreReport report : vaults.values()) {
+      if (identities.size() < voterCount && zones.add(report.process.zone)) {
+        identities.add(report.process.identity);
       }
     }
     if (identities.size() >= voterCount || enoughInFewZones(identities)) {
-      final ControlCommand deed = new ControlCommand(ControlCommand.VAULTS);
-      deed.identities = identities;
+      final ControlCommand command = new ControlCommand(ControlCommand.VAULTS);
+      command.identities = identities;
       identities.forEach(
-          identity -> deed.zones.add(vaults.get(RaftNode.address(identity)).who.zone));
-      propose("vaults", deed);
+          identity -> command.zones.add(vaults.get(RaftNode.address(identity)).process.zone));
+      propose("vaults", command);
     }
   }
 
   /** Fewer zones than voters, or fewer vaults: begun only once late ones have had time to call. */
   private boolean enoughInFewZones(final List<String> identities) {
-    final long waitedMs = pulse.nowMs() - firstMs();
-    if (waitedMs < (vaults.size() < voterCount ? VAULTS_WAIT_MS : 6 * ENROL_MS)) {
+    final long waitedMs = context.nowMs() - firstMs();
+    if (waitedMs
+        < (vaults.size() < voterCount ? FIRST_STORES_WAIT_MS : 6 * REGISTRATION_INTERVAL_MS)) {
       return false;
     }
-    for (final StoreReport seen : vaults.values()) {
-      if (identities.size() < voterCount && !identities.contains(seen.who.identity)) {
-        identities.add(seen.who.identity);
+    for (final StoreReport report : vaults.values()) {
+      if (identities.size() < voterCount && !identities.contains(report.process.identity)) {
+        identities.add(report.process.identity);
       }
     }
     return true;
@@ -138,27 +140,28 @@
 
   private long firstMs() {
     if (startedMs < 0) {
-      startedMs = pulse.nowMs();
+      startedMs = context.nowMs();
     }
     return startedMs;
   }
 
   private void look() {
-    if (!ledger.leads()) {
+    if (!raftNode.leads()) {
       goneMs.clear();
       vaults.clear();
       startedMs = -1;
       return;
     }
-    final long nowMs = pulse.nowMs();
-    for (final ClusterState.Replica replica : List.copyOf(core.facts().replicas)) {
-      final Member peer = roster.at(replica.address);
-      if (peer != null && peer.up()) {
+    final long nowMs = context.nowMs();
+    for (final ClusterState.Replica replica : List.copyOf(stateMachine.facts().replicas)) {
+      final Member member = membership.at(replica.address);
+      if (member != null && member.up()) {
         goneMs.remove(replica.address);
-      } else if (nowMs - goneMs.computeIfAbsent(replica.address, key -> nowMs) > REPLICA_GONE_MS) {
-        final ControlCommand deed = new ControlCommand(ControlCommand.REPLICA_GONE);
-        deed.name = replica.name;
-        propose("gone " + replica.name, deed);
+      } else if (nowMs - goneMs.computeIfAbsent(replica.address, key -> nowMs)
+          > REPLICA_RETIREMENT_MS) {
+        final ControlCommand command = new ControlCommand(ControlCommand.REPLICA_GONE);
+        command.name = replica.name;
+        propose("gone " + replica.name, command);
       }
     }
   }
@@ -166,9 +169,10 @@
   // --- emptying store machines ---
 
   private StoreReport vault(final String node) {
-    for (final StoreReport seen : vaults.values()) {
-      if (seen.who.node.equals(node) && pulse.nowMs() - seen.atMs < 10 * ENROL_MS) {
-        return seen;
+    for (final StoreReport report : vaults.values()) {
+      if (report.process.node.equals(node)
+          && context.nowMs() - report.atMs < 10 * REGISTRATION_INTERVAL_MS) {
+        return report;
       }
     }
     return null;
@@ -179,17 +183,17 @@
     vaults
         .values()
         .forEach(
-            seen ->
+            report ->
                 rows.add(
                     Map.of(
                         "Nodename",
-                        seen.who.node,
+                        report.process.node,
                         "Applied",
-                        seen.who.applied,
+                        report.process.applied,
                         "SeenMs",
-                        pulse.nowMs() - seen.atMs,
+                        context.nowMs() - report.atMs,
                         "Accounts",
-                        seen.who.balances.stream().map(AccountBalance::row).toList())));
+                        report.process.balances.stream().map(AccountBalance::row).toList())));
     return rows;
   }
 
@@ -199,28 +203,28 @@
     vaults
         .values()
         .forEach(
-            seen ->
-                seen.who.balances.stream()
+            report ->
+                report.process.balances.stream()
                     .filter(balance -> balance.tenant.equals(tenant))
                     .forEach(
                         balance -> {
                           final Map<String, Object> row = balance.row();
-                          row.put("Nodename", seen.who.node);
-                          row.put("SeenMs", pulse.nowMs() - seen.atMs);
+                          row.put("Nodename", report.process.node);
+                          row.put("SeenMs", context.nowMs() - report.atMs);
                           rows.add(row);
                         }));
     return rows;
   }
 
   boolean knows(final String node) {
-    return vault(node) != null || core.facts().retiring(node) != null;
+    return vault(node) != null || stateMachine.facts().retiring(node) != null;
   }
 
   /**
    * Led long enough that every vault in touch has called: what is not known by now is not there.
    */
   boolean settled() {
-    return pulse.nowMs() - leaderMs >= VAULTS_HEARD_MS;
+    return context.nowMs() - leaderMs >= STORES_REPORT_MS;
   }
 
   /**
@@ -231,36 +235,38 @@
     return settled()
         && vaults.values().stream()
             .noneMatch(
-                seen -> seen.who.node.equals(node) && pulse.nowMs() - seen.atMs < REPLICA_GONE_MS);
+                report ->
+                    report.process.node.equals(node)
+                        && context.nowMs() - report.atMs < REPLICA_RETIREMENT_MS);
   }
 
   /** Whether enough vaults stay when this one goes. */
   boolean spares(final String node) {
-    final Set<String> retiring = core.facts().retiringAddresses();
+    final Set<String> retiring = stateMachine.facts().retiringAddresses();
     final long staying =
         vaults.values().stream()
             .filter(
-                seen ->
-                    !seen.who.node.equals(node)
-                        && !retiring.contains(seen.who.address)
-                        && pulse.nowMs() - seen.atMs < 10 * ENROL_MS)
+                report ->
+                    !report.process.node.equals(node)
+                        && !retiring.contains(report.process.address)
+                        && context.nowMs() - report.atMs < 10 * REGISTRATION_INTERVAL_MS)
             .count();
     return staying >= voterCount;
   }
 
   ControlCommand retirement(final String node) {
-    final ControlCommand deed = new ControlCommand(ControlCommand.RETIRE);
-    deed.node = node;
-    deed.address = vault(node).who.address;
-    return deed;
+    final ControlCommand command = new ControlCommand(ControlCommand.RETIRE);
+    command.node = node;
+    command.address = vault(node).process.address;
+    return command;
   }
 
   private void retired(final String node) {
-    final ClusterState.Retirement retiring = core.facts().retiring(node);
+    final ClusterState.Retirement retiring = stateMachine.facts().retiring(node);
     if (retiring != null && !retiring.finished) {
-      final ControlCommand deed = new ControlCommand(ControlCommand.RETIRED);
-      deed.node = node;
-      propose("retired " + node, deed);
+      final ControlCommand command = new ControlCommand(ControlCommand.RETIRED);
+      command.node = node;
+      propose("retired " + node, command);
     }
   }
 }
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -1,10 +1,10 @@
 package yewjunction.control;
 
-import static yewjunction.common.ControlLimits.CALL_BYTES_PER_MS;
 import static yewjunction.common.ErrorCode.CONFIG_FIELD;
 import static yewjunction.common.ErrorCode.CONFIG_VERSION;
-import static yewjunction.common.Limits.CALL_MS;
-import static yewjunction.common.Limits.CONFIG_BYTES;
+import static yewjunction.limits.OperatorLimits.CALL_BYTES_PER_EXTRA_MS;
+import static yewjunction.limits.OperatorLimits.CALL_TIMEOUT_MS;
+import static yewjunction.limits.OperatorLimits.MAX_CONFIGURATION_BYTES;
 
 import com.typesafe.config.ConfigRenderOptions;
 import com.typesafe.config.ConfigValueFactory;
@@ -20,11 +20,11 @@
 
 /** The operator's calls: one dispatch on method and path segments. All on the owner's thread. */
 public final class OperatorApi {
-  private final ControlStateMachine core;
-  private final RaftNode ledger;
-  private final NodeRegistry registrar;
-  private final ClusterStatus outlook;
-  private final ChangeQueue turns;
+  private final ControlStateMachine stateMachine;
+  private final RaftNode raftNode;
+  private final NodeRegistry registry;
+  private final ClusterStatus status;
+  private final ChangeQueue changeQueue;
 
   /**
    * What goes back: a status, a JSON body, and the address of the leader when the call belongs
@@ -53,28 +53,28 @@
      * How long its caller is thought to wait: longer for more routes, which take longer to read.
      */
     public long patienceMs() {
-      return CALL_MS + body.length / CALL_BYTES_PER_MS;
+      return CALL_TIMEOUT_MS + body.length / CALL_BYTES_PER_EXTRA_MS;
     }
   }
 
   OperatorApi(
-      final AgentContext pulse,
-      final ControlStateMachine core,
-      final RaftNode ledger,
-      final NodeRegistry registrar,
-      final ClusterStatus outlook) {
-    turns = new ChangeQueue(pulse, ledger, this::elsewhere);
-    this.outlook = outlook;
-    this.core = core;
-    this.ledger = ledger;
-    this.registrar = registrar;
+      final AgentContext context,
+      final ControlStateMachine stateMachine,
+      final RaftNode raftNode,
+      final NodeRegistry registry,
+      final ClusterStatus status) {
+    changeQueue = new ChangeQueue(context, raftNode, this::elsewhere);
+    this.status = status;
+    this.stateMachine = stateMachine;
+    this.raftNode = raftNode;
+    this.registry = registry;
   }
 
   /**
    * Who reads large bodies, one at a time, beside the owner's thread; without one the owner does.
    */
-  public void readBy(final TaskExecutor reader) {
-    turns.readBy(reader);
+  public void readBy(final TaskExecutor executor) {
+    changeQueue.readBy(executor);
   }
 
   static String quoted(final String text) {
@@ -82,36 +82,37 @@
   }
 
   /** Answers once, maybe later. */
-  public void take(final Request request, final Consumer<Response> answer) {
+  public void take(final Request request, final Consumer<Response> responder) {
     final String[] segments = request.path.split("/", -1);
     final String shape = shape(segments);
     final String wanted = shape == null ? null : shape.endsWith("show") ? "GET" : "POST";
     if (wanted == null) {
-      answer.accept(Response.deny(404, "PATH_UNKNOWN", request.path));
+      responder.accept(Response.deny(404, "PATH_UNKNOWN", request.path));
     } else if (!wanted.equals(request.method)) {
-      answer.accept(Response.deny(405, "METHOD_WRONG", "use " + wanted));
-    } else if (request.body.length > CONFIG_BYTES) {
-      answer.accept(Response.deny(413, "BODY_TOOBIG", "at most " + CONFIG_BYTES + " bytes"));
+      responder.accept(Response.deny(405, "METHOD_WRONG", "use " + wanted));
+    } else if (request.body.length > MAX_CONFIGURATION_BYTES) {
+      responder.accept(
+          Response.deny(413, "BODY_TOOBIG", "at most " + MAX_CONFIGURATION_BYTES + " bytes"));
     } else if (shape.equals("outlook show")) {
-      answer.accept(Response.of(200, outlook.json()));
+      responder.accept(Response.of(200, status.json()));
     } else if (shape.equals("order show")) {
-      answer.accept(Response.of(200, outlook.order()));
+      responder.accept(Response.of(200, status.order()));
     } else if (shape.startsWith("config")
         && !wanted.equals("GET")
         && !ConfigurationChange.basedOnOne(request.base)) {
-      answer.accept(
+      responder.accept(
           Response.deny(400, CONFIG_FIELD.name(), "Base-Version: must be one whole number"));
-    } else if (!ledger.leads()) {
-      answer.accept(elsewhere());
+    } else if (!raftNode.leads()) {
+      responder.accept(elsewhere());
     } else {
       switch (shape) {
-        case "config show" -> tellConfirmed(this::show, answer);
-        case "config replace", "config update" -> change(request, shape, answer);
-        case "quota show" -> tellConfirmed(() -> quotaShow(segments[3]), answer);
+        case "config show" -> tellConfirmed(this::show, responder);
+        case "config replace", "config update" -> change(request, shape, responder);
+        case "quota show" -> tellConfirmed(() -> quotaShow(segments[3]), responder);
         // In turn with all changes: two that begin at once must not both count on the same spare.
         case "retire begin" ->
-            turns.take(request.patienceMs(), null, () -> retire(segments[3]), answer);
-        default -> tellConfirmed(() -> retireShow(segments[3]), answer);
+            changeQueue.take(request.patienceMs(), null, () -> retire(segments[3]), responder);
+        default -> tellConfirmed(() -> retireShow(segments[3]), responder);
       }
     }
   }
@@ -145,8 +146,8 @@
   }
 
   private Response elsewhere() {
-    final String leader = ledger.leader();
-    if (leader == null || leader.equals(ledger.identity())) {
+    final String leader = raftNode.leader();
+    if (leader == null || leader.equals(raftNode.identity())) {
       return Response.deny(503, "NO_LEADER", "no majority yet, try again");
     }
     return new Response(307, "{}", RaftNode.address(leader));
@@ -156,77 +157,79 @@
    * Told once a majority has confirmed, after the call came, that this member leads: by what its
    * state is then.
    */
-  private void tellConfirmed(final Supplier<Response> look, final Consumer<Response> answer) {
-    ledger.confirm(held -> answer.accept(held ? look.get() : elsewhere()));
+  private void tellConfirmed(final Supplier<Response> look, final Consumer<Response> responder) {
+    raftNode.confirm(held -> responder.accept(held ? look.get() : elsewhere()));
   }
 
   private Response show() {
-    return core.json() == null
+    return stateMachine.json() == null
         ? Response.deny(404, "NO_CONFIG", "no configuration has been taken")
-        : Response.of(200, core.json());
+        : Response.of(200, stateMachine.json());
   }
 
-  private void change(final Request request, final String shape, final Consumer<Response> answer) {
+  private void change(
+      final Request request, final String shape, final Consumer<Response> responder) {
     final Consumer<Response> noting =
-        one -> {
-          if (one.status >= 400 && one.status < 500) {
-            LogEvent.CONFIG_DENIED.info(one.status + " " + one.json);
+        response -> {
+          if (response.status >= 400 && response.status < 500) {
+            LogEvent.CONFIG_DENIED.info(response.status + " " + response.json);
           }
-          answer.accept(one);
+          responder.accept(response);
         };
-    final ConfigurationChange order = new ConfigurationChange(shape, request.base, request.body);
-    turns.take(request.patienceMs(), order::read, () -> look(order), noting);
+    final ConfigurationChange change = new ConfigurationChange(shape, request.base, request.body);
+    changeQueue.take(request.patienceMs(), change::read, () -> look(change), noting);
   }
 
-  private static Response invalid(final ConfigurationException defect) {
-    return Response.deny(400, defect.code().name(), defect.getMessage());
+  private static Response invalid(final ConfigurationException failure) {
+    return Response.deny(400, failure.code().name(), failure.getMessage());
   }
 
-  private CallDecision look(final ConfigurationChange order) {
-    final Response taken = Response.of(200, "{\"Ver\":" + order.version() + "}");
+  private CallDecision look(final ConfigurationChange change) {
+    final Response taken = Response.of(200, "{\"Ver\":" + change.version() + "}");
     // First of all: what was taken is never refused, for whatever reason.
-    if (core.taken(order.version(), order.digest())) {
+    if (stateMachine.taken(change.version(), change.digest())) {
       return CallDecision.lasting(taken);
     }
-    if (order.defect() != null) {
-      return CallDecision.lasting(invalid(order.defect()));
+    if (change.defect() != null) {
+      return CallDecision.lasting(invalid(change.defect()));
     }
-    if (order.rises() && core.forgot(order.version())) {
+    if (change.rises() && stateMachine.forgot(change.version())) {
       return CallDecision.lasting(Response.unclear("too long ago to know whether it was taken"));
     }
-    if (order.base != core.version()) {
-      order.release();
+    if (change.base != stateMachine.version()) {
+      change.release();
       return CallDecision.fact(
-          Response.deny(412, CONFIG_VERSION.name(), "version " + core.version() + " is current"));
+          Response.deny(
+              412, CONFIG_VERSION.name(), "version " + stateMachine.version() + " is current"));
     }
-    if (!order.prepared()) {
-      final Configuration current = core.parsed();
-      final String json = core.json();
+    if (!change.prepared()) {
+      final Configuration current = stateMachine.parsed();
+      final String json = stateMachine.json();
       return CallDecision.beside(
           () ->
-              order.prepare(current != null || json == null ? current : Configuration.read(json)));
+              change.prepare(current != null || json == null ? current : Configuration.read(json)));
     }
     // Looked at anew after that: another leader may have gone on meanwhile, and what builds on an
     // old base must not be proposed.
-    return CallDecision.agree(order.deed(), taken, () -> core.adopt(order.next()));
+    return CallDecision.agree(change.deed(), taken, () -> stateMachine.adopt(change.next()));
   }
 
   private CallDecision retire(final String node) {
     // Kept for good, so its repeat is known also when the machine is long gone.
-    if (core.facts().retiring(node) != null) {
+    if (stateMachine.facts().retiring(node) != null) {
       return CallDecision.lasting(Response.of(200, "{}"));
     }
-    if (!registrar.knows(node)) {
-      return registrar.unknown(node)
+    if (!registry.knows(node)) {
+      return registry.unknown(node)
           ? CallDecision.fact(nodeUnknown(node))
           : CallDecision.lasting(unheard());
     }
-    if (!registrar.spares(node)) {
-      return registrar.settled()
+    if (!registry.spares(node)) {
+      return registry.settled()
           ? CallDecision.fact(Response.deny(409, "TOO_FEW", "too few store machines would be left"))
           : CallDecision.lasting(unheard());
     }
-    return CallDecision.agree(registrar.retirement(node), Response.of(200, "{}"), () -> {});
+    return CallDecision.agree(registry.retirement(node), Response.of(200, "{}"), () -> {});
   }
 
   private static Response nodeUnknown(final String node) {
@@ -246,10 +249,11 @@
    * still owe.
    */
   private Response quotaShow(final String name) {
-    final Configuration.Tenant tenant = core.current() == null ? null : core.current().tenant(name);
-    final List<Map<String, Object>> rows = registrar.balanceRows(name);
+    final Configuration.Tenant tenant =
+        stateMachine.current() == null ? null : stateMachine.current().tenant(name);
+    final List<Map<String, Object>> rows = registry.balanceRows(name);
     if (tenant == null && rows.isEmpty()) {
-      return registrar.settled() ? Response.deny(404, "TENANT_UNKNOWN", name) : unheard();
+      return registry.settled() ? Response.deny(404, "TENANT_UNKNOWN", name) : unheard();
     }
     final Map<String, Object> page = new LinkedHashMap<>();
     page.put("Tenant", name);
@@ -262,9 +266,9 @@
   }
 
   private Response retireShow(final String node) {
-    final ClusterState.Retirement retiring = core.facts().retiring(node);
-    if (retiring == null && !registrar.knows(node)) {
-      return registrar.unknown(node) ? nodeUnknown(node) : unheard();
+    final ClusterState.Retirement retiring = stateMachine.facts().retiring(node);
+    if (retiring == null && !registry.knows(node)) {
+      return registry.unknown(node) ? nodeUnknown(node) : unheard();
     }
     return Response.of(
         200, retiring != null && retiring.finished ? "{\"St\":\"finished\"}" : "{\"St\":\"up\"}");
--- a/src/main/java/yewjunction/control/RecentChanges.java
+++ b/src/main/java/yewjunction/control/RecentChanges.java
@@ -1,6 +1,6 @@
 package yewjunction.control;
 
-import static yewjunction.common.Limits.NEWS_KEPT;
+import static yewjunction.limits.LeaseLimits.MAX_RECENT_CHANGES;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -23,17 +23,17 @@
     long digest;
   }
 
-  void changed(final ControlCommand deed) {
-    if (deed.patch == null) {
+  void changed(final ControlCommand command) {
+    if (command.patch == null) {
       // Only the whole leads across this version.
       patches.clear();
       return;
     }
     final VersionPatch patch = new VersionPatch();
-    patch.base = deed.base;
-    patch.version = deed.version;
-    patch.json = deed.patch;
-    patch.digest = deed.patchDigest;
+    patch.base = command.base;
+    patch.version = command.version;
+    patch.json = command.patch;
+    patch.digest = command.patchDigest;
     keep(patches, patch);
   }
 
@@ -43,7 +43,7 @@
 
   private static <T> void keep(final ArrayDeque<T> kept, final T one) {
     kept.add(one);
-    if (kept.size() > NEWS_KEPT) {
+    if (kept.size() > MAX_RECENT_CHANGES) {
       kept.poll();
     }
   }
--- a/src/main/java/yewjunction/doctor/BorrowingCheck.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -12,11 +12,11 @@
   private BorrowingCheck() {}
 
   /** Rows of vaults as the leading crux shows them. */
-  static List<Finding> look(final List<? extends Config> vaults) {
+  static List<Finding> look(final List<? extends Config> stores) {
     final List<Finding> findings = new ArrayList<>();
     final Map<String, String> told = new TreeMap<>();
     final Map<String, Config> newest = new TreeMap<>();
-    for (final Config vault : vaults) {
+    for (final Config vault : stores) {
       for (final Config account :
           vault.hasPath("Accounts") ? vault.getConfigList("Accounts") : List.<Config>of()) {
         final String tenant = account.getString("Tenant");
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -1,13 +1,13 @@
 package yewjunction.doctor;
 
-import static yewjunction.common.ToolLimits.DOCTOR_APART_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_BEHIND;
-import static yewjunction.common.ToolLimits.DOCTOR_CALL_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_FULL_SHARE;
-import static yewjunction.common.ToolLimits.DOCTOR_MEMORY_PCT;
-import static yewjunction.common.ToolLimits.DOCTOR_OWED_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_SILENT_MS;
-import static yewjunction.common.ToolLimits.DOCTOR_WAITING;
+import static yewjunction.limits.ToolLimits.FULL_DISK_SHARE;
+import static yewjunction.limits.ToolLimits.FULL_MEMORY_PERCENT;
+import static yewjunction.limits.ToolLimits.MAX_CLOCK_DIFFERENCE_MS;
+import static yewjunction.limits.ToolLimits.MAX_STORE_LAG_ENTRIES;
+import static yewjunction.limits.ToolLimits.MAX_WAITING_PUBLISHES;
+import static yewjunction.limits.ToolLimits.PROBE_TIMEOUT_MS;
+import static yewjunction.limits.ToolLimits.SLOW_DISK_MS;
+import static yewjunction.limits.ToolLimits.STORE_SILENCE_MS;
 
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigException;
@@ -34,7 +34,7 @@
   private final Settings settings;
   private final Path dataFolder;
   private MaintenanceWindows windows;
-  private final HttpProbe caller = new HttpProbe(DOCTOR_CALL_MS);
+  private final HttpProbe caller = new HttpProbe(PROBE_TIMEOUT_MS);
   private final List<Finding> findings = new ArrayList<>();
   private final TreeMap<String, Config> outlooks = new TreeMap<>();
 
@@ -97,7 +97,7 @@
           "see whether the crux there runs and can be reached from here");
       return;
     }
-    if (reply.clockMs() != null && Math.abs(reply.clockMs()) > DOCTOR_APART_MS) {
+    if (reply.clockMs() != null && Math.abs(reply.clockMs()) > MAX_CLOCK_DIFFERENCE_MS) {
       found(
           Code.CLOCK_APART,
           seed + ": its clock is " + reply.clockMs() + " ms ahead of this one",
@@ -107,13 +107,13 @@
       if (reply.status() != 200) {
         throw new ConfigException.Generic("status " + reply.status());
       }
-      final Config outlook = ConfigFactory.parseString(reply.body());
-      outlook.getBoolean("Leads");
-      outlooks.put(seed, outlook);
-    } catch (final ConfigException defect) {
+      final Config status = ConfigFactory.parseString(reply.body());
+      status.getBoolean("Leads");
+      outlooks.put(seed, status);
+    } catch (final ConfigException failure) {
       found(
           Code.SEED_ODD,
-          seed + ": " + defect.getMessage(),
+          seed + ": " + failure.getMessage(),
           "see what listens there; releases too far apart?");
     }
   }
@@ -122,22 +122,22 @@
     final List<String> leaders = new ArrayList<>();
     final Set<Long> versions = new HashSet<>();
     for (final var one : outlooks.entrySet()) {
-      final Config outlook = one.getValue();
-      if (outlook.getBoolean("Leads")) {
+      final Config status = one.getValue();
+      if (status.getBoolean("Leads")) {
         leaders.add(one.getKey());
       }
       // More cruxes than seats: the rest stand by.
-      if (!outlook.getBoolean("Votes")
-          && outlook.getStringList("Voters").size() < settings.votersNeeded()) {
+      if (!status.getBoolean("Votes")
+          && status.getStringList("Voters").size() < settings.votersNeeded()) {
         found(
             Code.CRUX_OUTSIDE,
             one.getKey() + " does not vote",
             "a wiped crux joins within seconds; if not, see its log");
       }
-      versions.add(outlook.getLong("Ver"));
+      versions.add(status.getLong("Ver"));
     }
     final Set<String> named = new HashSet<>();
-    outlooks.values().forEach(outlook -> named.add(outlook.getString("Leader")));
+    outlooks.values().forEach(status -> named.add(status.getString("Leader")));
     named.remove("");
     if (leaders.isEmpty() && named.isEmpty()) {
       found(
@@ -174,15 +174,14 @@
     outlooks
         .values()
         .forEach(
-            outlook ->
-                outlook
+            status ->
+                status
                     .getConfigList("Siblings")
                     .forEach(one -> known.put(one.getString("Addr"), one)));
     final Set<String> answering = new HashSet<>(known.keySet());
     outlooks
         .values()
-        .forEach(
-            outlook -> answering.add(outlook.hasPath("Addr") ? outlook.getString("Addr") : ""));
+        .forEach(status -> answering.add(status.hasPath("Addr") ? status.getString("Addr") : ""));
     for (final String voter : outlooks.firstEntry().getValue().getStringList("Voters")) {
       if (outlooks.firstEntry().getValue().hasPath("Addr") && !answering.contains(voter)) {
         found(
@@ -213,13 +212,13 @@
 
   /** What processes say of themselves to the crux they ask for leases. */
   private void wards() {
-    for (final Config outlook : outlooks.values()) {
+    for (final Config status : outlooks.values()) {
       for (final Config ward :
-          outlook.hasPath("Wards") ? outlook.getConfigList("Wards") : List.<Config>of()) {
+          status.hasPath("Wards") ? status.getConfigList("Wards") : List.<Config>of()) {
         ward(ward, ward.getString("Nodename") + " (" + ward.getString("Duty") + ")");
       }
       for (final Config channel :
-          outlook.hasPath("Channels") ? outlook.getConfigList("Channels") : List.<Config>of()) {
+          status.hasPath("Channels") ? status.getConfigList("Channels") : List.<Config>of()) {
         if (channel.getLong("Breaks") > 0) {
           found(
               Code.ORDER_BROKEN,
@@ -254,7 +253,7 @@
           node,
           zone);
     }
-    if (ward.getLong("Waiting") > DOCTOR_WAITING) {
+    if (ward.getLong("Waiting") > MAX_WAITING_PUBLISHES) {
       found(
           Code.INTAKE_FILLS,
           name + " has " + ward.getLong("Waiting") + " messages waiting",
@@ -262,7 +261,7 @@
           node,
           zone);
     }
-    if (ward.getLong("DiskOwedMs") > DOCTOR_OWED_MS) {
+    if (ward.getLong("DiskOwedMs") > SLOW_DISK_MS) {
       found(
           Code.DISK_SLOW,
           name + ": its disk owes a write since " + ward.getLong("DiskOwedMs") + " ms",
@@ -270,7 +269,7 @@
           node,
           zone);
     }
-    if (ward.getInt("MemoryPct") > DOCTOR_MEMORY_PCT) {
+    if (ward.getInt("MemoryPct") > FULL_MEMORY_PERCENT) {
       found(
           Code.MEMORY_NEAR_FULL,
           name + " uses " + ward.getInt("MemoryPct") + " % of its memory",
@@ -283,9 +282,9 @@
   private void vaults() {
     final List<? extends Config> rows =
         outlooks.values().stream()
-            .filter(outlook -> outlook.getBoolean("Leads"))
+            .filter(status -> status.getBoolean("Leads"))
             .findFirst()
-            .map(outlook -> outlook.getConfigList("Vaults"))
+            .map(status -> status.getConfigList("Vaults"))
             .orElse(null);
     // Only the leader hears from all vaults: without its word nothing can be said of them.
     if (rows == null) {
@@ -297,7 +296,7 @@
     int heard = 0;
     for (final Config row : rows) {
       newest = Math.max(newest, row.getLong("Applied"));
-      heard += row.getLong("SeenMs") < DOCTOR_SILENT_MS ? 1 : 0;
+      heard += row.getLong("SeenMs") < STORE_SILENCE_MS ? 1 : 0;
     }
     if (heard < needed) {
       found(
@@ -306,13 +305,13 @@
           "bring back or add store machines");
     }
     for (final Config row : rows) {
-      if (row.getLong("SeenMs") >= DOCTOR_SILENT_MS) {
+      if (row.getLong("SeenMs") >= STORE_SILENCE_MS) {
         found(
             Code.VAULT_SILENT,
             row.getString("Nodename") + " last called " + row.getLong("SeenMs") + " ms ago",
             "see whether it runs",
             row.getString("Nodename"));
-      } else if (newest - row.getLong("Applied") > DOCTOR_BEHIND) {
+      } else if (newest - row.getLong("Applied") > MAX_STORE_LAG_ENTRIES) {
         found(
             Code.VAULT_BEHIND,
             row.getString("Nodename")
@@ -342,7 +341,7 @@
             "nothing: a running process is writing, or they are cut at the next start");
       }
       if (settings.diskMb() > 0
-          && health.bytes() > DOCTOR_FULL_SHARE * settings.diskMb() * 1_048_576) {
+          && health.bytes() > FULL_DISK_SHARE * settings.diskMb() * 1_048_576) {
         found(
             Code.DISK_NEAR_FULL,
             health.file() + " has " + (health.bytes() >> 20) + " MB of " + settings.diskMb(),
--- a/src/main/java/yewjunction/doctor/HttpProbe.java
+++ b/src/main/java/yewjunction/doctor/HttpProbe.java
@@ -35,8 +35,8 @@
       final byte[] body = status >= 400 ? new byte[0] : link.getInputStream().readAllBytes();
       return new Response(
           status, new String(body, StandardCharsets.UTF_8), clock(link.getHeaderField("Date")));
-    } catch (final IOException | IllegalArgumentException defect) {
-      return new Response(-1, String.valueOf(defect.getMessage()), null);
+    } catch (final IOException | IllegalArgumentException failure) {
+      return new Response(-1, String.valueOf(failure.getMessage()), null);
     }
   }
 
@@ -48,7 +48,7 @@
                   .toInstant()
                   .toEpochMilli()
               - System.currentTimeMillis();
-    } catch (final DateTimeParseException defect) {
+    } catch (final DateTimeParseException failure) {
       return null;
     }
   }
--- a/src/main/java/yewjunction/fanout/StreamClient.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -1,8 +1,8 @@
 package yewjunction.fanout;
 
-import static yewjunction.common.Limits.HOME_BEAT_MS;
-import static yewjunction.common.Limits.HOME_RETURN_MS;
-import static yewjunction.common.Limits.HOME_SILENCE_MS;
+import static yewjunction.limits.FanoutLimits.RETURN_TO_OWN_ZONE_MS;
+import static yewjunction.limits.FanoutLimits.STREAM_HEARTBEAT_INTERVAL_MS;
+import static yewjunction.limits.FanoutLimits.STREAM_TIMEOUT_MS;
 
 import java.util.List;
 import java.util.function.Supplier;
@@ -23,15 +23,15 @@
  * lost.
  */
 public final class StreamClient {
-  private final AgentContext pulse;
-  private final PeerTransport post;
-  private final AddWinsSet weave;
-  private final SubscriptionSync shuttle;
-  private final SubscriptionSyncClient weft;
-  private final Supplier<List<String>> vaults;
+  private final AgentContext context;
+  private final PeerTransport transport;
+  private final AddWinsSet subscriptions;
+  private final SubscriptionSync sync;
+  private final SubscriptionSyncClient syncClient;
+  private final Supplier<List<String>> stores;
   private final Listener watcher;
   private final String node;
-  private PeerConnection home;
+  private PeerConnection server;
   private boolean welcomed;
   private long last = -1;
   private long heardMs;
@@ -64,39 +64,41 @@
    * Vaults: addresses, the own zone's first. Changed: something of the set may have been merged.
    */
   public StreamClient(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final AddWinsSet weave,
+      final AgentContext context,
+      final PeerTransport transport,
+      final AddWinsSet subscriptions,
       final String node,
-      final Supplier<List<String>> vaults,
+      final Supplier<List<String>> stores,
       final Listener watcher,
       final Runnable changed) {
-    this.pulse = pulse;
-    this.post = post;
-    this.weave = weave;
+    this.context = context;
+    this.transport = transport;
+    this.subscriptions = subscriptions;
     this.node = node;
-    this.vaults = vaults;
+    this.stores = stores;
     this.watcher = watcher;
-    shuttle = new SubscriptionSync(pulse, post, weave, () -> List.of(weave.self()), changed);
-    weft =
+    sync =
+        new SubscriptionSync(
+            context, transport, subscriptions, () -> List.of(subscriptions.self()), changed);
+    syncClient =
         new SubscriptionSyncClient(
-            pulse, post, weave, shuttle, () -> welcomed ? home : null, changed);
-    homelessMs = pulse.nowMs();
-    post.on(AttachResponse.class, this::welcome);
-    post.on(StreamBatch.class, this::flow);
-    post.on(ReplayResponse.class, this::takenUp);
-    post.onClose(this::closed);
-    pulse.every(HOME_BEAT_MS, this::beat);
-    pulse.every(
-        HOME_BEAT_MS / 3,
+            context, transport, subscriptions, sync, () -> welcomed ? server : null, changed);
+    homelessMs = context.nowMs();
+    transport.on(AttachResponse.class, this::welcome);
+    transport.on(StreamBatch.class, this::flow);
+    transport.on(ReplayResponse.class, this::takenUp);
+    transport.onClose(this::closed);
+    context.every(STREAM_HEARTBEAT_INTERVAL_MS, this::beat);
+    context.every(
+        STREAM_HEARTBEAT_INTERVAL_MS / 3,
         () -> {
           // Without a home clients wait: looked for at a faster pace than a home is kept at.
-          if (home != null && pulse.nowMs() - heardMs > HOME_SILENCE_MS) {
+          if (server != null && context.nowMs() - heardMs > STREAM_TIMEOUT_MS) {
             // A dark machine resets nothing: silence is all there is to go by.
             leave();
             attempt++;
           }
-          if (home == null) {
+          if (server == null) {
             denials = 0;
             attach();
           }
@@ -105,7 +107,7 @@
 
   /** ms without a home, 0 while there is one. */
   public long homelessMs() {
-    return welcomed ? 0 : pulse.nowMs() - homelessMs;
+    return welcomed ? 0 : context.nowMs() - homelessMs;
   }
 
   public String leader() {
@@ -113,12 +115,12 @@
   }
 
   private void beat() {
-    final long nowMs = pulse.nowMs();
+    final long nowMs = context.nowMs();
     denials = 0;
     if (welcomed) {
-      final Heartbeat word = new Heartbeat();
-      word.last = last;
-      home.send(word);
+      final Heartbeat heartbeat = new Heartbeat();
+      heartbeat.last = last;
+      server.send(heartbeat);
       goBack(nowMs);
     }
   }
@@ -127,10 +129,10 @@
    * The own zone's vault is nearest: an edge that fled goes back once that has been up for a while.
    */
   private void goBack(final long nowMs) {
-    final List<String> known = vaults.get();
-    if (known.isEmpty() || known.get(0).equals(home.remote())) {
+    final List<String> known = stores.get();
+    if (known.isEmpty() || known.get(0).equals(server.remote())) {
       returnMs = nowMs;
-    } else if (nowMs - returnMs > HOME_RETURN_MS) {
+    } else if (nowMs - returnMs > RETURN_TO_OWN_ZONE_MS) {
       returnMs = nowMs;
       attempt = 0;
       leave();
@@ -139,25 +141,25 @@
   }
 
   public void attach() {
-    final List<String> known = vaults.get();
-    if (weave.self() == 0 || known.isEmpty() || home != null) {
+    final List<String> known = stores.get();
+    if (subscriptions.self() == 0 || known.isEmpty() || server != null) {
       return;
     }
-    home = post.dial(known.get(Math.floorMod(attempt, known.size())));
-    heardMs = pulse.nowMs();
+    server = transport.dial(known.get(Math.floorMod(attempt, known.size())));
+    heardMs = context.nowMs();
     // Its own part of the set comes first, so that the stream starts with all this edge's
     // subscriptions.
-    shuttle.push(home, List.of(weave.self()), weave.mark(weave.self()));
-    final AttachRequest attach = new AttachRequest();
-    attach.replica = weave.self();
-    attach.node = node;
-    attach.last = last;
-    home.send(attach);
+    sync.push(server, List.of(subscriptions.self()), subscriptions.mark(subscriptions.self()));
+    final AttachRequest request = new AttachRequest();
+    request.replica = subscriptions.self();
+    request.node = node;
+    request.last = last;
+    server.send(request);
   }
 
   /** This edge's side of the exchange of the set. */
   public SubscriptionSyncClient weft() {
-    return weft;
+    return syncClient;
   }
 
   /**
@@ -170,12 +172,12 @@
   }
 
   private void leave() {
-    if (home != null) {
-      final PeerConnection left = home;
-      home = null;
+    if (server != null) {
+      final PeerConnection left = server;
+      server = null;
       if (welcomed) {
         welcomed = false;
-        homelessMs = pulse.nowMs();
+        homelessMs = context.nowMs();
         LogEvent.HOME_LOST.info(left.remote());
       }
       // Closed, so that nothing of the old stream can arrive any more.
@@ -183,8 +185,8 @@
     }
   }
 
-  private void closed(final PeerConnection link) {
-    if (link == home) {
+  private void closed(final PeerConnection connection) {
+    if (connection == server) {
       // A link that broke may be the link's own trouble: the same home is asked first, and only one
       // that
       // does not take this edge again is given up for another zone's.
@@ -196,26 +198,26 @@
     }
   }
 
-  private void welcome(final PeerConnection link, final AttachResponse welcome) {
-    if (link != home) {
+  private void welcome(final PeerConnection connection, final AttachResponse response) {
+    if (connection != server) {
       return;
     }
-    heardMs = pulse.nowMs();
-    if (!welcome.accepted) {
+    heardMs = context.nowMs();
+    if (!response.accepted) {
       leave();
       attempt++;
       // Each vault is asked once a beat: the next one at once, the same again a little later.
-      if (++denials < vaults.get().size()) {
+      if (++denials < stores.get().size()) {
         attach();
       }
       return;
     }
     welcomed = true;
     returnMs = heardMs;
-    LogEvent.HOME_ATTACHED.info(link.remote() + " from " + welcome.start);
-    final boolean gap = last >= 0 && welcome.start > last;
-    last = welcome.start;
-    hint(welcome.leader);
+    LogEvent.HOME_ATTACHED.info(connection.remote() + " from " + response.start);
+    final boolean gap = last >= 0 && response.start > last;
+    last = response.start;
+    hint(response.leader);
     if (gap) {
       LogEvent.STREAM_GAP.warn("up to " + last);
       watcher.gapped();
@@ -230,30 +232,31 @@
     }
   }
 
-  private void flow(final PeerConnection link, final StreamBatch flow) {
-    if (link != home || !welcomed) {
+  private void flow(final PeerConnection connection, final StreamBatch batch) {
+    if (connection != server || !welcomed) {
       return;
     }
-    heardMs = pulse.nowMs();
+    heardMs = context.nowMs();
     // Each piece names its predecessor: a gap shows, and the stream is taken up anew.
-    if (flow.from != last) {
-      LogEvent.STREAM_GAP.warn("at " + last + ", piece from " + flow.from);
+    if (batch.from != last) {
+      LogEvent.STREAM_GAP.warn("at " + last + ", piece from " + batch.from);
       leave();
       attach();
       return;
     }
-    flow.messages.forEach(watcher::message);
-    last = flow.upTo;
-    hint(flow.leader);
-    if (!flow.leader.isEmpty()) {
+    batch.messages.forEach(watcher::message);
+    last = batch.upTo;
+    hint(batch.leader);
+    if (!batch.leader.isEmpty()) {
       watcher.leaderHeard();
     }
   }
 
-  private void takenUp(final PeerConnection link, final ReplayResponse taken) {
-    if (link == home && welcomed) {
-      heardMs = pulse.nowMs();
-      watcher.taken(taken.request, taken.expired, taken.position, taken.messages, taken.more);
+  private void takenUp(final PeerConnection connection, final ReplayResponse response) {
+    if (connection == server && welcomed) {
+      heardMs = context.nowMs();
+      watcher.taken(
+          response.request, response.expired, response.position, response.messages, response.more);
     }
   }
 }
--- a/src/main/java/yewjunction/fanout/StreamServer.java
+++ b/src/main/java/yewjunction/fanout/StreamServer.java
@@ -1,10 +1,10 @@
 package yewjunction.fanout;
 
-import static yewjunction.common.ControlLimits.HOME_BEHIND_MS;
-import static yewjunction.common.Limits.FLOW_ITEMS;
-import static yewjunction.common.Limits.HOME_BEAT_MS;
-import static yewjunction.common.Limits.HOME_SILENCE_MS;
-import static yewjunction.common.Limits.REPLAY_PIECE_BYTES;
+import static yewjunction.limits.FanoutLimits.MAX_BATCH_MESSAGES;
+import static yewjunction.limits.FanoutLimits.MAX_SERVING_LAG_MS;
+import static yewjunction.limits.FanoutLimits.STREAM_HEARTBEAT_INTERVAL_MS;
+import static yewjunction.limits.FanoutLimits.STREAM_TIMEOUT_MS;
+import static yewjunction.limits.ReplayLimits.REPLAY_CHUNK_BYTES;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,11 +29,11 @@
 
 /** A vault as the home of edges: sends each what its part of the set asks for. */
 public final class StreamServer {
-  private final AgentContext pulse;
-  private final RaftNode ledger;
-  private final MessageStore cellar;
-  private final AddWinsSet weave;
-  private final Map<PeerConnection, AttachedEdge> ports = new LinkedHashMap<>();
+  private final AgentContext context;
+  private final RaftNode raftNode;
+  private final MessageStore messageStore;
+  private final AddWinsSet subscriptions;
+  private final Map<PeerConnection, AttachedEdge> attachedEdges = new LinkedHashMap<>();
   private long ledMs;
   private boolean closing;
 
@@ -53,192 +53,193 @@
   }
 
   public StreamServer(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final RaftNode ledger,
-      final MessageStore cellar,
-      final AddWinsSet weave) {
-    this.pulse = pulse;
-    this.ledger = ledger;
-    this.cellar = cellar;
-    this.weave = weave;
-    post.on(AttachRequest.class, this::attach);
-    post.on(SubscribeRequest.class, this::notice);
-    post.on(ReplayRequest.class, this::further);
-    post.on(Heartbeat.class, (link, word) -> {});
-    post.onClose(
-        link -> {
-          final AttachedEdge port = ports.remove(link);
-          if (port != null) {
-            LogEvent.EDGE_LOST.info(port.node);
+      final AgentContext context,
+      final PeerTransport transport,
+      final RaftNode raftNode,
+      final MessageStore messageStore,
+      final AddWinsSet subscriptions) {
+    this.context = context;
+    this.raftNode = raftNode;
+    this.messageStore = messageStore;
+    this.subscriptions = subscriptions;
+    transport.on(AttachRequest.class, this::attach);
+    transport.on(SubscribeRequest.class, this::notice);
+    transport.on(ReplayRequest.class, this::further);
+    transport.on(Heartbeat.class, (connection, heartbeat) -> {});
+    transport.onClose(
+        connection -> {
+          final AttachedEdge edge = attachedEdges.remove(connection);
+          if (edge != null) {
+            LogEvent.EDGE_LOST.info(edge.node);
           }
         });
-    pulse.every(HOME_BEAT_MS, this::beat);
+    context.every(STREAM_HEARTBEAT_INTERVAL_MS, this::beat);
   }
 
   /** The attached edges' replicas. */
   Map<PeerConnection, Long> edges() {
     final Map<PeerConnection, Long> edges = new LinkedHashMap<>();
-    ports.forEach((link, port) -> edges.put(link, port.replica));
+    attachedEdges.forEach((connection, edge) -> edges.put(connection, edge.replica));
     return edges;
   }
 
   private String leader() {
-    return ledger.leader() == null ? "" : RaftNode.address(ledger.leader());
+    return raftNode.leader() == null ? "" : RaftNode.address(raftNode.leader());
   }
 
   private boolean serves() {
-    return ledger.leader() != null && ledger.membership().behindMs() <= HOME_BEHIND_MS;
+    return raftNode.leader() != null && raftNode.membership().behindMs() <= MAX_SERVING_LAG_MS;
   }
 
-  private void attach(final PeerConnection link, final AttachRequest attach) {
-    final AttachResponse welcome = new AttachResponse();
+  private void attach(final PeerConnection connection, final AttachRequest request) {
+    final AttachResponse response = new AttachResponse();
     // One that hears no leader, or lags behind what the edge has seen, is a poor home.
-    welcome.accepted = !closing && serves() && ledger.applied() >= attach.last;
-    welcome.leader = leader();
-    if (welcome.accepted) {
-      final AttachedEdge port = new AttachedEdge();
-      port.node = attach.node;
-      port.replica = attach.replica;
-      port.sent = attach.last < cellar.floor() ? ledger.applied() : attach.last;
-      port.looked = port.sent;
-      welcome.start = port.sent;
-      ports.put(link, port);
-      LogEvent.EDGE_ATTACHED.info(port.node + " from " + port.sent);
-      link.send(welcome);
-      flow(link, port, false);
+    response.accepted = !closing && serves() && raftNode.applied() >= request.last;
+    response.leader = leader();
+    if (response.accepted) {
+      final AttachedEdge edge = new AttachedEdge();
+      edge.node = request.node;
+      edge.replica = request.replica;
+      edge.sent = request.last < messageStore.floor() ? raftNode.applied() : request.last;
+      edge.looked = edge.sent;
+      response.start = edge.sent;
+      attachedEdges.put(connection, edge);
+      LogEvent.EDGE_ATTACHED.info(edge.node + " from " + edge.sent);
+      connection.send(response);
+      flow(connection, edge, false);
     } else {
-      link.send(welcome);
+      connection.send(response);
     }
   }
 
-  private void notice(final PeerConnection link, final SubscribeRequest notice) {
-    final AttachedEdge port = ports.get(link);
-    if (port == null) {
+  private void notice(final PeerConnection connection, final SubscribeRequest request) {
+    final AttachedEdge edge = attachedEdges.get(connection);
+    if (edge == null) {
       return;
     }
     // The stream first: what is behind the position and on its way already stays in order.
-    flow(link, port, false);
+    flow(connection, edge, false);
     // The client has come to this edge: what it held at others is cancelled, which the edge itself
     // may not know of.
-    weave.takenOver(notice.topic, notice.client, port.replica);
-    port.early.merge(notice.topic, notice.instance, Math::max);
-    final ReplayResponse taken = new ReplayResponse();
-    taken.request = notice.request;
-    taken.position = Math.max(notice.position, ledger.applied());
-    if (notice.position >= 0) {
-      fill(taken, notice.topic, notice.position, taken.position);
+    subscriptions.takenOver(request.topic, request.client, edge.replica);
+    edge.early.merge(request.topic, request.instance, Math::max);
+    final ReplayResponse response = new ReplayResponse();
+    response.request = request.request;
+    response.position = Math.max(request.position, raftNode.applied());
+    if (request.position >= 0) {
+      fill(response, request.topic, request.position, response.position);
     }
-    link.send(taken);
+    connection.send(response);
   }
 
   /** A piece of bounded size; the asker comes back for the next one when it has room for it. */
   private void fill(
-      final ReplayResponse taken, final String topic, final long after, final long upTo) {
-    final List<StoredMessage> behind = cellar.behind(topic, after);
-    taken.expired = behind == null;
+      final ReplayResponse response, final String topic, final long after, final long upTo) {
+    final List<StoredMessage> behind = messageStore.behind(topic, after);
+    response.expired = behind == null;
     int bytes = 0;
     for (final StoredMessage message : behind == null ? List.<StoredMessage>of() : behind) {
       if (message.index <= upTo) {
-        taken.more = bytes > REPLAY_PIECE_BYTES;
-        if (taken.more) {
+        response.more = bytes > REPLAY_CHUNK_BYTES;
+        if (response.more) {
           break;
         }
         bytes += message.body.length;
-        taken.messages.add(message);
+        response.messages.add(message);
       }
     }
   }
 
-  private void further(final PeerConnection link, final ReplayRequest further) {
-    if (!ports.containsKey(link)) {
+  private void further(final PeerConnection connection, final ReplayRequest request) {
+    if (!attachedEdges.containsKey(connection)) {
       return;
     }
     // Named by another home that was ahead of this one: answered once as much is applied here.
-    if (ledger.applied() < further.upTo) {
-      pulse.after(HOME_BEAT_MS / 10, () -> further(link, further));
+    if (raftNode.applied() < request.upTo) {
+      context.after(STREAM_HEARTBEAT_INTERVAL_MS / 10, () -> further(connection, request));
       return;
     }
-    final ReplayResponse taken = new ReplayResponse();
-    taken.request = further.request;
-    taken.position = further.upTo;
-    fill(taken, further.topic, further.after, further.upTo);
-    link.send(taken);
+    final ReplayResponse response = new ReplayResponse();
+    response.request = request.request;
+    response.position = request.upTo;
+    fill(response, request.topic, request.after, request.upTo);
+    connection.send(response);
   }
 
-  private boolean wants(final AttachedEdge port, final String topic) {
-    if (weave.reaches(topic, port.replica)) {
+  private boolean wants(final AttachedEdge edge, final String topic) {
+    if (subscriptions.reaches(topic, edge.replica)) {
       return true;
     }
-    final Long early = port.early.get(topic);
+    final Long early = edge.early.get(topic);
     if (early == null) {
       return false;
     }
-    if (early <= weave.observed(port.replica)) {
+    if (early <= subscriptions.observed(edge.replica)) {
       // The set has caught up and says no: the subscription was given up since.
-      port.early.remove(topic);
+      edge.early.remove(topic);
       return false;
     }
     return true;
   }
 
   public void settled() {
-    ports.forEach((link, port) -> flow(link, port, false));
+    attachedEdges.forEach((connection, edge) -> flow(connection, edge, false));
   }
 
-  private void flow(final PeerConnection link, final AttachedEdge port, final boolean always) {
-    final long upTo = ledger.applied();
+  private void flow(
+      final PeerConnection connection, final AttachedEdge edge, final boolean always) {
+    final long upTo = raftNode.applied();
     List<StoredMessage> wanted = new ArrayList<>();
-    for (final StoredMessage message : cellar.between(port.looked, upTo)) {
-      if (wants(port, message.topic)) {
+    for (final StoredMessage message : messageStore.between(edge.looked, upTo)) {
+      if (wants(edge, message.topic)) {
         wanted.add(message);
-        if (wanted.size() >= FLOW_ITEMS) {
-          send(link, port, message.index, wanted);
+        if (wanted.size() >= MAX_BATCH_MESSAGES) {
+          send(connection, edge, message.index, wanted);
           wanted = new ArrayList<>();
         }
       }
     }
-    port.looked = Math.max(port.looked, upTo);
+    edge.looked = Math.max(edge.looked, upTo);
     if (!wanted.isEmpty() || always) {
-      send(link, port, port.looked, wanted);
+      send(connection, edge, edge.looked, wanted);
     }
   }
 
   private void send(
-      final PeerConnection link,
-      final AttachedEdge port,
+      final PeerConnection connection,
+      final AttachedEdge edge,
       final long upTo,
       final List<StoredMessage> messages) {
-    final StreamBatch flow = new StreamBatch();
-    flow.from = port.sent;
-    flow.upTo = upTo;
-    flow.leader = leader();
-    flow.messages = messages;
-    port.sent = upTo;
-    link.send(flow);
+    final StreamBatch batch = new StreamBatch();
+    batch.from = edge.sent;
+    batch.upTo = upTo;
+    batch.leader = leader();
+    batch.messages = messages;
+    edge.sent = upTo;
+    connection.send(batch);
   }
 
   private void beat() {
-    final long nowMs = pulse.nowMs();
+    final long nowMs = context.nowMs();
     if (serves()) {
       ledMs = nowMs;
     }
     // Cut off from the others, or behind them, for long: the edges do better elsewhere.
-    if (nowMs - ledMs > 2 * HOME_SILENCE_MS) {
+    if (nowMs - ledMs > 2 * STREAM_TIMEOUT_MS) {
       close();
       closing = false;
     }
-    ports.forEach((link, port) -> flow(link, port, true));
+    attachedEdges.forEach((connection, edge) -> flow(connection, edge, true));
   }
 
   /** Edges hear of a new leader at once: their messages wait for it. */
   public void leaderChanged() {
-    ports.forEach((link, port) -> flow(link, port, true));
+    attachedEdges.forEach((connection, edge) -> flow(connection, edge, true));
   }
 
   /** Sends the edges elsewhere. */
   public void close() {
     closing = true;
-    List.copyOf(ports.keySet()).forEach(PeerConnection::close);
+    List.copyOf(attachedEdges.keySet()).forEach(PeerConnection::close);
   }
 }
--- a/src/main/java/yewjunction/fanout/SubscriptionSync.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSync.java
@@ -1,6 +1,6 @@
 package yewjunction.fanout;
 
-import static yewjunction.common.Limits.GAUGE_CELLS;
+import static yewjunction.limits.SubscriptionLimits.MAX_SYNC_CELLS;
 
 import java.util.Collection;
 import java.util.List;
@@ -18,70 +18,70 @@
  * where the two sides differ: digests go first.
  */
 final class SubscriptionSync {
-  private final AgentContext pulse;
-  private final AddWinsSet weave;
+  private final AgentContext context;
+  private final AddWinsSet subscriptions;
   private final Supplier<Collection<Long>> own;
 
   /**
    * Own: the replicas that this process hears of first. Changed: something may have been merged.
    */
   SubscriptionSync(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final AddWinsSet weave,
+      final AgentContext context,
+      final PeerTransport transport,
+      final AddWinsSet subscriptions,
       final Supplier<Collection<Long>> own,
       final Runnable changed) {
     this.own = own;
-    this.pulse = pulse;
-    this.weave = weave;
-    post.on(DigestRequest.class, this::gauge);
-    post.on(
+    this.context = context;
+    this.subscriptions = subscriptions;
+    transport.on(DigestRequest.class, this::gauge);
+    transport.on(
         DigestResponse.class,
-        (link, match) -> {
-          weave.receive(match.state);
-          if (!match.wanted.isEmpty()) {
-            push(link, match.wanted, 0);
+        (connection, response) -> {
+          subscriptions.receive(response.state);
+          if (!response.wanted.isEmpty()) {
+            push(connection, response.wanted, 0);
           }
           changed.run();
         });
   }
 
-  void push(final PeerConnection link, final Collection<Long> replicas, final long mark) {
-    final ReplicaStates cloth = new ReplicaStates();
-    cloth.state = weave.state(replicas);
-    cloth.mark = mark;
-    link.send(cloth);
+  void push(final PeerConnection connection, final Collection<Long> replicas, final long mark) {
+    final ReplicaStates states = new ReplicaStates();
+    states.state = subscriptions.state(replicas);
+    states.mark = mark;
+    connection.send(states);
   }
 
   /** Asks for what differs there; with mutual set, what differs here is given too. */
-  void compare(final PeerConnection link, final int mostCells, final boolean mutual) {
-    link.send(gauge(mostCells, mutual));
+  void compare(final PeerConnection connection, final int mostCells, final boolean mutual) {
+    connection.send(gauge(mostCells, mutual));
   }
 
   /** Asks for the parts of that home's own edges, where they differ. */
-  void compareOwn(final PeerConnection link) {
-    final DigestRequest gauge = gauge(GAUGE_CELLS, false);
-    gauge.own = true;
-    link.send(gauge);
+  void compareOwn(final PeerConnection connection) {
+    final DigestRequest request = gauge(MAX_SYNC_CELLS, false);
+    request.own = true;
+    connection.send(request);
   }
 
   private DigestRequest gauge(final int mostCells, final boolean mutual) {
-    final DigestRequest gauge = new DigestRequest();
-    gauge.marks = weave.marks();
-    gauge.mostCells = mostCells;
-    gauge.mutual = mutual;
-    return gauge;
+    final DigestRequest request = new DigestRequest();
+    request.marks = subscriptions.marks();
+    request.mostCells = mostCells;
+    request.mutual = mutual;
+    return request;
   }
 
-  private void gauge(final PeerConnection link, final DigestRequest gauge) {
-    final DigestResponse match = new DigestResponse();
-    final int mostCells = Math.min(gauge.mostCells, GAUGE_CELLS);
-    match.state =
-        weave.state(
-            gauge.own == null
-                ? weave.news(gauge.marks, mostCells, pulse.luck())
-                : weave.newsOf(own.get(), gauge.marks, mostCells, pulse.luck()));
-    match.wanted = gauge.mutual ? weave.wanted(gauge.marks) : List.of();
-    link.send(match);
+  private void gauge(final PeerConnection connection, final DigestRequest request) {
+    final DigestResponse response = new DigestResponse();
+    final int mostCells = Math.min(request.mostCells, MAX_SYNC_CELLS);
+    response.state =
+        subscriptions.state(
+            request.own == null
+                ? subscriptions.news(request.marks, mostCells, context.luck())
+                : subscriptions.newsOf(own.get(), request.marks, mostCells, context.luck()));
+    response.wanted = request.mutual ? subscriptions.wanted(request.marks) : List.of();
+    connection.send(response);
   }
 }
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
@@ -1,9 +1,9 @@
 package yewjunction.fanout;
 
-import static yewjunction.common.Limits.GAUGE_EDGE_CELLS;
-import static yewjunction.common.Limits.GAUGE_EDGE_EVERY;
-import static yewjunction.common.Limits.GOSSIP_MS;
-import static yewjunction.common.Limits.TALLY_MS;
+import static yewjunction.limits.SubscriptionLimits.COUNT_TIMEOUT_MS;
+import static yewjunction.limits.SubscriptionLimits.EDGE_SYNC_EVERY;
+import static yewjunction.limits.SubscriptionLimits.MAX_EDGE_SYNC_CELLS;
+import static yewjunction.limits.SubscriptionLimits.SYNC_INTERVAL_MS;
 
 import java.util.HashMap;
 import java.util.Iterator;
@@ -27,70 +27,70 @@
  * asked of the home, which holds them.
  */
 public final class SubscriptionSyncClient {
-  private final AgentContext pulse;
-  private final AddWinsSet weave;
-  private final SubscriptionSync shuttle;
+  private final AgentContext context;
+  private final AddWinsSet subscriptions;
+  private final SubscriptionSync sync;
   private final Supplier<PeerConnection> home;
   private final Map<Long, PendingCount> questions = new HashMap<>();
   private long requests;
   private long rounds;
 
-  private record PendingCount(long atMs, IntConsumer answer) {}
+  private record PendingCount(long atMs, IntConsumer response) {}
 
   SubscriptionSyncClient(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final AddWinsSet weave,
-      final SubscriptionSync shuttle,
+      final AgentContext context,
+      final PeerTransport transport,
+      final AddWinsSet subscriptions,
+      final SubscriptionSync sync,
       final Supplier<PeerConnection> home,
       final Runnable changed) {
-    this.pulse = pulse;
-    this.weave = weave;
-    this.shuttle = shuttle;
+    this.context = context;
+    this.subscriptions = subscriptions;
+    this.sync = sync;
     this.home = home;
-    rounds = pulse.luck().nextInt(GAUGE_EDGE_EVERY);
-    post.on(
+    rounds = context.luck().nextInt(EDGE_SYNC_EVERY);
+    transport.on(
         ReplicaStates.class,
-        (link, cloth) -> {
-          weave.receive(cloth.state);
+        (connection, states) -> {
+          subscriptions.receive(states.state);
           changed.run();
         });
-    post.on(
+    transport.on(
         CountResponse.class,
-        (link, tallied) -> {
-          final PendingCount question = questions.remove(tallied.request);
+        (connection, response) -> {
+          final PendingCount question = questions.remove(response.request);
           if (question != null) {
-            question.answer.accept(tallied.count);
+            question.response.accept(response.count);
           }
         });
-    pulse.every(GOSSIP_MS, this::round);
+    context.every(SYNC_INTERVAL_MS, this::round);
   }
 
   private void round() {
-    final PeerConnection chosenHome = home.get();
-    if (weave.self() == 0 || chosenHome == null) {
+    final PeerConnection server = home.get();
+    if (subscriptions.self() == 0 || server == null) {
       return;
     }
-    final Set<Long> touched = weave.takeTouched();
+    final Set<Long> touched = subscriptions.takeTouched();
     if (!touched.isEmpty()) {
-      shuttle.push(chosenHome, touched, weave.mark(weave.self()));
+      sync.push(server, touched, subscriptions.mark(subscriptions.self()));
     }
-    if (++rounds % GAUGE_EDGE_EVERY == 0) {
-      shuttle.compare(chosenHome, GAUGE_EDGE_CELLS, true);
+    if (++rounds % EDGE_SYNC_EVERY == 0) {
+      sync.compare(server, MAX_EDGE_SYNC_CELLS, true);
     }
   }
 
   /** How many subscribe, from the home; false when it can't be asked. */
-  public boolean tally(final String topic, final IntConsumer answer) {
-    final PeerConnection chosenHome = home.get();
-    if (chosenHome == null) {
+  public boolean tally(final String topic, final IntConsumer response) {
+    final PeerConnection server = home.get();
+    if (server == null) {
       return false;
     }
-    final CountRequest tally = new CountRequest();
-    tally.request = ++requests;
-    tally.topic = topic;
-    questions.put(tally.request, new PendingCount(pulse.nowMs(), answer));
-    return chosenHome.send(tally);
+    final CountRequest request = new CountRequest();
+    request.request = ++requests;
+    request.topic = topic;
+    questions.put(request.request, new PendingCount(context.nowMs(), response));
+    return server.send(request);
   }
 
   /**
@@ -98,45 +98,45 @@
    * do so.
    */
   public void look() {
-    final long nowMs = pulse.nowMs();
+    final long nowMs = context.nowMs();
     for (final Iterator<PendingCount> each = questions.values().iterator(); each.hasNext(); ) {
       final PendingCount question = each.next();
-      if (nowMs - question.atMs > TALLY_MS) {
+      if (nowMs - question.atMs > COUNT_TIMEOUT_MS) {
         each.remove();
-        question.answer.accept(-1);
+        question.response.accept(-1);
       }
     }
   }
 
   /** Early word of a new instance, and the subscription it stands for. */
   public void notice(
-      final long request,
+      final long requestId,
       final String topic,
       final String client,
       final long instance,
       final long position) {
-    final PeerConnection chosenHome = home.get();
-    if (chosenHome != null) {
-      final SubscribeRequest notice = new SubscribeRequest();
-      notice.request = request;
-      notice.topic = topic;
-      notice.client = client;
-      notice.instance = instance;
-      notice.position = position;
-      chosenHome.send(notice);
+    final PeerConnection server = home.get();
+    if (server != null) {
+      final SubscribeRequest request = new SubscribeRequest();
+      request.request = requestId;
+      request.topic = topic;
+      request.client = client;
+      request.instance = instance;
+      request.position = position;
+      server.send(request);
     }
   }
 
   /** The next piece of older messages. */
-  public void further(final long request, final String topic, final long after, final long upTo) {
-    final PeerConnection chosenHome = home.get();
-    if (chosenHome != null) {
-      final ReplayRequest further = new ReplayRequest();
-      further.request = request;
-      further.topic = topic;
-      further.after = after;
-      further.upTo = upTo;
-      chosenHome.send(further);
+  public void further(final long requestId, final String topic, final long after, final long upTo) {
+    final PeerConnection server = home.get();
+    if (server != null) {
+      final ReplayRequest request = new ReplayRequest();
+      request.request = requestId;
+      request.topic = topic;
+      request.after = after;
+      request.upTo = upTo;
+      server.send(request);
     }
   }
 }
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -1,11 +1,11 @@
 package yewjunction.fanout;
 
-import static yewjunction.common.Limits.COUNTING_MS;
-import static yewjunction.common.Limits.GAUGE_CELLS;
-import static yewjunction.common.Limits.GAUGE_EDGE_CELLS;
-import static yewjunction.common.Limits.GOSSIP_ACROSS_EVERY;
-import static yewjunction.common.Limits.GOSSIP_HEAL_EVERY;
-import static yewjunction.common.Limits.GOSSIP_MS;
+import static yewjunction.limits.SubscriptionLimits.COUNT_INTEREST_MS;
+import static yewjunction.limits.SubscriptionLimits.CROSS_ZONE_SYNC_EVERY;
+import static yewjunction.limits.SubscriptionLimits.FULL_SYNC_EVERY;
+import static yewjunction.limits.SubscriptionLimits.MAX_EDGE_SYNC_CELLS;
+import static yewjunction.limits.SubscriptionLimits.MAX_SYNC_CELLS;
+import static yewjunction.limits.SubscriptionLimits.SYNC_INTERVAL_MS;
 
 import java.util.HashMap;
 import java.util.List;
@@ -27,12 +27,12 @@
  * of other edges, and tells an edge what others changed in its own part.
  */
 public final class SubscriptionSyncServer {
-  private final AgentContext pulse;
-  private final PeerTransport post;
-  private final AddWinsSet weave;
-  private final MembershipList roster;
-  private final StreamServer home;
-  private final SubscriptionSync shuttle;
+  private final AgentContext context;
+  private final PeerTransport transport;
+  private final AddWinsSet subscriptions;
+  private final MembershipList membership;
+  private final StreamServer streamServer;
+  private final SubscriptionSync sync;
   private final LongPredicate live;
 
   /** What each edge holds of its own part, by the digest it named. */
@@ -42,61 +42,64 @@
   private long countingMs = Long.MIN_VALUE / 2;
 
   public SubscriptionSyncServer(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final AddWinsSet weave,
-      final MembershipList roster,
-      final StreamServer home,
+      final AgentContext context,
+      final PeerTransport transport,
+      final AddWinsSet subscriptions,
+      final MembershipList membership,
+      final StreamServer streamServer,
       final LongPredicate live) {
-    this.pulse = pulse;
-    this.post = post;
-    this.weave = weave;
-    this.roster = roster;
-    this.home = home;
+    this.context = context;
+    this.transport = transport;
+    this.subscriptions = subscriptions;
+    this.membership = membership;
+    this.streamServer = streamServer;
     this.live = live;
-    shuttle = new SubscriptionSync(pulse, post, weave, () -> home.edges().values(), () -> {});
-    post.on(
+    sync =
+        new SubscriptionSync(
+            context, transport, subscriptions, () -> streamServer.edges().values(), () -> {});
+    transport.on(
         ReplicaStates.class,
-        (link, cloth) -> {
-          weave.receive(cloth.state);
-          if (cloth.mark != 0) {
-            marks.put(link, cloth.mark);
+        (connection, states) -> {
+          subscriptions.receive(states.state);
+          if (states.mark != 0) {
+            marks.put(connection, states.mark);
           }
         });
-    post.on(CountRequest.class, this::tally);
-    post.onClose(marks::remove);
+    transport.on(CountRequest.class, this::tally);
+    transport.onClose(marks::remove);
     // Started together, they would all pause for it in the same second.
-    rounds = pulse.luck().nextInt(GOSSIP_HEAL_EVERY);
-    pulse.every(GOSSIP_MS, this::round);
+    rounds = context.luck().nextInt(FULL_SYNC_EVERY);
+    context.every(SYNC_INTERVAL_MS, this::round);
   }
 
-  private void tally(final PeerConnection link, final CountRequest tally) {
-    final boolean first = pulse.nowMs() - countingMs > COUNTING_MS;
-    countingMs = pulse.nowMs();
+  private void tally(final PeerConnection connection, final CountRequest request) {
+    final boolean first = context.nowMs() - countingMs > COUNT_INTEREST_MS;
+    countingMs = context.nowMs();
     if (first) {
       // Nobody asked for long, so little is known here of other zones: the next questions find it.
       askOthers();
     }
-    final CountResponse tallied = new CountResponse();
-    tallied.request = tally.request;
-    tallied.count = weave.count(tally.topic, live);
-    link.send(tallied);
+    final CountResponse response = new CountResponse();
+    response.request = request.request;
+    response.count = subscriptions.count(request.topic, live);
+    connection.send(response);
   }
 
   private void round() {
     rounds++;
     // Other homes look for those that have edges: the rest need not know the set.
-    roster.ready(!home.edges().isEmpty());
-    home.edges()
+    membership.ready(!streamServer.edges().isEmpty());
+    streamServer
+        .edges()
         .forEach(
-            (link, replica) -> {
-              final long mark = weave.mark(replica);
-              if (marks.getOrDefault(link, 0L) != mark) {
-                marks.put(link, mark);
-                shuttle.push(link, List.of(replica), 0);
+            (connection, replica) -> {
+              final long mark = subscriptions.mark(replica);
+              if (marks.getOrDefault(connection, 0L) != mark) {
+                marks.put(connection, mark);
+                sync.push(connection, List.of(replica), 0);
               }
             });
-    if (!home.edges().isEmpty()) {
+    if (!streamServer.edges().isEmpty()) {
       compare();
     }
   }
@@ -108,31 +111,34 @@
    */
   private void compare() {
     final Map<String, Member> partners = new HashMap<>();
-    final List<Member> homes = roster.up(NodeRole.STORE);
-    java.util.Collections.shuffle(homes, pulse.luck());
-    for (final Member peer : homes) {
-      if (peer.ready) {
-        partners.putIfAbsent(peer.zone, peer);
+    final List<Member> homes = membership.up(NodeRole.STORE);
+    java.util.Collections.shuffle(homes, context.luck());
+    for (final Member member : homes) {
+      if (member.ready) {
+        partners.putIfAbsent(member.zone, member);
       }
     }
-    final boolean heals = rounds % GOSSIP_HEAL_EVERY == 0;
+    final boolean heals = rounds % FULL_SYNC_EVERY == 0;
     partners.forEach(
-        (zone, peer) -> {
-          final boolean inside = zone.equals(roster.self().zone);
+        (zone, member) -> {
+          final boolean inside = zone.equals(membership.self().zone);
           // Both sides give and take; across zones only a little of what no home tells of itself.
           if (inside || heals) {
-            shuttle.compare(post.dial(peer.address), inside ? GAUGE_CELLS : GAUGE_EDGE_CELLS, true);
+            sync.compare(
+                transport.dial(member.address),
+                inside ? MAX_SYNC_CELLS : MAX_EDGE_SYNC_CELLS,
+                true);
           }
         });
-    if (pulse.nowMs() - countingMs < COUNTING_MS || rounds % GOSSIP_ACROSS_EVERY == 0) {
+    if (context.nowMs() - countingMs < COUNT_INTEREST_MS || rounds % CROSS_ZONE_SYNC_EVERY == 0) {
       askOthers();
     }
   }
 
   /** Each home of another zone tells of its own edges. */
   private void askOthers() {
-    roster.up(NodeRole.STORE).stream()
-        .filter(peer -> peer.ready && !peer.zone.equals(roster.self().zone))
-        .forEach(peer -> shuttle.compareOwn(post.dial(peer.address)));
+    membership.up(NodeRole.STORE).stream()
+        .filter(member -> member.ready && !member.zone.equals(membership.self().zone))
+        .forEach(member -> sync.compareOwn(transport.dial(member.address)));
   }
 }
--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -1,10 +1,10 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.DOCK_SWEEP_MS;
-import static yewjunction.common.Limits.HOMELESS_MS;
-import static yewjunction.common.Limits.LAPSED_LINKS_MS;
-import static yewjunction.common.Limits.RENEW_MS;
-import static yewjunction.common.Limits.SILENT_PINGS;
+import static yewjunction.limits.ClientLimits.CLIENT_TIMEOUT_PING_INTERVALS;
+import static yewjunction.limits.ClientLimits.CLOSE_CLIENTS_AFTER_LEASE_EXPIRY_MS;
+import static yewjunction.limits.ClientLimits.CURSOR_RENEWAL_INTERVAL_MS;
+import static yewjunction.limits.ClientLimits.SESSION_CHECK_INTERVAL_MS;
+import static yewjunction.limits.FanoutLimits.DETACHED_NOT_READY_MS;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,42 +26,42 @@
   /** turns; more than this held back under a lapsed lease is given up. */
   private static final int STALLED_MOST = 20_000;
 
-  private final AgentContext pulse;
-  private final LeaseClient tenure;
-  private final AddWinsSet weave;
-  private final CommandHandler requests;
-  private final PublishForwarder shipping;
+  private final AgentContext context;
+  private final LeaseClient leaseClient;
+  private final AddWinsSet subscriptions;
+  private final CommandHandler commandHandler;
+  private final PublishForwarder publishForwarder;
   private final long silentMs;
   private final Map<String, ClientSession> clients = new HashMap<>();
-  private final DisconnectedClients absentees;
-  private final SubscriptionManager boarding;
-  private final OrderViolationCounters disorders = new OrderViolationCounters();
+  private final DisconnectedClients disconnectedClients;
+  private final SubscriptionManager subscriptionManager;
+  private final OrderViolationCounters violations = new OrderViolationCounters();
   private final ArrayDeque<Runnable> stalled = new ArrayDeque<>();
   private LongPredicate live = replica -> true;
-  private ConnectionDrainer drain;
+  private ConnectionDrainer drainer;
   private long heldMs;
-  private StreamClient envoy;
+  private StreamClient streamClient;
 
   public ClientRegistry(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final LeaseClient tenure,
-      final AddWinsSet weave,
+      final AgentContext context,
+      final PeerTransport transport,
+      final LeaseClient leaseClient,
+      final AddWinsSet subscriptions,
       final double pingS) {
-    this.pulse = pulse;
-    this.tenure = tenure;
-    this.weave = weave;
-    requests = new CommandHandler(this, tenure, weave);
-    shipping = new PublishForwarder(pulse, post, tenure.life());
-    absentees = new DisconnectedClients(weave);
-    boarding = new SubscriptionManager(this, pulse, weave);
-    silentMs = (long) (pingS * 1_000 * SILENT_PINGS);
-    pulse.every(DOCK_SWEEP_MS, this::look);
+    this.context = context;
+    this.leaseClient = leaseClient;
+    this.subscriptions = subscriptions;
+    commandHandler = new CommandHandler(this, leaseClient, subscriptions);
+    publishForwarder = new PublishForwarder(context, transport, leaseClient.life());
+    disconnectedClients = new DisconnectedClients(subscriptions);
+    subscriptionManager = new SubscriptionManager(this, context, subscriptions);
+    silentMs = (long) (pingS * 1_000 * CLIENT_TIMEOUT_PING_INTERVALS);
+    context.every(SESSION_CHECK_INTERVAL_MS, this::look);
   }
 
-  public void envoy(final StreamClient chosenEnvoy) {
-    envoy = chosenEnvoy;
-    boarding.envoy(chosenEnvoy);
+  public void envoy(final StreamClient chosenStreamClient) {
+    streamClient = chosenStreamClient;
+    subscriptionManager.envoy(chosenStreamClient);
   }
 
   /** Which replicas count as there. */
@@ -69,29 +69,29 @@
     live = chosenLive;
   }
 
-  public ClientConnection.Handler greet(final ClientConnection line) {
-    return new ClientSession(this, line, pulse.nowMs());
+  public ClientConnection.Handler greet(final ClientConnection connection) {
+    return new ClientSession(this, connection, context.nowMs());
   }
 
   long nowMs() {
-    return pulse.nowMs();
+    return context.nowMs();
   }
 
   CommandHandler requests() {
-    return requests;
+    return commandHandler;
   }
 
   SubscriptionManager boarding() {
-    return boarding;
+    return subscriptionManager;
   }
 
   /** Breaks of the declared order met here. */
   public OrderViolationCounters disorders() {
-    return disorders;
+    return violations;
   }
 
   public PublishForwarder shipping() {
-    return shipping;
+    return publishForwarder;
   }
 
   List<ClientSession> berths() {
@@ -99,55 +99,55 @@
   }
 
   /** How many subscribe, from the home, or from here when that does not answer. */
-  void count(final ClientSession berth, final String topic) {
+  void count(final ClientSession session, final String topic) {
     final boolean asked =
-        envoy != null
-            && envoy
+        streamClient != null
+            && streamClient
                 .weft()
                 .tally(
                     topic,
                     count -> {
-                      if (berth.line.open()) {
-                        berth.count(topic, count >= 0 ? count : weave.count(topic, live));
+                      if (session.connection.open()) {
+                        session.count(topic, count >= 0 ? count : subscriptions.count(topic, live));
                       }
                     });
     if (!asked) {
-      berth.count(topic, weave.count(topic, live));
+      session.count(topic, subscriptions.count(topic, live));
     }
   }
 
-  void greeted(final ClientSession berth) {
-    final ClientSession older = clients.put(berth.client, berth);
+  void greeted(final ClientSession session) {
+    final ClientSession older = clients.put(session.client, session);
     // The newest link owns the client: the older one gets nothing more.
     if (older != null) {
-      older.line.close();
+      older.connection.close();
     }
-    absentees.here(berth.client);
+    disconnectedClients.here(session.client);
   }
 
-  void gone(final ClientSession berth) {
-    for (final Subscription sub : new ArrayList<>(berth.subs.values())) {
-      boarding.forget(sub);
+  void gone(final ClientSession session) {
+    for (final Subscription subscription : new ArrayList<>(session.subs.values())) {
+      subscriptionManager.forget(subscription);
     }
-    shipping.gone(berth);
-    if (clients.remove(berth.client, berth)) {
-      absentees.away(berth.client, pulse.nowMs());
+    publishForwarder.gone(session);
+    if (clients.remove(session.client, session)) {
+      disconnectedClients.away(session.client, context.nowMs());
     }
   }
 
-  void moveIfDraining(final ClientSession berth) {
-    if (drain != null) {
-      drain.move(berth);
+  void moveIfDraining(final ClientSession session) {
+    if (drainer != null) {
+      drainer.move(session);
     }
   }
 
-  public void drain(final ConnectionDrainer chosenDrain) {
-    drain = chosenDrain;
+  public void drain(final ConnectionDrainer chosenDrainer) {
+    drainer = chosenDrainer;
   }
 
   @Override
   public void attached() {
-    boarding.askAgain();
+    subscriptionManager.askAgain();
   }
 
   @Override
@@ -157,19 +157,19 @@
       final long position,
       final List<StoredMessage> behind,
       final boolean more) {
-    boarding.taken(request, expired, position, behind, more);
+    subscriptionManager.taken(request, expired, position, behind, more);
   }
 
   // --- messages ---
 
   @Override
   public void message(final StoredMessage message) {
-    whenHeld(() -> boarding.deliver(message, pulse.nowMs()));
+    whenHeld(() -> subscriptionManager.deliver(message, context.nowMs()));
   }
 
   /** Nothing is delivered under a lapsed lease; what came meanwhile follows in its order. */
   void whenHeld(final Runnable delivery) {
-    if (stalled.isEmpty() && tenure.held()) {
+    if (stalled.isEmpty() && leaseClient.held()) {
       delivery.run();
     } else {
       stalled.add(delivery);
@@ -181,7 +181,7 @@
 
   private void letGo() {
     stalled.clear();
-    berths().forEach(berth -> berth.line.close());
+    berths().forEach(session -> session.connection.close());
   }
 
   /**
@@ -195,28 +195,30 @@
 
   /** How often a filtered subscription's cursor is renewed: well before it could expire. */
   long renewMs(final String topic) {
-    final Configuration.Route space = tenure.charter().space(topic);
-    return space == null ? RENEW_MS : Math.min(RENEW_MS, space.keepMs() / 4);
+    final Configuration.Route route = leaseClient.charter().space(topic);
+    return route == null
+        ? CURSOR_RENEWAL_INTERVAL_MS
+        : Math.min(CURSOR_RENEWAL_INTERVAL_MS, route.keepMs() / 4);
   }
 
   @Override
   public void leaderIs(final String address) {
-    shipping.leaderIs(address);
+    publishForwarder.leaderIs(address);
   }
 
   @Override
   public void leaderHeard() {
-    shipping.leaderHeard();
+    publishForwarder.leaderHeard();
   }
 
-  public void configChanged(final Configuration charter) {
-    boarding.charter(charter);
-    for (final ClientSession berth : berths()) {
-      for (final String topic : new ArrayList<>(berth.subs.keySet())) {
-        final String denial = CommandHandler.charterDenial(charter, berth.secret, topic);
+  public void configChanged(final Configuration configuration) {
+    subscriptionManager.charter(configuration);
+    for (final ClientSession session : berths()) {
+      for (final String topic : new ArrayList<>(session.subs.keySet())) {
+        final String denial = CommandHandler.charterDenial(configuration, session.secret, topic);
         if (denial != null) {
-          boarding.drop(berth, topic);
-          berth.refuse("SUB", topic, "", denial);
+          subscriptionManager.drop(session, topic);
+          session.refuse("SUB", topic, "", denial);
         }
       }
     }
@@ -224,10 +226,10 @@
 
   /** Another edge took a client over: its instance here is cancelled, so the old link goes. */
   public void setChanged() {
-    for (final ClientSession berth : berths()) {
-      for (final Subscription sub : berth.subs.values()) {
-        if (weave.instance(sub.topic, berth.client, weave.self()) == 0) {
-          berth.line.close();
+    for (final ClientSession session : berths()) {
+      for (final Subscription subscription : session.subs.values()) {
+        if (subscriptions.instance(subscription.topic, session.client, subscriptions.self()) == 0) {
+          session.connection.close();
           break;
         }
       }
@@ -235,32 +237,32 @@
   }
 
   private void look() {
-    final long nowMs = pulse.nowMs();
-    while (!stalled.isEmpty() && tenure.held()) {
+    final long nowMs = context.nowMs();
+    while (!stalled.isEmpty() && leaseClient.held()) {
       stalled.poll().run();
     }
-    if (tenure.held()) {
+    if (leaseClient.held()) {
       heldMs = nowMs;
-    } else if (nowMs - heldMs > LAPSED_LINKS_MS) {
+    } else if (nowMs - heldMs > CLOSE_CLIENTS_AFTER_LEASE_EXPIRY_MS) {
       // A client that only listens would never notice that nothing can come here.
       letGo();
     }
-    if (envoy.homelessMs() > HOMELESS_MS) {
+    if (streamClient.homelessMs() > DETACHED_NOT_READY_MS) {
       // The same without a home; whoever has only just come may still see one found.
       berths().stream()
-          .filter(berth -> nowMs - berth.greetedMs > HOMELESS_MS)
-          .forEach(berth -> berth.line.close());
+          .filter(session -> nowMs - session.greetedMs > DETACHED_NOT_READY_MS)
+          .forEach(session -> session.connection.close());
     }
-    requests.look(nowMs);
-    shipping.look(nowMs);
-    boarding.look(nowMs);
-    envoy.weft().look();
-    for (final ClientSession berth : berths()) {
-      if (nowMs - berth.heardMs > silentMs) {
-        berth.line.close();
+    commandHandler.look(nowMs);
+    publishForwarder.look(nowMs);
+    subscriptionManager.look(nowMs);
+    streamClient.weft().look();
+    for (final ClientSession session : berths()) {
+      if (nowMs - session.heardMs > silentMs) {
+        session.connection.close();
       }
     }
     SlowReaderLimit.cutSlowest(clients.values());
-    absentees.look(nowMs);
+    disconnectedClients.look(nowMs);
   }
 }
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -1,8 +1,8 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.CLIENT_QUEUE_BYTES;
-import static yewjunction.common.Limits.FRESH_MS;
-import static yewjunction.common.Limits.ORDER_DENIED_MS;
+import static yewjunction.limits.ClientLimits.MAX_CLIENT_QUEUE_BYTES;
+import static yewjunction.limits.ClientLimits.RESENT_AFTER_HELLO_MS;
+import static yewjunction.limits.OrderingLimits.REFUSAL_ROUND_TRIP_MS;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -16,7 +16,7 @@
 /** One client's link: what it has said, what it subscribes, and how answers are written to it. */
 final class ClientSession implements ClientConnection.Handler {
   private static final byte[] END = {'\r', '\n'};
-  final ClientConnection line;
+  final ClientConnection connection;
   final Map<String, Subscription> subs = new LinkedHashMap<>();
 
   /** Looks at each message once more before it is written. */
@@ -25,8 +25,8 @@
   /** When this client's messages to a space were last not accepted. */
   private final Map<String, Long> deniedMs = new HashMap<>(2);
 
-  private final ClientRegistry dock;
-  private final CommandParser words = new CommandParser();
+  private final ClientRegistry clientRegistry;
+  private final CommandParser parser = new CommandParser();
   String client = "";
   String secret = "";
   long heardMs;
@@ -39,9 +39,10 @@
   int underWay;
   boolean moved;
 
-  ClientSession(final ClientRegistry dock, final ClientConnection line, final long nowMs) {
-    this.dock = dock;
-    this.line = line;
+  ClientSession(
+      final ClientRegistry clientRegistry, final ClientConnection connection, final long nowMs) {
+    this.clientRegistry = clientRegistry;
+    this.connection = connection;
     heardMs = nowMs;
   }
 
@@ -51,14 +52,15 @@
    * greeting, and numbers only rise.
    */
   boolean firstTry(final long number) {
-    final boolean first = number > highestNumber && dock.nowMs() - greetedMs > FRESH_MS;
+    final boolean first =
+        number > highestNumber && clientRegistry.nowMs() - greetedMs > RESENT_AFTER_HELLO_MS;
     highestNumber = Math.max(highestNumber, number);
     return first;
   }
 
-  void denied(final Configuration.Route space, final long nowMs) {
-    if (space != null) {
-      deniedMs.put(space.name(), nowMs);
+  void denied(final Configuration.Route route, final long nowMs) {
+    if (route != null) {
+      deniedMs.put(route.name(), nowMs);
     }
   }
 
@@ -66,11 +68,11 @@
    * A message of this space was sent, most likely, before its sender heard that one it is to follow
    * was not accepted.
    */
-  boolean bereft(final Configuration.Route space, final long nowMs) {
-    return space.after().stream()
+  boolean bereft(final Configuration.Route route, final long nowMs) {
+    return route.after().stream()
         .anyMatch(
             earlier ->
-                nowMs - deniedMs.getOrDefault(earlier, Long.MIN_VALUE / 2) < ORDER_DENIED_MS);
+                nowMs - deniedMs.getOrDefault(earlier, Long.MIN_VALUE / 2) < REFUSAL_ROUND_TRIP_MS);
   }
 
   boolean greeted() {
@@ -79,10 +81,10 @@
 
   @Override
   public int take(final byte[] bytes, final int length) {
-    heardMs = dock.nowMs();
+    heardMs = clientRegistry.nowMs();
     int at = 0;
-    while (at < length && line.open()) {
-      final int state = words.wrap(bytes, at, length);
+    while (at < length && connection.open()) {
+      final int state = parser.wrap(bytes, at, length);
       if (state == CommandParser.MORE) {
         break;
       }
@@ -91,19 +93,19 @@
         return length;
       }
       if (state == CommandParser.GOOD) {
-        dock.requests().take(this, words);
+        clientRegistry.requests().take(this, parser);
       } else {
         refuse(
             "PUB",
-            words.text(1),
-            words.count() > 3 ? words.text(2) : "",
+            parser.text(1),
+            parser.count() > 3 ? parser.text(2) : "",
             state == CommandParser.BAD ? "BADMSG" : "TOOBIG");
-        if (words.bodyUnread()) {
-          line.closeSoon();
+        if (parser.bodyUnread()) {
+          connection.closeSoon();
           return length;
         }
       }
-      at = words.end();
+      at = parser.end();
     }
     return at;
   }
@@ -111,15 +113,15 @@
   private void lost(final String reason) {
     LogEvent.CLIENT_GARBLED.info(client);
     // The word can be told only when it stands there whole.
-    if (words.count() > 0 && !words.text(0).isEmpty()) {
-      refuse(words.text(0), "", "", reason);
+    if (parser.count() > 0 && !parser.text(0).isEmpty()) {
+      refuse(parser.text(0), "", "", reason);
     }
-    line.closeSoon();
+    connection.closeSoon();
   }
 
   @Override
   public void closed() {
-    dock.gone(this);
+    clientRegistry.gone(this);
   }
 
   private static void field(final WriteBuffer out, final String text) {
@@ -130,15 +132,15 @@
   private void done(final WriteBuffer out) {
     out.put(END, 0, 2);
     // A client that reads slowly is cut; it takes up its cursors when it comes back.
-    if (line.waiting() > CLIENT_QUEUE_BYTES) {
+    if (connection.waiting() > MAX_CLIENT_QUEUE_BYTES) {
       LogEvent.CLIENT_SLOW.info(client);
-      line.close();
+      connection.close();
     }
   }
 
   /** Fields at the end that are empty are left out. */
   void ok(final String about, final String topic, final String position, final String filter) {
-    final WriteBuffer out = line.out();
+    final WriteBuffer out = connection.out();
     out.putAscii("OK ");
     out.putAscii(about);
     if (!topic.isEmpty()) {
@@ -154,7 +156,7 @@
   }
 
   void refuse(final String about, final String topic, final String number, final String reason) {
-    final WriteBuffer out = line.out();
+    final WriteBuffer out = connection.out();
     out.putAscii("REFUSE ");
     out.putAscii(about);
     field(out, topic);
@@ -164,7 +166,7 @@
   }
 
   void ack(final String topic, final long number) {
-    final WriteBuffer out = line.out();
+    final WriteBuffer out = connection.out();
     out.putAscii("ACK ");
     out.putAscii(topic);
     out.putAscii(" ");
@@ -173,7 +175,7 @@
   }
 
   void count(final String topic, final int number) {
-    final WriteBuffer out = line.out();
+    final WriteBuffer out = connection.out();
     out.putAscii("COUNT ");
     out.putAscii(topic);
     out.putAscii(" ");
@@ -182,20 +184,20 @@
   }
 
   void plain(final String text) {
-    final WriteBuffer out = line.out();
+    final WriteBuffer out = connection.out();
     out.putAscii(text);
     done(out);
   }
 
   void message(final StoredMessage message) {
-    final String breach = guard.breach(message, dock.nowMs());
+    final String breach = guard.breach(message, clientRegistry.nowMs());
     if (breach != null) {
       // Never written out of place: the client's cursor decides what it gets when it comes back.
-      dock.disorders().broken(message.topic, client, breach);
-      line.close();
+      clientRegistry.disorders().broken(message.topic, client, breach);
+      connection.close();
       return;
     }
-    final WriteBuffer out = line.out();
+    final WriteBuffer out = connection.out();
     out.putAscii("MSG ");
     out.putAscii(message.topic);
     out.putAscii(" ");
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -1,7 +1,7 @@
 package yewjunction.gateway;
 
 import static yewjunction.common.ErrorCode.FILTER_TOO_LARGE;
-import static yewjunction.common.Limits.HELLO_ANSWER_MS;
+import static yewjunction.limits.ClientLimits.HELLO_TIMEOUT_MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,51 +15,54 @@
   private static final int POSITION_CHARS = 18;
 
   private final List<PendingHello> waiting = new ArrayList<>();
-  private final ClientRegistry dock;
-  private final LeaseClient tenure;
-  private final AddWinsSet weave;
+  private final ClientRegistry clientRegistry;
+  private final LeaseClient leaseClient;
+  private final AddWinsSet subscriptions;
 
   /** A HELLO that this edge can't answer yet. */
-  private record PendingHello(ClientSession berth, String client, String secret, long sinceMs) {}
-
-  CommandHandler(final ClientRegistry dock, final LeaseClient tenure, final AddWinsSet weave) {
-    this.dock = dock;
-    this.tenure = tenure;
-    this.weave = weave;
+  private record PendingHello(ClientSession session, String client, String secret, long sinceMs) {}
+
+  CommandHandler(
+      final ClientRegistry clientRegistry,
+      final LeaseClient leaseClient,
+      final AddWinsSet subscriptions) {
+    this.clientRegistry = clientRegistry;
+    this.leaseClient = leaseClient;
+    this.subscriptions = subscriptions;
   }
 
-  void take(final ClientSession berth, final CommandParser words) {
-    if (words.is("PUB")) {
-      publish(berth, words);
-    } else if (words.is("PING")) {
-      berth.plain("PONG");
-    } else if (words.is("SUB")) {
-      subscribe(berth, words.text(1), words.text(2), words.text(3));
-    } else if (words.is("HELLO")) {
-      hello(berth, words.text(1), words.text(2));
-    } else if (words.is("UNSUB")) {
-      unsubscribe(berth, words.text(1));
-    } else if (words.is("WHO")) {
-      who(berth, words.text(1));
+  void take(final ClientSession session, final CommandParser parser) {
+    if (parser.is("PUB")) {
+      publish(session, parser);
+    } else if (parser.is("PING")) {
+      session.plain("PONG");
+    } else if (parser.is("SUB")) {
+      subscribe(session, parser.text(1), parser.text(2), parser.text(3));
+    } else if (parser.is("HELLO")) {
+      hello(session, parser.text(1), parser.text(2));
+    } else if (parser.is("UNSUB")) {
+      unsubscribe(session, parser.text(1));
+    } else if (parser.is("WHO")) {
+      who(session, parser.text(1));
     } else {
-      berth.refuse(words.text(0).isEmpty() ? "-" : words.text(0), "", "", "BADMSG");
+      session.refuse(parser.text(0).isEmpty() ? "-" : parser.text(0), "", "", "BADMSG");
     }
   }
 
-  private void hello(final ClientSession berth, final String client, final String secret) {
-    if (client.isEmpty() || berth.greeted()) {
-      berth.refuse("HELLO", "", "", "BADMSG");
+  private void hello(final ClientSession session, final String client, final String secret) {
+    if (client.isEmpty() || session.greeted()) {
+      session.refuse("HELLO", "", "", "BADMSG");
     } else if (able()) {
-      greet(berth, client, secret);
+      greet(session, client, secret);
     } else {
       // Starting, or the lease is being renewed: served as soon as that is done, which takes
       // moments.
-      waiting.add(new PendingHello(berth, client, secret, dock.nowMs()));
+      waiting.add(new PendingHello(session, client, secret, clientRegistry.nowMs()));
     }
   }
 
   private boolean able() {
-    return tenure.held() && weave.self() != 0;
+    return leaseClient.held() && subscriptions.self() != 0;
   }
 
   void look(final long nowMs) {
@@ -69,92 +72,93 @@
     final List<PendingHello> asked = new ArrayList<>(waiting);
     waiting.clear();
     for (final PendingHello one : asked) {
-      if (!one.berth.line.open() || one.berth.greeted()) {
+      if (!one.session.connection.open() || one.session.greeted()) {
         continue;
       }
       if (able()) {
-        greet(one.berth, one.client, one.secret);
-      } else if (nowMs - one.sinceMs > HELLO_ANSWER_MS) {
-        one.berth.refuse("HELLO", "", "", "RETRY");
+        greet(one.session, one.client, one.secret);
+      } else if (nowMs - one.sinceMs > HELLO_TIMEOUT_MS) {
+        one.session.refuse("HELLO", "", "", "RETRY");
       } else {
         waiting.add(one);
       }
     }
   }
 
-  private void greet(final ClientSession berth, final String client, final String secret) {
-    if (!secret.isEmpty() && tenure.charter().tenantOfKey(secret) == null) {
-      berth.refuse("HELLO", "", "", "DENIED");
+  private void greet(final ClientSession session, final String client, final String secret) {
+    if (!secret.isEmpty() && leaseClient.charter().tenantOfKey(secret) == null) {
+      session.refuse("HELLO", "", "", "DENIED");
       return;
     }
-    berth.greetedMs = dock.nowMs();
-    berth.client = client;
-    berth.secret = secret;
-    dock.greeted(berth);
-    berth.ok("HELLO", "", "", "");
-    dock.moveIfDraining(berth);
+    session.greetedMs = clientRegistry.nowMs();
+    session.client = client;
+    session.secret = secret;
+    clientRegistry.greeted(session);
+    session.ok("HELLO", "", "", "");
+    clientRegistry.moveIfDraining(session);
   }
 
   /** Why this client may not use the topic right now, or null when it may. */
-  String denial(final ClientSession berth, final String topic) {
-    if (!tenure.held() || weave.self() == 0) {
+  String denial(final ClientSession session, final String topic) {
+    if (!leaseClient.held() || subscriptions.self() == 0) {
       return "RETRY";
     }
-    return charterDenial(tenure.charter(), berth.secret, topic);
+    return charterDenial(leaseClient.charter(), session.secret, topic);
   }
 
   static String charterDenial(
-      final Configuration charter, final String secret, final String topic) {
-    final Configuration.Route space = charter.space(topic);
+      final Configuration configuration, final String secret, final String topic) {
+    final Configuration.Route route = configuration.space(topic);
     // The key comes first: a key that was taken away opens nothing, not even what is public.
-    if (!secret.isEmpty() && charter.tenantOfKey(secret) == null) {
+    if (!secret.isEmpty() && configuration.tenantOfKey(secret) == null) {
       return "DENIED";
     }
-    if (space == null) {
+    if (route == null) {
       return "NOSPACE";
     }
-    return secret.isEmpty() && !space.open() ? "DENIED" : null;
+    return secret.isEmpty() && !route.open() ? "DENIED" : null;
   }
 
   private void subscribe(
-      final ClientSession berth, final String topic, final String cursor, final String patterns) {
-    if (topic.isEmpty() || !berth.greeted()) {
-      berth.refuse("SUB", topic, "", "BADMSG");
+      final ClientSession session, final String topic, final String cursor, final String patterns) {
+    if (topic.isEmpty() || !session.greeted()) {
+      session.refuse("SUB", topic, "", "BADMSG");
       return;
     }
-    final String denial = denial(berth, topic);
+    final String denial = denial(session, topic);
     if (denial != null) {
-      berth.refuse("SUB", topic, "", denial);
+      session.refuse("SUB", topic, "", denial);
       return;
     }
     final Filter filter;
     try {
       filter = patterns.isEmpty() ? null : Filter.read(patterns);
-    } catch (final FilterException defect) {
+    } catch (final FilterException failure) {
       // A filter that is in force stays so.
-      berth.refuse("SUB", topic, "", defect.code() == FILTER_TOO_LARGE ? "TOOBIG" : "BADMSG");
+      session.refuse("SUB", topic, "", failure.code() == FILTER_TOO_LARGE ? "TOOBIG" : "BADMSG");
       return;
     }
-    final Subscription known = berth.subs.get(topic);
+    final Subscription known = session.subs.get(topic);
     final long position = position(cursor);
     if (known != null) {
-      dock.boarding().again(known, filter);
-    } else if (berth.subs.size() >= tenure.charter().subs()) {
-      berth.refuse("SUB", topic, "", "TOOBIG");
+      clientRegistry.boarding().again(known, filter);
+    } else if (session.subs.size() >= leaseClient.charter().subs()) {
+      session.refuse("SUB", topic, "", "TOOBIG");
     } else if (position < -1) {
-      berth.refuse("SUB", topic, "", "EXPIRED");
+      session.refuse("SUB", topic, "", "EXPIRED");
     } else {
-      final Configuration.Tenant tenant = tenure.charter().tenantOfKey(berth.secret);
-      dock.boarding()
+      final Configuration.Tenant tenant = leaseClient.charter().tenantOfKey(session.secret);
+      clientRegistry
+          .boarding()
           .join(
               new Subscription(
-                  berth,
+                  session,
                   topic,
-                  tenure.charter().space(topic),
+                  leaseClient.charter().space(topic),
                   tenant == null ? "" : tenant.name(),
                   position,
                   filter,
-                  dock.nowMs()));
+                  clientRegistry.nowMs()));
     }
   }
 
@@ -170,44 +174,47 @@
     return Long.parseLong(cursor);
   }
 
-  private void unsubscribe(final ClientSession berth, final String topic) {
-    if (topic.isEmpty() || !berth.greeted()) {
-      berth.refuse("UNSUB", topic, "", "BADMSG");
+  private void unsubscribe(final ClientSession session, final String topic) {
+    if (topic.isEmpty() || !session.greeted()) {
+      session.refuse("UNSUB", topic, "", "BADMSG");
       return;
     }
-    dock.boarding().drop(berth, topic);
-    berth.ok("UNSUB", topic, "", "");
+    clientRegistry.boarding().drop(session, topic);
+    session.ok("UNSUB", topic, "", "");
   }
 
-  private void who(final ClientSession berth, final String topic) {
-    final String denial = topic.isEmpty() || !berth.greeted() ? "BADMSG" : denial(berth, topic);
+  private void who(final ClientSession session, final String topic) {
+    final String denial = topic.isEmpty() || !session.greeted() ? "BADMSG" : denial(session, topic);
     if (denial != null) {
-      berth.refuse("WHO", topic, "", denial);
+      session.refuse("WHO", topic, "", denial);
     } else {
-      dock.count(berth, topic);
+      clientRegistry.count(session, topic);
     }
   }
 
-  private void publish(final ClientSession berth, final CommandParser words) {
-    final String topic = words.text(1);
-    final long number = words.number(2);
-    final boolean firstTry = berth.firstTry(number);
-    final String denial = topic.isEmpty() || !berth.greeted() ? "BADMSG" : denial(berth, topic);
+  private void publish(final ClientSession session, final CommandParser parser) {
+    final String topic = parser.text(1);
+    final long number = parser.number(2);
+    final boolean firstTry = session.firstTry(number);
+    final String denial = topic.isEmpty() || !session.greeted() ? "BADMSG" : denial(session, topic);
     if (denial != null) {
-      berth.denied(tenure.charter() == null ? null : tenure.charter().space(topic), dock.nowMs());
-      berth.refuse(
-          "PUB", topic, words.text(2), denial.equals("RETRY") && !firstTry ? "UNKNOWN" : denial);
+      session.denied(
+          leaseClient.charter() == null ? null : leaseClient.charter().space(topic),
+          clientRegistry.nowMs());
+      session.refuse(
+          "PUB", topic, parser.text(2), denial.equals("RETRY") && !firstTry ? "UNKNOWN" : denial);
     } else {
-      final Configuration.Tenant tenant = tenure.charter().tenantOfKey(berth.secret);
-      dock.shipping()
+      final Configuration.Tenant tenant = leaseClient.charter().tenantOfKey(session.secret);
+      clientRegistry
+          .shipping()
           .ship(
-              berth,
+              session,
               topic,
               number,
               firstTry,
               tenant == null ? "" : tenant.name(),
-              tenure.charter().space(topic),
-              words.bodyBytes());
+              leaseClient.charter().space(topic),
+              parser.bodyBytes());
     }
   }
 }
--- a/src/main/java/yewjunction/gateway/CommandParser.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -1,9 +1,9 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.BODY_BYTES;
-import static yewjunction.common.Limits.BODY_LEAST_BYTES;
-import static yewjunction.common.Limits.BODY_SKIP_BYTES;
-import static yewjunction.common.Limits.HEAD_BYTES;
+import static yewjunction.limits.ClientLimits.MAX_BODY_BYTES;
+import static yewjunction.limits.ClientLimits.MAX_COMMAND_LINE_BYTES;
+import static yewjunction.limits.ClientLimits.MAX_SKIPPED_BODY_BYTES;
+import static yewjunction.limits.ClientLimits.MIN_BODY_BYTES;
 
 import java.nio.charset.StandardCharsets;
 import org.agrona.concurrent.UnsafeBuffer;
@@ -38,7 +38,7 @@
     bodyLength = -1;
     int at = offset;
     while (at < length && buffer.getByte(at) != '\n') {
-      if (at - offset > HEAD_BYTES) {
+      if (at - offset > MAX_COMMAND_LINE_BYTES) {
         return LOST;
       }
       at++;
@@ -76,8 +76,8 @@
 
   private int body(final int length) {
     final long announced = count < 2 ? -1 : number(count - 1);
-    if (announced < 0 || announced > BODY_SKIP_BYTES) {
-      return announced > BODY_SKIP_BYTES ? TOO_BIG : LOST;
+    if (announced < 0 || announced > MAX_SKIPPED_BODY_BYTES) {
+      return announced > MAX_SKIPPED_BODY_BYTES ? TOO_BIG : LOST;
     }
     if (end + announced + 2 > length) {
       return MORE;
@@ -88,10 +88,10 @@
     if (buffer.getByte(end - 2) != '\r' || buffer.getByte(end - 1) != '\n') {
       return LOST;
     }
-    if (bodyLength > BODY_BYTES) {
+    if (bodyLength > MAX_BODY_BYTES) {
       return TOO_BIG;
     }
-    if (count != 4 || bodyLength < BODY_LEAST_BYTES || number(2) < 0) {
+    if (count != 4 || bodyLength < MIN_BODY_BYTES || number(2) < 0) {
       return BAD;
     }
     for (int at = bodyStart; at < bodyStart + bodyLength; at++) {
--- a/src/main/java/yewjunction/gateway/DisconnectedClients.java
+++ b/src/main/java/yewjunction/gateway/DisconnectedClients.java
@@ -1,6 +1,6 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.AWAY_MS;
+import static yewjunction.limits.ClientLimits.DISCONNECTED_CLIENT_RETENTION_MS;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -11,21 +11,21 @@
  * set.
  */
 final class DisconnectedClients {
-  private final AddWinsSet weave;
+  private final AddWinsSet subscriptions;
   private final Map<String, Long> awayMs = new HashMap<>();
 
-  DisconnectedClients(final AddWinsSet weave) {
-    this.weave = weave;
+  DisconnectedClients(final AddWinsSet subscriptions) {
+    this.subscriptions = subscriptions;
   }
 
   void here(final String client) {
     awayMs.remove(client);
-    weave.absent(client, false);
+    subscriptions.absent(client, false);
   }
 
   /** A cut is no unsubscribe: the set keeps the client, marked as away. */
   void away(final String client, final long nowMs) {
-    weave.absent(client, true);
+    subscriptions.absent(client, true);
     awayMs.put(client, nowMs);
   }
 
@@ -34,10 +34,12 @@
         .entrySet()
         .removeIf(
             one -> {
-              final boolean over = nowMs - one.getValue() > AWAY_MS;
+              final boolean over = nowMs - one.getValue() > DISCONNECTED_CLIENT_RETENTION_MS;
               if (over) {
-                weave.topicsHere(one.getKey()).forEach(topic -> weave.remove(topic, one.getKey()));
-                weave.absent(one.getKey(), false);
+                subscriptions
+                    .topicsHere(one.getKey())
+                    .forEach(topic -> subscriptions.remove(topic, one.getKey()));
+                subscriptions.absent(one.getKey(), false);
               }
               return over;
             });
--- a/src/main/java/yewjunction/gateway/Filter.java
+++ b/src/main/java/yewjunction/gateway/Filter.java
@@ -2,8 +2,8 @@
 
 import static yewjunction.common.ErrorCode.FILTER_INVALID;
 import static yewjunction.common.ErrorCode.FILTER_TOO_LARGE;
-import static yewjunction.common.Limits.FILTER_BYTES;
-import static yewjunction.common.Limits.FILTER_PATTERNS;
+import static yewjunction.limits.ClientLimits.MAX_FILTER_BYTES;
+import static yewjunction.limits.ClientLimits.MAX_FILTER_PATTERNS;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -42,10 +42,10 @@
    */
   static Filter read(final String text) {
     final String[] patterns = text.split(",", -1);
-    if (text.length() > FILTER_BYTES || patterns.length > FILTER_PATTERNS) {
+    if (text.length() > MAX_FILTER_BYTES || patterns.length > MAX_FILTER_PATTERNS) {
       throw new FilterException(
           FILTER_TOO_LARGE,
-          "at most " + FILTER_PATTERNS + " patterns and " + FILTER_BYTES + " bytes");
+          "at most " + MAX_FILTER_PATTERNS + " patterns and " + MAX_FILTER_BYTES + " bytes");
     }
     final List<byte[]> exact = new ArrayList<>();
     final List<byte[]> beginnings = new ArrayList<>();
@@ -88,7 +88,7 @@
   private static int keyLength(final byte[] body) {
     int length = 0;
     // No pattern is longer: what lies behind can't matter, except that the key goes on.
-    while (length < body.length && body[length] != ' ' && length <= FILTER_BYTES) {
+    while (length < body.length && body[length] != ' ' && length <= MAX_FILTER_BYTES) {
       length++;
     }
     return length;
--- a/src/main/java/yewjunction/gateway/OrderViolationCounters.java
+++ b/src/main/java/yewjunction/gateway/OrderViolationCounters.java
@@ -1,6 +1,6 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.DISORDER_CHANNELS;
+import static yewjunction.limits.OrderingLimits.MAX_VIOLATION_CHANNELS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
 
   private OrderViolations of(final String topic) {
     final String key =
-        byTopic.containsKey(topic) || byTopic.size() < DISORDER_CHANNELS ? topic : OTHERS;
+        byTopic.containsKey(topic) || byTopic.size() < MAX_VIOLATION_CHANNELS ? topic : OTHERS;
     return byTopic.computeIfAbsent(
         key,
         name -> {
--- a/src/main/java/yewjunction/gateway/OrderingConstraints.java
+++ b/src/main/java/yewjunction/gateway/OrderingConstraints.java
@@ -1,8 +1,8 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.FRESH_MS;
-import static yewjunction.common.Limits.ORDER_BURST_MOST_MS;
-import static yewjunction.common.Limits.ORDER_BURST_MS;
+import static yewjunction.limits.ClientLimits.RESENT_AFTER_HELLO_MS;
+import static yewjunction.limits.OrderingLimits.MAX_SUBSCRIBE_BURST_MS;
+import static yewjunction.limits.OrderingLimits.SUBSCRIBE_BURST_GAP_MS;
 
 import yewjunction.control.Configuration;
 
@@ -11,21 +11,21 @@
   /** Some channel follows another: where none does, nothing here costs anything. */
   private boolean any;
 
-  void charter(final Configuration charter) {
-    any = charter.spaces().stream().anyMatch(space -> !space.after().isEmpty());
+  void charter(final Configuration configuration) {
+    any = configuration.spaces().stream().anyMatch(route -> !route.after().isEmpty());
   }
 
   /** Whether messages of this subscription may have to wait for those of others. */
-  boolean follows(final Subscription sub) {
-    return any && sub.space != null && !sub.space.after().isEmpty();
+  boolean follows(final Subscription subscription) {
+    return any && subscription.route != null && !subscription.route.after().isEmpty();
   }
 
   /** Whether all earlier messages of the channels it follows have been written to this link. */
-  boolean free(final Subscription sub, final long index) {
-    for (final Subscription other : sub.berth.subs.values()) {
-      if (other != sub
-          && other.space != null
-          && sub.space.follows(other.space)
+  boolean free(final Subscription subscription, final long index) {
+    for (final Subscription other : subscription.session.subs.values()) {
+      if (other != subscription
+          && other.route != null
+          && subscription.route.follows(other.route)
           && other.pendingFrom() < index) {
         return false;
       }
@@ -37,10 +37,10 @@
    * A client that comes back names its subscriptions one after another: those it follows may not
    * have been read yet.
    */
-  boolean bursting(final Subscription sub, final long nowMs) {
-    final ClientSession berth = sub.berth;
-    return sub.sinceMs - berth.greetedMs < FRESH_MS
-        && nowMs - berth.subscribedMs < ORDER_BURST_MS
-        && nowMs - sub.sinceMs < ORDER_BURST_MOST_MS;
+  boolean bursting(final Subscription subscription, final long nowMs) {
+    final ClientSession session = subscription.session;
+    return subscription.sinceMs - session.greetedMs < RESENT_AFTER_HELLO_MS
+        && nowMs - session.subscribedMs < SUBSCRIBE_BURST_GAP_MS
+        && nowMs - subscription.sinceMs < MAX_SUBSCRIBE_BURST_MS;
   }
 }
--- a/src/main/java/yewjunction/gateway/OrderingGuard.java
+++ b/src/main/java/yewjunction/gateway/OrderingGuard.java
@@ -1,7 +1,7 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.GUARD_SENDERS;
-import static yewjunction.common.Limits.NUMBER_MS;
+import static yewjunction.limits.OrderingLimits.MAX_GUARDED_SENDERS;
+import static yewjunction.limits.QuotaLimits.NUMBER_RETENTION_MS;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -21,7 +21,7 @@
 
   /** What was written of one subscription. */
   private static final class WrittenMessages {
-    Route space;
+    Route route;
     long openedAt;
     long lastIndex = -1;
     long lastWrite;
@@ -36,16 +36,16 @@
 
           @Override
           protected boolean removeEldestEntry(final Map.Entry<String, long[]> eldest) {
-            return size() > GUARD_SENDERS;
+            return size() > MAX_GUARDED_SENDERS;
           }
         };
   }
 
-  void opened(final String topic, final Route space) {
-    final WrittenMessages watch = new WrittenMessages();
-    watch.space = space;
-    watch.openedAt = writes;
-    watches.put(topic, watch);
+  void opened(final String topic, final Route route) {
+    final WrittenMessages written = new WrittenMessages();
+    written.route = route;
+    written.openedAt = writes;
+    watches.put(topic, written);
   }
 
   void ended(final String topic) {
@@ -53,24 +53,24 @@
   }
 
   /** Another configuration: what the channel declares from now on. */
-  void declared(final String topic, final Route space) {
-    final WrittenMessages watch = watches.get(topic);
-    if (watch != null) {
-      watch.space = space;
+  void declared(final String topic, final Route route) {
+    final WrittenMessages written = watches.get(topic);
+    if (written != null) {
+      written.route = route;
     }
   }
 
   /** What writing it would break, or null: then it counts as written. */
   String breach(final StoredMessage message, final long nowMs) {
-    final WrittenMessages watch = watches.get(message.topic);
-    if (watch == null) {
+    final WrittenMessages written = watches.get(message.topic);
+    if (written == null) {
       return "not subscribed";
     }
-    if (message.index <= watch.lastIndex) {
-      return message.index + " after " + watch.lastIndex;
+    if (message.index <= written.lastIndex) {
+      return message.index + " after " + written.lastIndex;
     }
-    final long[] last = watch.senders.get(message.client);
-    if (last != null && nowMs - last[1] < NUMBER_MS && message.number <= last[0]) {
+    final long[] last = written.senders.get(message.client);
+    if (last != null && nowMs - last[1] < NUMBER_RETENTION_MS && message.number <= last[0]) {
       return message.index
           + ": number "
           + message.number
@@ -84,10 +84,10 @@
       // Whoever follows this channel may have written only what is earlier, since this one was
       // subscribed.
       if (later.lastIndex > message.index
-          && later.lastWrite > watch.openedAt
-          && later.space != null
-          && watch.space != null
-          && later.space.follows(watch.space)) {
+          && later.lastWrite > written.openedAt
+          && later.route != null
+          && written.route != null
+          && later.route.follows(written.route)) {
         return message.index
             + " after "
             + later.lastIndex
@@ -97,9 +97,9 @@
       }
     }
     writes++;
-    watch.lastIndex = message.index;
-    watch.lastWrite = writes;
-    watch.senders.put(message.client, new long[] {message.number, nowMs});
+    written.lastIndex = message.index;
+    written.lastWrite = writes;
+    written.senders.put(message.client, new long[] {message.number, nowMs});
     return null;
   }
 }
--- a/src/main/java/yewjunction/gateway/PublishDependencies.java
+++ b/src/main/java/yewjunction/gateway/PublishDependencies.java
@@ -17,35 +17,35 @@
   private final Map<PendingPublish, Set<PendingPublish>> held = new LinkedHashMap<>();
 
   /** True when it waits for some of those under way. */
-  boolean holds(final PendingPublish parcel, final Collection<PendingPublish> underWay) {
+  boolean holds(final PendingPublish publish, final Collection<PendingPublish> underWay) {
     final Set<PendingPublish> earlier = new HashSet<>();
     for (final PendingPublish other : underWay) {
-      if (other.berth == parcel.berth
-          && other.message.number < parcel.message.number
-          && parcel.space.follows(other.space)) {
+      if (other.session == publish.session
+          && other.message.number < publish.message.number
+          && publish.route.follows(other.route)) {
         earlier.add(other);
       }
     }
     if (!earlier.isEmpty()) {
-      held.put(parcel, earlier);
+      held.put(publish, earlier);
     }
     return !earlier.isEmpty();
   }
 
-  boolean holding(final PendingPublish parcel) {
-    return held.containsKey(parcel);
+  boolean holding(final PendingPublish publish) {
+    return held.containsKey(publish);
   }
 
-  void drop(final PendingPublish parcel) {
-    held.remove(parcel);
+  void drop(final PendingPublish publish) {
+    held.remove(publish);
   }
 
   /** One that waited no longer does: those that have nothing left to wait for. */
-  List<PendingPublish> accepted(final PendingPublish parcel) {
+  List<PendingPublish> accepted(final PendingPublish publish) {
     final List<PendingPublish> free = new ArrayList<>();
     held.forEach(
         (later, earlier) -> {
-          if (earlier.remove(parcel) && earlier.isEmpty()) {
+          if (earlier.remove(publish) && earlier.isEmpty()) {
             free.add(later);
           }
         });
@@ -54,11 +54,11 @@
   }
 
   /** What they were to follow was not accepted: they must not go either. */
-  List<PendingPublish> bereft(final PendingPublish parcel) {
+  List<PendingPublish> bereft(final PendingPublish publish) {
     final List<PendingPublish> bereft = new ArrayList<>();
     held.forEach(
         (later, earlier) -> {
-          if (earlier.contains(parcel)) {
+          if (earlier.contains(publish)) {
             bereft.add(later);
           }
         });
