--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -1,11 +1,11 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.ANSWER_SHARE;
-import static yewjunction.common.Limits.DARK_MS;
-import static yewjunction.common.Limits.HOLD_SHARE;
-import static yewjunction.common.Limits.INTAKE_WINDOW;
-import static yewjunction.common.Limits.OFFER_FIRST_MS;
-import static yewjunction.common.Limits.OFFER_MOST_MS;
+import static yewjunction.limits.ClientLimits.LEADER_UNREACHABLE_AFTER_MS;
+import static yewjunction.limits.ClientLimits.MAX_PUBLISHES_IN_FLIGHT;
+import static yewjunction.limits.ClientLimits.MAX_PUBLISH_BACKOFF_MS;
+import static yewjunction.limits.ClientLimits.MIN_PUBLISH_BACKOFF_MS;
+import static yewjunction.limits.ClientLimits.SENT_PUBLISH_DEADLINE_SHARE;
+import static yewjunction.limits.ClientLimits.UNSENT_PUBLISH_DEADLINE_SHARE;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -28,13 +28,13 @@
  * when one is.
  */
 public final class PublishForwarder {
-  private final AgentContext pulse;
-  private final PeerTransport post;
-  private final PublishQueue intake = new PublishQueue();
-  private final PublishDependencies pipeline = new PublishDependencies();
-  private final Map<Long, PendingPublish> parcels = new LinkedHashMap<>();
-  private final PendingRequests<PeerConnection, PendingPublish> offers;
-  private PeerConnection leaderLink;
+  private final AgentContext context;
+  private final PeerTransport transport;
+  private final PublishQueue publishQueue = new PublishQueue();
+  private final PublishDependencies dependencies = new PublishDependencies();
+  private final Map<Long, PendingPublish> publishes = new LinkedHashMap<>();
+  private final PendingRequests<PeerConnection, PendingPublish> pendingOffers;
+  private PeerConnection leaderConnection;
   private String leader = "";
   private long requests;
   private int offered;
@@ -42,22 +42,22 @@
   /** No offers before this: whoever said that it does not lead is not asked at once again. */
   private long pauseUntilMs;
 
-  private long pauseMs = OFFER_FIRST_MS;
+  private long pauseMs = MIN_PUBLISH_BACKOFF_MS;
 
   /** Since when messages wait without any answer of a leader; 0 while none do. */
   private long unansweredMs;
 
   private boolean dark;
 
-  PublishForwarder(final AgentContext pulse, final PeerTransport post, final long life) {
-    this.pulse = pulse;
-    this.post = post;
-    offers = new PendingRequests<>(life);
-    post.on(AdmitResponse.class, this::verdict);
-    post.onClose(
-        link -> {
-          if (link == leaderLink) {
-            leaderLink = null;
+  PublishForwarder(final AgentContext context, final PeerTransport transport, final long life) {
+    this.context = context;
+    this.transport = transport;
+    pendingOffers = new PendingRequests<>(life);
+    transport.on(AdmitResponse.class, this::verdict);
+    transport.onClose(
+        connection -> {
+          if (connection == leaderConnection) {
+            leaderConnection = null;
             takeBack();
             pause();
           }
@@ -65,58 +65,58 @@
   }
 
   void ship(
-      final ClientSession berth,
+      final ClientSession session,
       final String topic,
       final long number,
       final boolean firstTry,
       final String tenant,
-      final Route space,
+      final Route route,
       final byte[] body) {
     final StoredMessage message = new StoredMessage();
     message.topic = topic;
-    message.client = berth.client;
+    message.client = session.client;
     message.number = number;
     message.body = body;
     message.tenant(tenant);
-    final PendingPublish parcel =
-        new PendingPublish(++requests, berth, message, tenant, pulse.nowMs(), space);
-    parcel.sent = !firstTry;
+    final PendingPublish publish =
+        new PendingPublish(++requests, session, message, tenant, context.nowMs(), route);
+    publish.sent = !firstTry;
     // No prospect: said at once, and the client may try where there is more.
-    final boolean follows = !space.after().isEmpty();
-    final boolean bereft = follows && berth.bereft(space, parcel.startMs);
-    parcel.revoked = bereft && parcel.sent;
+    final boolean follows = !route.after().isEmpty();
+    final boolean bereft = follows && session.bereft(route, publish.startMs);
+    publish.revoked = bereft && publish.sent;
     if (dark
-        || bereft && !parcel.sent
-        || !(follows && !bereft && pipeline.holds(parcel, parcels.values()))
-            && !intake.add(parcel)) {
-      giveUp(parcel);
+        || bereft && !publish.sent
+        || !(follows && !bereft && dependencies.holds(publish, publishes.values()))
+            && !publishQueue.add(publish)) {
+      giveUp(publish);
       return;
     }
     if (unansweredMs == 0) {
-      unansweredMs = parcel.startMs;
+      unansweredMs = publish.startMs;
     }
-    berth.underWay++;
-    parcels.put(parcel.request, parcel);
+    session.underWay++;
+    publishes.put(publish.request, publish);
     offer();
   }
 
   /** Tenants in turn, a message each, up to the window; within a tenant in the order of arrival. */
   private void offer() {
-    final long nowMs = pulse.nowMs();
+    final long nowMs = context.nowMs();
     if (leader.isEmpty() || nowMs < pauseUntilMs) {
       return;
     }
-    while (offered < INTAKE_WINDOW && !intake.isEmpty()) {
-      if (leaderLink == null || !leaderLink.open()) {
-        leaderLink = post.dial(leader);
+    while (offered < MAX_PUBLISHES_IN_FLIGHT && !publishQueue.isEmpty()) {
+      if (leaderConnection == null || !leaderConnection.open()) {
+        leaderConnection = transport.dial(leader);
       }
-      final PendingPublish parcel = intake.next();
-      final AdmitRequest admit = new AdmitRequest();
-      admit.request = parcel.offer(offers, leaderLink);
-      admit.message = parcel.message;
-      admit.revoked = parcel.revoked ? true : null;
+      final PendingPublish publish = publishQueue.next();
+      final AdmitRequest request = new AdmitRequest();
+      request.request = publish.offer(pendingOffers, leaderConnection);
+      request.message = publish.message;
+      request.revoked = publish.revoked ? true : null;
       offered++;
-      if (!leaderLink.send(admit)) {
+      if (!leaderConnection.send(request)) {
         takeBack();
         pause();
         return;
@@ -130,13 +130,13 @@
    */
   private void takeBack() {
     offered = 0;
-    intake.clear();
-    parcels.values().stream()
-        .filter(parcel -> !pipeline.holding(parcel))
+    publishQueue.clear();
+    publishes.values().stream()
+        .filter(publish -> !dependencies.holding(publish))
         .forEach(
-            parcel -> {
-              parcel.offered = false;
-              intake.put(parcel);
+            publish -> {
+              publish.offered = false;
+              publishQueue.put(publish);
             });
   }
 
@@ -145,16 +145,16 @@
    * trouble.
    */
   private void pause() {
-    pauseUntilMs = pulse.nowMs() + pauseMs + pulse.luck().nextInt((int) pauseMs);
-    pauseMs = Math.min(OFFER_MOST_MS, 2 * pauseMs);
-    pulse.after(pauseUntilMs - pulse.nowMs(), this::offer);
+    pauseUntilMs = context.nowMs() + pauseMs + context.luck().nextInt((int) pauseMs);
+    pauseMs = Math.min(MAX_PUBLISH_BACKOFF_MS, 2 * pauseMs);
+    context.after(pauseUntilMs - context.nowMs(), this::offer);
   }
 
   void leaderIs(final String address) {
     leader = address;
-    leaderLink = null;
+    leaderConnection = null;
     pauseUntilMs = 0;
-    pauseMs = OFFER_FIRST_MS;
+    pauseMs = MIN_PUBLISH_BACKOFF_MS;
     takeBack();
     inTouch();
     offer();
@@ -172,94 +172,97 @@
     unansweredMs = 0;
     if (dark) {
       dark = false;
-      LogEvent.SITE_BACK.info("folding in " + intake.size() + " messages");
+      LogEvent.SITE_BACK.info("folding in " + publishQueue.size() + " messages");
     }
   }
 
-  private void verdict(final PeerConnection link, final AdmitResponse verdict) {
-    final PendingPublish parcel = offers.answered(verdict.request, link);
+  private void verdict(final PeerConnection connection, final AdmitResponse response) {
+    final PendingPublish publish = pendingOffers.answered(response.request, connection);
     // Bad news on an earlier offer binds nobody once another leader, or the same one anew, has been
     // asked.
-    if (parcel == null
-        || verdict.what != AdmissionMessages.ACCEPTED && !parcel.newestOffer(verdict.request)) {
+    if (publish == null
+        || response.what != AdmissionMessages.ACCEPTED && !publish.newestOffer(response.request)) {
       return;
     }
-    if (verdict.what == AdmissionMessages.ELSEWHERE) {
+    if (response.what == AdmissionMessages.ELSEWHERE) {
       // Not leading, or not yet: the first word says it all.
-      if (link == leaderLink && offered > 0) {
+      if (connection == leaderConnection && offered > 0) {
         takeBack();
         pause();
       }
       return;
     }
-    parcels.remove(parcel.request);
-    settled(parcel);
-    pauseMs = OFFER_FIRST_MS;
+    publishes.remove(publish.request);
+    settled(publish);
+    pauseMs = MIN_PUBLISH_BACKOFF_MS;
     inTouch();
-    if (verdict.what == AdmissionMessages.ACCEPTED) {
-      parcel.berth.ack(parcel.message.topic, parcel.message.number);
-      pipeline.accepted(parcel).forEach(intake::put);
+    if (response.what == AdmissionMessages.ACCEPTED) {
+      publish.session.ack(publish.message.topic, publish.message.number);
+      dependencies.accepted(publish).forEach(publishQueue::put);
     } else {
-      refuse(parcel, "RETRY");
+      refuse(publish, "RETRY");
     }
     offer();
   }
 
-  private void settled(final PendingPublish parcel) {
-    parcel.offers.forEach(offers::drop);
-    parcel.berth.underWay--;
-    pipeline.drop(parcel);
-    if (parcel.offered) {
+  private void settled(final PendingPublish publish) {
+    publish.offers.forEach(pendingOffers::drop);
+    publish.session.underWay--;
+    dependencies.drop(publish);
+    if (publish.offered) {
       offered--;
     } else {
-      intake.remove(parcel);
+      publishQueue.remove(publish);
     }
   }
 
   /** Not accepted here, as far as is known: RETRY promises that it never left this edge. */
-  private void giveUp(final PendingPublish parcel) {
-    refuse(parcel, parcel.sent ? "UNKNOWN" : "RETRY");
+  private void giveUp(final PendingPublish publish) {
+    refuse(publish, publish.sent ? "UNKNOWN" : "RETRY");
   }
 
-  private void refuse(final PendingPublish parcel, final String reason) {
-    parcel.berth.denied(parcel.space, pulse.nowMs());
+  private void refuse(final PendingPublish publish, final String reason) {
+    publish.session.denied(publish.route, context.nowMs());
     // What was to follow it must not get a place in the log before it.
-    for (final PendingPublish later : pipeline.bereft(parcel)) {
+    for (final PendingPublish later : dependencies.bereft(publish)) {
       if (later.sent) {
         // Another edge may have sent it on: the leader says what became of it, and that nothing
         // more will.
         later.revoked = true;
-        intake.put(later);
+        publishQueue.put(later);
       } else {
-        parcels.remove(later.request);
+        publishes.remove(later.request);
         settled(later);
         giveUp(later);
       }
     }
-    parcel.berth.refuse("PUB", parcel.message.topic, String.valueOf(parcel.message.number), reason);
+    publish.session.refuse(
+        "PUB", publish.message.topic, String.valueOf(publish.message.number), reason);
   }
 
   void look(final long nowMs) {
-    for (final PendingPublish parcel : new ArrayList<>(parcels.values())) {
-      final long heldMs = nowMs - parcel.startMs;
+    for (final PendingPublish publish : new ArrayList<>(publishes.values())) {
+      final long heldMs = nowMs - publish.startMs;
       // What never left is promised away early; of the rest nothing is known here.
-      if (heldMs > parcel.timeoutMs * (parcel.sent ? ANSWER_SHARE : HOLD_SHARE)) {
-        if (parcels.remove(parcel.request) != null) {
-          settled(parcel);
-          giveUp(parcel);
+      if (heldMs
+          > publish.timeoutMs
+              * (publish.sent ? SENT_PUBLISH_DEADLINE_SHARE : UNSENT_PUBLISH_DEADLINE_SHARE)) {
+        if (publishes.remove(publish.request) != null) {
+          settled(publish);
+          giveUp(publish);
         }
       }
     }
-    if (!dark && unansweredMs > 0 && nowMs - unansweredMs > DARK_MS) {
+    if (!dark && unansweredMs > 0 && nowMs - unansweredMs > LEADER_UNREACHABLE_AFTER_MS) {
       dark = true;
-      LogEvent.SITE_DARK.warn("no leader answers, " + parcels.size() + " messages wait");
+      LogEvent.SITE_DARK.warn("no leader answers, " + publishes.size() + " messages wait");
     }
     offer();
   }
 
   /** Messages that wait for a leader's answer. */
   public int depth() {
-    return parcels.size();
+    return publishes.size();
   }
 
   /** No leader answers: new messages are denied at once. */
@@ -271,14 +274,14 @@
    * A link is gone: its messages are not sent again from here, since the client will do so
    * elsewhere.
    */
-  void gone(final ClientSession berth) {
-    parcels.values().stream()
-        .filter(parcel -> parcel.berth == berth)
+  void gone(final ClientSession session) {
+    publishes.values().stream()
+        .filter(publish -> publish.session == session)
         .toList()
         .forEach(
-            parcel -> {
-              parcels.remove(parcel.request);
-              settled(parcel);
+            publish -> {
+              publishes.remove(publish.request);
+              settled(publish);
             });
   }
 }
--- a/src/main/java/yewjunction/gateway/PublishQueue.java
+++ b/src/main/java/yewjunction/gateway/PublishQueue.java
@@ -1,7 +1,7 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.INTAKE_BYTES;
-import static yewjunction.common.Limits.INTAKE_MOST;
+import static yewjunction.limits.ClientLimits.MAX_QUEUED_PUBLISHES;
+import static yewjunction.limits.ClientLimits.MAX_QUEUED_PUBLISH_BYTES;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,11 +25,11 @@
   /** One message of a client, until it has its final answer. */
   static final class PendingPublish {
     final long request;
-    final ClientSession berth;
+    final ClientSession session;
     final StoredMessage message;
     final String tenant;
     final long startMs;
-    final Route space;
+    final Route route;
     final long timeoutMs;
 
     /** On its way to a leader right now. */
@@ -52,27 +52,27 @@
 
     PendingPublish(
         final long request,
-        final ClientSession berth,
+        final ClientSession session,
         final StoredMessage message,
         final String tenant,
         final long startMs,
-        final Route space) {
+        final Route route) {
       this.request = request;
-      this.berth = berth;
+      this.session = session;
       this.message = message;
       this.tenant = tenant;
       this.startMs = startMs;
-      this.space = space;
-      timeoutMs = space.timeoutMs();
+      this.route = route;
+      timeoutMs = route.timeoutMs();
     }
 
     /** Goes to a leader; the number that its verdict is to repeat. */
     long offer(
-        final PendingRequests<PeerConnection, PendingPublish> questions,
-        final PeerConnection link) {
+        final PendingRequests<PeerConnection, PendingPublish> pendingRequests,
+        final PeerConnection connection) {
       offered = true;
       sent = true;
-      final long number = questions.ask(link, this);
+      final long number = pendingRequests.ask(connection, this);
       offers.add(number);
       return number;
     }
@@ -83,19 +83,19 @@
   }
 
   /** False when there is no room. */
-  boolean add(final PendingPublish parcel) {
-    if (size >= INTAKE_MOST || bytes >= INTAKE_BYTES) {
+  boolean add(final PendingPublish publish) {
+    if (size >= MAX_QUEUED_PUBLISHES || bytes >= MAX_QUEUED_PUBLISH_BYTES) {
       return false;
     }
-    put(parcel);
+    put(publish);
     return true;
   }
 
   /** One that had its place already. */
-  void put(final PendingPublish parcel) {
-    lanes.computeIfAbsent(parcel.tenant, key -> new ArrayDeque<>()).add(parcel);
+  void put(final PendingPublish publish) {
+    lanes.computeIfAbsent(publish.tenant, key -> new ArrayDeque<>()).add(publish);
     size++;
-    bytes += parcel.message.body.length;
+    bytes += publish.message.body.length;
   }
 
   /**
@@ -104,27 +104,27 @@
   PendingPublish next() {
     final Map.Entry<String, ArrayDeque<PendingPublish>> first = lanes.entrySet().iterator().next();
     final ArrayDeque<PendingPublish> lane = lanes.remove(first.getKey());
-    final PendingPublish parcel = lane.poll();
+    final PendingPublish publish = lane.poll();
     if (!lane.isEmpty()) {
       lanes.put(first.getKey(), lane);
     }
-    left(parcel);
-    return parcel;
+    left(publish);
+    return publish;
   }
 
-  void remove(final PendingPublish parcel) {
-    final ArrayDeque<PendingPublish> lane = lanes.get(parcel.tenant);
-    if (lane != null && lane.remove(parcel)) {
-      left(parcel);
+  void remove(final PendingPublish publish) {
+    final ArrayDeque<PendingPublish> lane = lanes.get(publish.tenant);
+    if (lane != null && lane.remove(publish)) {
+      left(publish);
       if (lane.isEmpty()) {
-        lanes.remove(parcel.tenant);
+        lanes.remove(publish.tenant);
       }
     }
   }
 
-  private void left(final PendingPublish parcel) {
+  private void left(final PendingPublish publish) {
     size--;
-    bytes -= parcel.message.body.length;
+    bytes -= publish.message.body.length;
   }
 
   void clear() {
--- a/src/main/java/yewjunction/gateway/ReplayScheduler.java
+++ b/src/main/java/yewjunction/gateway/ReplayScheduler.java
@@ -1,12 +1,12 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.DOCK_SWEEP_MS;
-import static yewjunction.common.Limits.ORDER_LOOK_MS;
-import static yewjunction.common.Limits.ORDER_WAIT_MS;
-import static yewjunction.common.Limits.REPLAY_LINE_BYTES;
-import static yewjunction.common.Limits.REPLAY_LIVE_MOST;
-import static yewjunction.common.Limits.REPLAY_TURN_BYTES;
-import static yewjunction.common.Limits.REPLAY_TURN_MS;
+import static yewjunction.limits.ClientLimits.SESSION_CHECK_INTERVAL_MS;
+import static yewjunction.limits.OrderingLimits.MAX_ORDER_WAIT_MS;
+import static yewjunction.limits.OrderingLimits.ORDER_CHECK_INTERVAL_MS;
+import static yewjunction.limits.ReplayLimits.REPLAY_MAX_LIVE_MESSAGES;
+import static yewjunction.limits.ReplayLimits.REPLAY_MAX_UNREAD_BYTES;
+import static yewjunction.limits.ReplayLimits.REPLAY_QUANTUM_BYTES;
+import static yewjunction.limits.ReplayLimits.REPLAY_TURN_INTERVAL_MS;
 
 import java.util.ArrayDeque;
 import java.util.Iterator;
@@ -22,10 +22,10 @@
  * else's clients at once, beside all this.
  */
 final class ReplayScheduler {
-  private final AgentContext pulse;
+  private final AgentContext context;
   private final Consumer<Subscription> asker;
   private final Map<String, TenantReplays> turns = new LinkedHashMap<>();
-  private final OrderingConstraints precedence;
+  private final OrderingConstraints constraints;
   private boolean stepping;
   private int written;
   private boolean held;
@@ -38,11 +38,11 @@
 
   /** Asker: fetches the next piece of a subscription's older messages. */
   ReplayScheduler(
-      final AgentContext pulse,
-      final OrderingConstraints precedence,
+      final AgentContext context,
+      final OrderingConstraints constraints,
       final Consumer<Subscription> asker) {
-    this.pulse = pulse;
-    this.precedence = precedence;
+    this.context = context;
+    this.constraints = constraints;
     this.asker = asker;
   }
 
@@ -52,7 +52,7 @@
     for (final StoredMessage message : messages) {
       bytes += size(message);
     }
-    return bytes <= REPLAY_TURN_BYTES;
+    return bytes <= REPLAY_QUANTUM_BYTES;
   }
 
   private static int size(final StoredMessage message) {
@@ -60,42 +60,43 @@
   }
 
   /** The subscription has something to write, or a next piece to ask for. */
-  void add(final Subscription sub) {
-    sub.catching = true;
-    final TenantReplays turn = turns.computeIfAbsent(sub.tenant, key -> new TenantReplays());
-    if (!turn.subs.contains(sub)) {
-      turn.subs.add(sub);
+  void add(final Subscription subscription) {
+    subscription.catching = true;
+    final TenantReplays replays =
+        turns.computeIfAbsent(subscription.tenant, key -> new TenantReplays());
+    if (!replays.subs.contains(subscription)) {
+      replays.subs.add(subscription);
     }
     if (!stepping) {
       stepping = true;
-      pulse.post(this::step);
+      context.post(this::step);
     }
   }
 
   /** A new message for a subscription that still catches up waits behind the older ones. */
-  void hold(final Subscription sub, final StoredMessage message) {
-    sub.live.add(message);
-    if (sub.live.size() > REPLAY_LIVE_MOST) {
+  void hold(final Subscription subscription, final StoredMessage message) {
+    subscription.live.add(message);
+    if (subscription.live.size() > REPLAY_MAX_LIVE_MESSAGES) {
       // It takes up its cursors again, which asks for pieces in place of holding them here.
-      sub.berth.line.close();
+      subscription.session.connection.close();
     }
   }
 
   private void step() {
-    final long nowMs = pulse.nowMs();
+    final long nowMs = context.nowMs();
     written = 0;
     held = false;
     for (final Iterator<TenantReplays> each = turns.values().iterator(); each.hasNext(); ) {
-      final TenantReplays turn = each.next();
-      turn.bytes += REPLAY_TURN_BYTES;
-      for (int left = turn.subs.size(); left > 0 && turn.bytes > 0; left--) {
-        final Subscription sub = turn.subs.poll();
-        if (write(sub, turn, nowMs)) {
-          turn.subs.add(sub);
+      final TenantReplays replays = each.next();
+      replays.bytes += REPLAY_QUANTUM_BYTES;
+      for (int left = replays.subs.size(); left > 0 && replays.bytes > 0; left--) {
+        final Subscription subscription = replays.subs.poll();
+        if (write(subscription, replays, nowMs)) {
+          replays.subs.add(subscription);
         }
       }
-      turn.bytes = Math.min(turn.bytes, 0);
-      if (turn.subs.isEmpty()) {
+      replays.bytes = Math.min(replays.bytes, 0);
+      if (replays.subs.isEmpty()) {
         each.remove();
       }
     }
@@ -103,7 +104,11 @@
     if (stepping) {
       // Between two turns the agent serves what came meanwhile; when all wait for slow readers it
       // looks seldom.
-      pulse.after(written > 0 ? REPLAY_TURN_MS : held ? ORDER_LOOK_MS : DOCK_SWEEP_MS, this::step);
+      context.after(
+          written > 0
+              ? REPLAY_TURN_INTERVAL_MS
+              : held ? ORDER_CHECK_INTERVAL_MS : SESSION_CHECK_INTERVAL_MS,
+          this::step);
     }
   }
 
@@ -111,53 +116,58 @@
    * The channel follows others: whether earlier messages of those are still to be written, or may
    * be named yet.
    */
-  private boolean waits(final Subscription sub, final StoredMessage message, final long nowMs) {
+  private boolean waits(
+      final Subscription subscription, final StoredMessage message, final long nowMs) {
     final boolean waits =
-        precedence.bursting(sub, nowMs) || message != null && !precedence.free(sub, message.index);
+        constraints.bursting(subscription, nowMs)
+            || message != null && !constraints.free(subscription, message.index);
     if (!waits) {
-      sub.heldMs = 0;
+      subscription.heldMs = 0;
       return false;
     }
     held = true;
-    sub.heldMs = sub.heldMs == 0 ? nowMs : sub.heldMs;
-    if (nowMs - sub.heldMs > ORDER_WAIT_MS) {
+    subscription.heldMs = subscription.heldMs == 0 ? nowMs : subscription.heldMs;
+    if (nowMs - subscription.heldMs > MAX_ORDER_WAIT_MS) {
       // It would wait without end: taken up anew by the cursors.
-      sub.berth.line.close();
+      subscription.session.connection.close();
     }
     return true;
   }
 
   /** True while the subscription still has something to write. */
-  private boolean write(final Subscription sub, final TenantReplays turn, final long nowMs) {
-    if (!sub.berth.line.open() || sub.berth.subs.get(sub.topic) != sub) {
+  private boolean write(
+      final Subscription subscription, final TenantReplays replays, final long nowMs) {
+    if (!subscription.session.connection.open()
+        || subscription.session.subs.get(subscription.topic) != subscription) {
       return false;
     }
-    while (turn.bytes > 0 && sub.berth.line.open()) {
+    while (replays.bytes > 0 && subscription.session.connection.open()) {
       // A client that reads slowly is not written to ahead: its own replay waits for it, and only
       // its own.
-      if (sub.berth.line.waiting() > REPLAY_LINE_BYTES) {
+      if (subscription.session.connection.waiting() > REPLAY_MAX_UNREAD_BYTES) {
         return true;
       }
-      if (sub.replay.isEmpty() && sub.replayTo > 0) {
-        if (!sub.asked) {
-          sub.asked = true;
-          asker.accept(sub);
+      if (subscription.replay.isEmpty() && subscription.replayTo > 0) {
+        if (!subscription.asked) {
+          subscription.asked = true;
+          asker.accept(subscription);
         }
         return false;
       }
-      final ArrayDeque<StoredMessage> queue = sub.replay.isEmpty() ? sub.live : sub.replay;
+      final ArrayDeque<StoredMessage> queue =
+          subscription.replay.isEmpty() ? subscription.live : subscription.replay;
       final StoredMessage message = queue.peek();
-      if (precedence.follows(sub) && waits(sub, message, nowMs)) {
+      if (constraints.follows(subscription) && waits(subscription, message, nowMs)) {
         return true;
       }
       if (message == null) {
-        sub.catching = false;
+        subscription.catching = false;
         return false;
       }
       queue.poll();
-      turn.bytes -= size(message);
+      replays.bytes -= size(message);
       written++;
-      sub.deliver(message, nowMs);
+      subscription.deliver(message, nowMs);
     }
     return true;
   }
--- a/src/main/java/yewjunction/gateway/SlowReaderLimit.java
+++ b/src/main/java/yewjunction/gateway/SlowReaderLimit.java
@@ -1,6 +1,6 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.CLIENTS_QUEUE_BYTES;
+import static yewjunction.limits.ClientLimits.MAX_TOTAL_CLIENT_QUEUE_BYTES;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,17 +18,18 @@
   static void cutSlowest(final Collection<ClientSession> berths) {
     final List<ClientSession> slow = new ArrayList<>();
     long waiting = 0;
-    for (final ClientSession berth : berths) {
-      if (berth.line.waiting() > 0) {
-        slow.add(berth);
-        waiting += berth.line.waiting();
+    for (final ClientSession session : berths) {
+      if (session.connection.waiting() > 0) {
+        slow.add(session);
+        waiting += session.connection.waiting();
       }
     }
-    slow.sort((one, other) -> Integer.compare(other.line.waiting(), one.line.waiting()));
-    for (int place = 0; waiting > CLIENTS_QUEUE_BYTES; place++) {
-      waiting -= slow.get(place).line.waiting();
+    slow.sort(
+        (one, other) -> Integer.compare(other.connection.waiting(), one.connection.waiting()));
+    for (int place = 0; waiting > MAX_TOTAL_CLIENT_QUEUE_BYTES; place++) {
+      waiting -= slow.get(place).connection.waiting();
       LogEvent.CLIENT_SLOW.info(slow.get(place).client);
-      slow.get(place).line.close();
+      slow.get(place).connection.close();
     }
   }
 }
--- a/src/main/java/yewjunction/gateway/Subscription.java
+++ b/src/main/java/yewjunction/gateway/Subscription.java
@@ -6,7 +6,7 @@
 
 /** One topic on one client's link. */
 final class Subscription {
-  final ClientSession berth;
+  final ClientSession session;
   final String topic;
 
   /** Whose turn its catching up takes. */
@@ -18,7 +18,7 @@
   final long sinceMs;
 
   /** What its channel declares, by the configuration in force. */
-  Route space;
+  Route route;
 
   long instance;
 
@@ -56,15 +56,15 @@
   long heldMs;
 
   Subscription(
-      final ClientSession berth,
+      final ClientSession session,
       final String topic,
-      final Route space,
+      final Route route,
       final String tenant,
       final long position,
       final Filter filter,
       final long sinceMs) {
-    this.space = space;
-    this.berth = berth;
+    this.route = route;
+    this.session = session;
     this.topic = topic;
     this.tenant = tenant;
     this.position = position;
@@ -100,7 +100,7 @@
   private void answer(final long nowMs) {
     told = after;
     toldMs = nowMs;
-    berth.ok("SUB", topic, String.valueOf(after), filter == null ? "" : filter.text);
+    session.ok("SUB", topic, String.valueOf(after), filter == null ? "" : filter.text);
   }
 
   /**
@@ -126,7 +126,7 @@
       if (filter == null || filter.wants(message.body)) {
         told = after;
         toldMs = nowMs;
-        berth.message(message);
+        session.message(message);
       }
     }
   }
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -1,7 +1,7 @@
 package yewjunction.gateway;
 
-import static yewjunction.common.Limits.JOIN_ANSWER_MS;
-import static yewjunction.common.Limits.JOIN_WINDOW;
+import static yewjunction.limits.ClientLimits.MAX_SUBSCRIBES_IN_FLIGHT;
+import static yewjunction.limits.ClientLimits.SUBSCRIBE_TIMEOUT_MS;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -22,11 +22,11 @@
  * their end.
  */
 final class SubscriptionManager {
-  private final ClientRegistry dock;
-  private final AgentContext pulse;
-  private final AddWinsSet weave;
-  private final OrderingConstraints precedence = new OrderingConstraints();
-  private final ReplayScheduler replays;
+  private final ClientRegistry clientRegistry;
+  private final AgentContext context;
+  private final AddWinsSet subscriptions;
+  private final OrderingConstraints constraints = new OrderingConstraints();
+  private final ReplayScheduler replayScheduler;
   private final Map<String, List<Subscription>> byTopic = new HashMap<>();
   private final Map<Long, Subscription> joining = new LinkedHashMap<>();
 
@@ -39,31 +39,34 @@
   private final Map<Long, Subscription> fetching = new LinkedHashMap<>();
 
   private final Set<Subscription> filtered = new HashSet<>();
-  private StreamClient envoy;
+  private StreamClient streamClient;
   private long requests;
 
-  SubscriptionManager(final ClientRegistry dock, final AgentContext pulse, final AddWinsSet weave) {
-    this.dock = dock;
-    this.pulse = pulse;
-    this.weave = weave;
-    replays = new ReplayScheduler(pulse, precedence, this::fetch);
+  SubscriptionManager(
+      final ClientRegistry clientRegistry,
+      final AgentContext context,
+      final AddWinsSet subscriptions) {
+    this.clientRegistry = clientRegistry;
+    this.context = context;
+    this.subscriptions = subscriptions;
+    replayScheduler = new ReplayScheduler(context, constraints, this::fetch);
   }
 
-  void envoy(final StreamClient chosenEnvoy) {
-    envoy = chosenEnvoy;
+  void envoy(final StreamClient chosenStreamClient) {
+    streamClient = chosenStreamClient;
   }
 
   /** What the channels declare from now on. */
-  void charter(final Configuration charter) {
-    precedence.charter(charter);
-    for (final ClientSession berth : dock.berths()) {
-      berth
+  void charter(final Configuration configuration) {
+    constraints.charter(configuration);
+    for (final ClientSession session : clientRegistry.berths()) {
+      session
           .subs
           .values()
           .forEach(
-              sub -> {
-                sub.space = charter.space(sub.topic);
-                berth.guard.declared(sub.topic, sub.space);
+              subscription -> {
+                subscription.route = configuration.space(subscription.topic);
+                session.guard.declared(subscription.topic, subscription.route);
               });
     }
   }
@@ -72,20 +75,20 @@
     return byTopic.getOrDefault(topic, List.of());
   }
 
-  void join(final Subscription sub) {
-    if (sub.filtered()) {
-      filtered.add(sub);
+  void join(final Subscription subscription) {
+    if (subscription.filtered()) {
+      filtered.add(subscription);
     }
-    sub.berth.subs.put(sub.topic, sub);
-    sub.berth.subscribedMs = pulse.nowMs();
-    sub.berth.guard.opened(sub.topic, sub.space);
+    subscription.session.subs.put(subscription.topic, subscription);
+    subscription.session.subscribedMs = context.nowMs();
+    subscription.session.guard.opened(subscription.topic, subscription.route);
     // Taken up from another edge: that edge's instance is cancelled by the set's own operations.
-    if (weave.elsewhere(sub.topic, sub.berth.client)) {
-      weave.remove(sub.topic, sub.berth.client);
+    if (subscriptions.elsewhere(subscription.topic, subscription.session.client)) {
+      subscriptions.remove(subscription.topic, subscription.session.client);
     }
-    sub.instance = weave.add(sub.topic, sub.berth.client);
+    subscription.instance = subscriptions.add(subscription.topic, subscription.session.client);
     final long request = ++requests;
-    joining.put(request, sub);
+    joining.put(request, subscription);
     unasked.add(request);
     askMore();
   }
@@ -96,22 +99,22 @@
    * is asked everything again.
    */
   private void askMore() {
-    while (asked.size() < JOIN_WINDOW && !unasked.isEmpty()) {
+    while (asked.size() < MAX_SUBSCRIBES_IN_FLIGHT && !unasked.isEmpty()) {
       final long request = unasked.poll();
-      final Subscription sub = joining.get(request);
-      if (sub != null) {
+      final Subscription subscription = joining.get(request);
+      if (subscription != null) {
         asked.add(request);
-        notice(request, sub);
+        notice(request, subscription);
       }
     }
   }
 
   /** Asked once more on the same link, with a filter or without. */
-  void again(final Subscription sub, final Filter filter) {
+  void again(final Subscription subscription, final Filter filter) {
     if (filter != null) {
-      filtered.add(sub);
+      filtered.add(subscription);
     }
-    sub.again(filter, pulse.nowMs());
+    subscription.again(filter, context.nowMs());
   }
 
   /** A new home knows nothing of what the old one was asked. */
@@ -123,24 +126,33 @@
     fetching.forEach(this::further);
   }
 
-  private void notice(final long request, final Subscription sub) {
-    envoy.weft().notice(request, sub.topic, sub.berth.client, sub.instance, sub.position);
+  private void notice(final long request, final Subscription subscription) {
+    streamClient
+        .weft()
+        .notice(
+            request,
+            subscription.topic,
+            subscription.session.client,
+            subscription.instance,
+            subscription.position);
   }
 
-  private void fetch(final Subscription sub) {
+  private void fetch(final Subscription subscription) {
     final long request = ++requests;
-    fetching.put(request, sub);
-    further(request, sub);
+    fetching.put(request, subscription);
+    further(request, subscription);
   }
 
-  private void further(final long request, final Subscription sub) {
-    envoy
+  private void further(final long request, final Subscription subscription) {
+    streamClient
         .weft()
         .further(
             request,
-            sub.topic,
-            sub.replay.isEmpty() ? sub.after : sub.replay.getLast().index,
-            sub.replayTo);
+            subscription.topic,
+            subscription.replay.isEmpty()
+                ? subscription.after
+                : subscription.replay.getLast().index,
+            subscription.replayTo);
   }
 
   /**
@@ -156,92 +168,96 @@
     asked.remove(request);
     askMore();
     final Subscription waiting = fetching.remove(request);
-    final Subscription sub = waiting != null ? waiting : joining.remove(request);
-    if (sub == null || sub.berth.subs.get(sub.topic) != sub) {
+    final Subscription subscription = waiting != null ? waiting : joining.remove(request);
+    if (subscription == null || subscription.session.subs.get(subscription.topic) != subscription) {
       return;
     }
     if (expired) {
-      dock.disorders().gap(sub.topic, sub.berth.client, sub.position);
-      giveUp(sub, "EXPIRED");
+      clientRegistry
+          .disorders()
+          .gap(subscription.topic, subscription.session.client, subscription.position);
+      giveUp(subscription, "EXPIRED");
     } else if (waiting != null) {
-      sub.asked = false;
-      sub.replay.addAll(behind);
-      sub.replayTo = more ? sub.replayTo : 0;
-      replays.add(sub);
+      subscription.asked = false;
+      subscription.replay.addAll(behind);
+      subscription.replayTo = more ? subscription.replayTo : 0;
+      replayScheduler.add(subscription);
     } else {
-      byTopic.computeIfAbsent(sub.topic, key -> new ArrayList<>()).add(sub);
-      dock.whenHeld(() -> begin(sub, position, behind, more));
+      byTopic.computeIfAbsent(subscription.topic, key -> new ArrayList<>()).add(subscription);
+      clientRegistry.whenHeld(() -> begin(subscription, position, behind, more));
     }
   }
 
   private void begin(
-      final Subscription sub,
+      final Subscription subscription,
       final long position,
       final List<StoredMessage> behind,
       final boolean more) {
-    if (sub.berth.subs.get(sub.topic) != sub) {
+    if (subscription.session.subs.get(subscription.topic) != subscription) {
       return;
     }
-    final long nowMs = pulse.nowMs();
-    sub.open(sub.position >= 0 ? sub.position : position, nowMs);
-    if (!more && ReplayScheduler.isShort(behind) && !precedence.follows(sub)) {
-      behind.forEach(message -> sub.deliver(message, nowMs));
-      sub.after = Math.max(sub.after, position);
+    final long nowMs = context.nowMs();
+    subscription.open(subscription.position >= 0 ? subscription.position : position, nowMs);
+    if (!more && ReplayScheduler.isShort(behind) && !constraints.follows(subscription)) {
+      behind.forEach(message -> subscription.deliver(message, nowMs));
+      subscription.after = Math.max(subscription.after, position);
     } else {
-      sub.replay.addAll(behind);
-      sub.replayTo = more ? position : 0;
-      replays.add(sub);
+      subscription.replay.addAll(behind);
+      subscription.replayTo = more ? position : 0;
+      replayScheduler.add(subscription);
     }
   }
 
   void deliver(final StoredMessage message, final long nowMs) {
     // Copied: a slow client's link may be cut while it is written to.
-    for (final Subscription sub : new ArrayList<>(subs(message.topic))) {
-      if (sub.catching) {
-        replays.hold(sub, message);
-      } else if (precedence.follows(sub) && !precedence.free(sub, message.index)) {
-        replays.hold(sub, message);
-        replays.add(sub);
+    for (final Subscription subscription : new ArrayList<>(subs(message.topic))) {
+      if (subscription.catching) {
+        replayScheduler.hold(subscription, message);
+      } else if (constraints.follows(subscription)
+          && !constraints.free(subscription, message.index)) {
+        replayScheduler.hold(subscription, message);
+        replayScheduler.add(subscription);
       } else {
-        sub.deliver(message, nowMs);
+        subscription.deliver(message, nowMs);
       }
     }
   }
 
-  private void giveUp(final Subscription sub, final String reason) {
-    forget(sub);
-    weave.remove(sub.topic, sub.berth.client);
-    sub.berth.refuse("SUB", sub.topic, "", reason);
+  private void giveUp(final Subscription subscription, final String reason) {
+    forget(subscription);
+    subscriptions.remove(subscription.topic, subscription.session.client);
+    subscription.session.refuse("SUB", subscription.topic, "", reason);
   }
 
   /** The link is gone, or the client gave the topic up: nothing more is delivered. */
-  void forget(final Subscription sub) {
-    if (sub.berth.subs.remove(sub.topic, sub)) {
-      sub.berth.guard.ended(sub.topic);
+  void forget(final Subscription subscription) {
+    if (subscription.session.subs.remove(subscription.topic, subscription)) {
+      subscription.session.guard.ended(subscription.topic);
     }
-    joining.values().remove(sub);
-    fetching.values().remove(sub);
-    filtered.remove(sub);
-    final List<Subscription> subs = byTopic.get(sub.topic);
-    if (subs != null && subs.remove(sub) && subs.isEmpty()) {
-      byTopic.remove(sub.topic);
+    joining.values().remove(subscription);
+    fetching.values().remove(subscription);
+    filtered.remove(subscription);
+    final List<Subscription> subs = byTopic.get(subscription.topic);
+    if (subs != null && subs.remove(subscription) && subs.isEmpty()) {
+      byTopic.remove(subscription.topic);
     }
   }
 
-  void drop(final ClientSession berth, final String topic) {
-    final Subscription sub = berth.subs.get(topic);
-    if (sub != null) {
-      forget(sub);
+  void drop(final ClientSession session, final String topic) {
+    final Subscription subscription = session.subs.get(topic);
+    if (subscription != null) {
+      forget(subscription);
     }
-    weave.remove(topic, berth.client);
+    subscriptions.remove(topic, session.client);
   }
 
   void look(final long nowMs) {
-    for (final Subscription sub : new ArrayList<>(joining.values())) {
-      if (nowMs - sub.sinceMs > JOIN_ANSWER_MS) {
-        giveUp(sub, "RETRY");
+    for (final Subscription subscription : new ArrayList<>(joining.values())) {
+      if (nowMs - subscription.sinceMs > SUBSCRIBE_TIMEOUT_MS) {
+        giveUp(subscription, "RETRY");
       }
     }
-    filtered.forEach(sub -> sub.renew(nowMs, dock.renewMs(sub.topic)));
+    filtered.forEach(
+        subscription -> subscription.renew(nowMs, clientRegistry.renewMs(subscription.topic)));
   }
 }
--- a/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
+++ b/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
@@ -1,7 +1,7 @@
 package yewjunction.maintenance;
 
-import static yewjunction.common.ToolLimits.WINDOW_FILE_BYTES;
-import static yewjunction.common.ToolLimits.WINDOW_TURNS;
+import static yewjunction.limits.ToolLimits.MAX_CALENDAR_BYTES;
+import static yewjunction.limits.ToolLimits.MAX_RECURRENCES;
 
 import biweekly.Biweekly;
 import biweekly.ICalendar;
@@ -35,8 +35,8 @@
     if (Files.isDirectory(place)) {
       try (Stream<Path> files = Files.list(place)) {
         files.filter(file -> file.toString().endsWith(".ics")).sorted().forEach(windows::add);
-      } catch (final IOException defect) {
-        windows.bad.add(place + ": " + defect.getMessage());
+      } catch (final IOException failure) {
+        windows.bad.add(place + ": " + failure.getMessage());
       }
     } else {
       windows.add(place);
@@ -46,8 +46,8 @@
 
   private void add(final Path file) {
     try {
-      if (Files.size(file) > WINDOW_FILE_BYTES) {
-        bad.add(file + ": larger than " + WINDOW_FILE_BYTES + " bytes");
+      if (Files.size(file) > MAX_CALENDAR_BYTES) {
+        bad.add(file + ": larger than " + MAX_CALENDAR_BYTES + " bytes");
         return;
       }
       final List<ICalendar> calendars = Biweekly.parse(Files.readString(file)).all();
@@ -57,8 +57,8 @@
       for (final ICalendar calendar : calendars) {
         calendar.getEvents().forEach(event -> add(file, calendar, event));
       }
-    } catch (final IOException | RuntimeException defect) {
-      bad.add(file + ": " + defect.getMessage());
+    } catch (final IOException | RuntimeException failure) {
+      bad.add(file + ": " + failure.getMessage());
     }
   }
 
@@ -133,7 +133,7 @@
     // Jumps near the moment; the turns are bounded, since a rule may name a start each second for
     // ever.
     starts.advanceTo(Date.from(moment.minus(one.length)));
-    for (int turn = 0; turn < WINDOW_TURNS && starts.hasNext(); turn++) {
+    for (int turn = 0; turn < MAX_RECURRENCES && starts.hasNext(); turn++) {
       final Instant start = starts.next().toInstant();
       if (start.isAfter(moment)) {
         return false;
--- a/src/main/java/yewjunction/membership/FailureDetector.java
+++ b/src/main/java/yewjunction/membership/FailureDetector.java
@@ -1,9 +1,9 @@
 package yewjunction.membership;
 
-import static yewjunction.common.Limits.PROBE_ACROSS_EVERY;
-import static yewjunction.common.Limits.PROBE_ANSWER_MS;
-import static yewjunction.common.Limits.PROBE_HELPERS;
-import static yewjunction.common.Limits.PROBE_MS;
+import static yewjunction.limits.MembershipLimits.CROSS_ZONE_PING_EVERY;
+import static yewjunction.limits.MembershipLimits.PING_INTERVAL_MS;
+import static yewjunction.limits.MembershipLimits.PING_REQUEST_HELPERS;
+import static yewjunction.limits.MembershipLimits.PING_TIMEOUT_MS;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -18,13 +18,13 @@
 
 /** Probes a peer a period, asks others for a second opinion, and answers for others. */
 final class FailureDetector {
-  private final AgentContext pulse;
-  private final MembershipList roster;
+  private final AgentContext context;
+  private final MembershipList membership;
   private final ArrayDeque<String> nearTurn = new ArrayDeque<>();
   private final ArrayDeque<String> farTurn = new ArrayDeque<>();
 
   /** By address: a datagram has no link that would end with its sender. */
-  private final PendingRequests<String, Runnable> questions;
+  private final PendingRequests<String, Runnable> pendingRequests;
 
   /**
    * Sent, for others too: what is asked for them changes the turn, or all that started together
@@ -32,54 +32,54 @@
    */
   private long probes;
 
-  FailureDetector(final AgentContext pulse, final MembershipList roster) {
-    this.pulse = pulse;
-    this.roster = roster;
-    questions = new PendingRequests<>(roster.self().life);
+  FailureDetector(final AgentContext context, final MembershipList membership) {
+    this.context = context;
+    this.membership = membership;
+    pendingRequests = new PendingRequests<>(membership.self().life);
   }
 
   void start() {
     // Spread over a period, so that processes started together do not probe together.
-    pulse.after(pulse.luck().nextInt((int) PROBE_MS), this::probeNext);
+    context.after(context.luck().nextInt((int) PING_INTERVAL_MS), this::probeNext);
   }
 
-  void take(final String from, final MembershipMessage letter) {
-    if (letter instanceof Ping probe) {
-      final Ack echo = new Ack();
-      echo.number = probe.number;
-      roster.send(from, echo);
-    } else if (letter instanceof Ack echo) {
-      final Runnable answered = questions.answered(echo.number, letter.self.address);
+  void take(final String from, final MembershipMessage message) {
+    if (message instanceof Ping ping) {
+      final Ack ack = new Ack();
+      ack.number = ping.number;
+      membership.send(from, ack);
+    } else if (message instanceof Ack ack) {
+      final Runnable answered = pendingRequests.answered(ack.number, message.self.address);
       if (answered != null) {
         answered.run();
       }
-    } else if (letter instanceof PingRequest detour) {
+    } else if (message instanceof PingRequest pingRequest) {
       final long number =
           probe(
-              detour.target,
+              pingRequest.target,
               () -> {
-                final Ack echo = new Ack();
-                echo.number = detour.number;
-                roster.send(from, echo);
+                final Ack ack = new Ack();
+                ack.number = pingRequest.number;
+                membership.send(from, ack);
               });
-      pulse.after(PROBE_MS, () -> questions.drop(number));
+      context.after(PING_INTERVAL_MS, () -> pendingRequests.drop(number));
     }
   }
 
   private long probe(final String target, final Runnable answered) {
     probes++;
-    final Ping probe = new Ping();
-    probe.number = questions.ask(target, answered);
-    roster.send(target, probe);
-    return probe.number;
+    final Ping ping = new Ping();
+    ping.number = pendingRequests.ask(target, answered);
+    membership.send(target, ping);
+    return ping.number;
   }
 
   private void probeNext() {
-    if (roster.left()) {
+    if (membership.left()) {
       return;
     }
-    pulse.after(PROBE_MS, this::probeNext);
-    roster.sweep();
+    context.after(PING_INTERVAL_MS, this::probeNext);
+    membership.sweep();
     final String target = nextTarget();
     if (target == null) {
       return;
@@ -87,25 +87,25 @@
     final boolean[] answered = new boolean[1];
     final List<Long> numbers = new ArrayList<>();
     numbers.add(probe(target, () -> answered[0] = true));
-    pulse.after(
-        PROBE_ANSWER_MS,
+    context.after(
+        PING_TIMEOUT_MS,
         () -> {
           if (!answered[0]) {
             askOthers(target, () -> answered[0] = true, numbers);
           }
         });
-    pulse.after(
-        PROBE_MS - 50,
+    context.after(
+        PING_INTERVAL_MS - 50,
         () -> {
-          numbers.forEach(questions::drop);
+          numbers.forEach(pendingRequests::drop);
           if (!answered[0]) {
-            roster.suspect(target);
+            membership.suspect(target);
           }
         });
   }
 
   private String nextTarget() {
-    final boolean across = probes % PROBE_ACROSS_EVERY == PROBE_ACROSS_EVERY - 1;
+    final boolean across = probes % CROSS_ZONE_PING_EVERY == CROSS_ZONE_PING_EVERY - 1;
     String target = nextOf(across ? farTurn : nearTurn, across);
     // A zone with nobody else in it looks across every time.
     return target != null ? target : nextOf(across ? nearTurn : farTurn, !across);
@@ -114,13 +114,13 @@
   private String nextOf(final ArrayDeque<String> turn, final boolean across) {
     if (turn.isEmpty()) {
       final List<String> addresses = new ArrayList<>();
-      for (final Member peer : roster.all()) {
-        if (peer.up() && peer.zone.equals(roster.self().zone) != across) {
-          addresses.add(peer.address);
+      for (final Member member : membership.all()) {
+        if (member.up() && member.zone.equals(membership.self().zone) != across) {
+          addresses.add(member.address);
         }
       }
       Collections.sort(addresses);
-      Collections.shuffle(addresses, pulse.luck());
+      Collections.shuffle(addresses, context.luck());
       turn.addAll(addresses);
     }
     return turn.poll();
@@ -128,21 +128,21 @@
 
   private void askOthers(final String target, final Runnable answered, final List<Long> numbers) {
     final List<String> helpers = new ArrayList<>();
-    for (final Member peer : roster.all()) {
-      if (peer.standing == Member.UP
-          && peer.zone.equals(roster.self().zone)
-          && !peer.address.equals(target)) {
-        helpers.add(peer.address);
+    for (final Member member : membership.all()) {
+      if (member.standing == Member.UP
+          && member.zone.equals(membership.self().zone)
+          && !member.address.equals(target)) {
+        helpers.add(member.address);
       }
     }
-    Collections.shuffle(helpers, pulse.luck());
-    for (int i = 0; i < Math.min(PROBE_HELPERS, helpers.size()); i++) {
-      final PingRequest detour = new PingRequest();
+    Collections.shuffle(helpers, context.luck());
+    for (int i = 0; i < Math.min(PING_REQUEST_HELPERS, helpers.size()); i++) {
+      final PingRequest pingRequest = new PingRequest();
       // Each opinion is a question of its own: it counts from whom it was asked.
-      detour.number = questions.ask(helpers.get(i), answered);
-      numbers.add(detour.number);
-      detour.target = target;
-      roster.send(helpers.get(i), detour);
+      pingRequest.number = pendingRequests.ask(helpers.get(i), answered);
+      numbers.add(pingRequest.number);
+      pingRequest.target = target;
+      membership.send(helpers.get(i), pingRequest);
     }
   }
 }
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -1,9 +1,9 @@
 package yewjunction.membership;
 
-import static yewjunction.common.Limits.GONE_MS;
-import static yewjunction.common.Limits.NEWS_PER_PROBE;
-import static yewjunction.common.Limits.NEWS_TIMES;
-import static yewjunction.common.Limits.SUSPECT_MS;
+import static yewjunction.limits.MembershipLimits.DEAD_MEMBER_RETENTION_MS;
+import static yewjunction.limits.MembershipLimits.MAX_UPDATES_PER_PING;
+import static yewjunction.limits.MembershipLimits.SUSPICION_TIMEOUT_MS;
+import static yewjunction.limits.MembershipLimits.UPDATE_TRANSMISSIONS;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -27,35 +27,35 @@
  * data.
  */
 public final class MembershipList {
-  private final AgentContext pulse;
+  private final AgentContext context;
   private final Member self;
   private final BiConsumer<String, Object> sender;
   private final Map<String, Member> peers = new HashMap<>();
   private final Map<String, Long> changedMs = new HashMap<>();
   private final Map<String, Integer> newsLeft = new LinkedHashMap<>();
-  private final FailureDetector prober;
-  private Function<Member, String> planned = peer -> null;
-  private final SeedJoiner hailer;
+  private final FailureDetector failureDetector;
+  private Function<Member, String> planned = member -> null;
+  private final SeedJoiner seedJoiner;
   private boolean left;
 
   public MembershipList(
-      final AgentContext pulse, final Member self, final BiConsumer<String, Object> sender) {
-    this.pulse = pulse;
+      final AgentContext context, final Member self, final BiConsumer<String, Object> sender) {
+    this.context = context;
     this.self = self;
     this.sender = sender;
-    prober = new FailureDetector(pulse, this);
-    hailer = new SeedJoiner(pulse, this);
+    failureDetector = new FailureDetector(context, this);
+    seedJoiner = new SeedJoiner(context, this);
   }
 
   /** Seeds are peer addresses of crux processes; some may be stale. */
   public void start(final List<String> firstSeeds) {
-    hailer.seeds(firstSeeds);
-    hailer.start();
-    prober.start();
+    seedJoiner.seeds(firstSeeds);
+    seedJoiner.start();
+    failureDetector.start();
   }
 
   public void seeds(final List<String> newSeeds) {
-    hailer.seeds(newSeeds);
+    seedJoiner.seeds(newSeeds);
   }
 
   boolean left() {
@@ -73,14 +73,14 @@
   /** Peers of a duty that are up, own zone first, without this process. */
   public List<Member> up(final NodeRole role) {
     final List<Member> chosen = new ArrayList<>();
-    for (final Member peer : peers.values()) {
-      if (peer.up() && role.is(peer.duty)) {
-        chosen.add(peer);
+    for (final Member member : peers.values()) {
+      if (member.up() && role.is(member.duty)) {
+        chosen.add(member);
       }
     }
     chosen.sort(
-        java.util.Comparator.comparing((Member peer) -> !peer.zone.equals(self.zone))
-            .thenComparing(peer -> peer.address));
+        java.util.Comparator.comparing((Member member) -> !member.zone.equals(self.zone))
+            .thenComparing(member -> member.address));
     return chosen;
   }
 
@@ -90,8 +90,8 @@
 
   /** The zone of an address, empty when it is not known. */
   public String zoneAt(final String address) {
-    final Member peer = address.equals(self.address) ? self : peers.get(address);
-    return peer == null ? "" : peer.zone;
+    final Member member = address.equals(self.address) ? self : peers.get(address);
+    return member == null ? "" : member.zone;
   }
 
   public void ready(final boolean ready) {
@@ -107,9 +107,9 @@
     self.standing = Member.LEFT;
     self.ready = false;
     raise(self.number + 1);
-    for (final Member peer : peers.values()) {
-      if (peer.up() && peer.zone.equals(self.zone)) {
-        send(peer.address, new Ack());
+    for (final Member member : peers.values()) {
+      if (member.up() && member.zone.equals(self.zone)) {
+        send(member.address, new Ack());
       }
     }
   }
@@ -121,7 +121,7 @@
 
   private void tell(final String address) {
     newsLeft.remove(address);
-    newsLeft.put(address, NEWS_TIMES);
+    newsLeft.put(address, UPDATE_TRANSMISSIONS);
   }
 
   /** Who explains why a peer may be away: planned work, or null for none. */
@@ -129,17 +129,17 @@
     planned = explainer;
   }
 
-  private String about(final Member peer) {
-    final String work = planned.apply(peer);
-    return peer.node + " " + peer.duty + (work == null ? "" : " planned: " + work);
+  private String about(final Member member) {
+    final String work = planned.apply(member);
+    return member.node + " " + member.duty + (work == null ? "" : " planned: " + work);
   }
 
   void suspect(final String address) {
-    final Member peer = peers.get(address);
-    if (peer != null && peer.standing == Member.UP) {
-      LogEvent.SIBLING_SUSPECT.info(about(peer));
-      change(peer, Member.SUSPECT);
-      tellSuspect(peer);
+    final Member member = peers.get(address);
+    if (member != null && member.standing == Member.UP) {
+      LogEvent.SIBLING_SUSPECT.info(about(member));
+      change(member, Member.SUSPECT);
+      tellSuspect(member);
     }
   }
 
@@ -147,44 +147,44 @@
    * Told at once and again, so that it can refute before the time is over though datagrams get
    * lost.
    */
-  private void tellSuspect(final Member peer) {
-    if (peers.get(peer.address) == peer && peer.standing == Member.SUSPECT && !left) {
-      send(peer.address, new Ack());
-      pulse.after(SUSPECT_MS / 4, () -> tellSuspect(peer));
+  private void tellSuspect(final Member member) {
+    if (peers.get(member.address) == member && member.standing == Member.SUSPECT && !left) {
+      send(member.address, new Ack());
+      context.after(SUSPICION_TIMEOUT_MS / 4, () -> tellSuspect(member));
     }
   }
 
-  private void change(final Member peer, final int standing) {
-    peer.standing = standing;
-    changedMs.put(peer.address, pulse.nowMs());
-    tell(peer.address);
+  private void change(final Member member, final int standing) {
+    member.standing = standing;
+    changedMs.put(member.address, context.nowMs());
+    tell(member.address);
   }
 
   void sweep() {
-    final long nowMs = pulse.nowMs();
+    final long nowMs = context.nowMs();
     for (final Iterator<Member> each = peers.values().iterator(); each.hasNext(); ) {
-      final Member peer = each.next();
-      final long sinceMs = nowMs - changedMs.getOrDefault(peer.address, nowMs);
-      if (peer.standing == Member.SUSPECT && sinceMs > SUSPECT_MS) {
-        LogEvent.SIBLING_GONE.info(about(peer));
-        change(peer, Member.GONE);
-      } else if (!peer.up() && sinceMs > GONE_MS) {
+      final Member member = each.next();
+      final long sinceMs = nowMs - changedMs.getOrDefault(member.address, nowMs);
+      if (member.standing == Member.SUSPECT && sinceMs > SUSPICION_TIMEOUT_MS) {
+        LogEvent.SIBLING_GONE.info(about(member));
+        change(member, Member.GONE);
+      } else if (!member.up() && sinceMs > DEAD_MEMBER_RETENTION_MS) {
         each.remove();
-        changedMs.remove(peer.address);
+        changedMs.remove(member.address);
       }
     }
   }
 
-  void send(final String address, final MembershipMessage letter) {
-    letter.self = self.copy();
+  void send(final String address, final MembershipMessage message) {
+    message.self = self.copy();
     // Whoever is thought to be away hears so first: a restarted or wrongly suspected one then
     // refutes it.
     final Member receiver = peers.get(address);
     if (receiver != null && receiver.standing != Member.UP) {
-      letter.news.add(receiver.copy());
+      message.news.add(receiver.copy());
     }
     for (final String about : List.copyOf(newsLeft.keySet())) {
-      if (letter.news.size() >= NEWS_PER_PROBE) {
+      if (message.news.size() >= MAX_UPDATES_PER_PING) {
         break;
       }
       final int left = newsLeft.merge(about, -1, Integer::sum);
@@ -193,29 +193,29 @@
       }
       final Member known = peers.get(about);
       if (known != null) {
-        letter.news.add(known.copy());
+        message.news.add(known.copy());
       }
     }
-    sender.accept(address, letter);
+    sender.accept(address, message);
   }
 
   public void take(final String from, final Object taken) {
-    if (!(taken instanceof MembershipMessage letter) || letter.self == null) {
+    if (!(taken instanceof MembershipMessage message) || message.self == null) {
       return;
     }
     final long numberBefore = self.number;
-    hear(letter.self, true);
+    hear(message.self, true);
     // Whoever asks a seed hears all of it: passing that on would cost each of a hundred that start
     // together as many times.
-    letter.news.forEach(news -> hear(news, !(letter instanceof SyncResponse)));
+    message.news.forEach(news -> hear(news, !(message instanceof SyncResponse)));
     if (self.number != numberBefore) {
       // A refutation goes straight back to whoever doubted.
       send(from, new Ack());
     }
-    if (letter instanceof SyncRequest hail) {
-      hailer.answer(from, hail);
+    if (message instanceof SyncRequest syncRequest) {
+      seedJoiner.answer(from, syncRequest);
     } else {
-      prober.take(from, letter);
+      failureDetector.take(from, message);
     }
   }
 
@@ -234,7 +234,7 @@
       // Someone unknown who is gone already is no news.
       if (news.up()) {
         peers.put(news.address, news);
-        changedMs.put(news.address, pulse.nowMs());
+        changedMs.put(news.address, context.nowMs());
         if (passedOn) {
           tell(news.address);
         }
--- a/src/main/java/yewjunction/membership/SeedJoiner.java
+++ b/src/main/java/yewjunction/membership/SeedJoiner.java
@@ -1,10 +1,10 @@
 package yewjunction.membership;
 
-import static yewjunction.common.Limits.CREW_PER_LETTER;
-import static yewjunction.common.Limits.HAIL_SEED_EVERY;
-import static yewjunction.common.Limits.HAIL_SEED_FIRST;
-import static yewjunction.common.Limits.JOIN_MS;
-import static yewjunction.common.Limits.REJOIN_MS;
+import static yewjunction.limits.MembershipLimits.FIRST_SYNC_INTERVAL_MS;
+import static yewjunction.limits.MembershipLimits.MAX_MEMBERS_PER_DATAGRAM;
+import static yewjunction.limits.MembershipLimits.MAX_SYNC_INTERVAL_MS;
+import static yewjunction.limits.MembershipLimits.SEED_SYNCS_AT_START;
+import static yewjunction.limits.MembershipLimits.SEED_SYNC_EVERY;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,15 +14,15 @@
 
 /** Asks seeds who is there, and tells others who ask. */
 final class SeedJoiner {
-  private final AgentContext pulse;
-  private final MembershipList roster;
+  private final AgentContext context;
+  private final MembershipList membership;
   private List<String> seeds = List.of();
-  private long paceMs = JOIN_MS;
+  private long paceMs = FIRST_SYNC_INTERVAL_MS;
   private int hails;
 
-  SeedJoiner(final AgentContext pulse, final MembershipList roster) {
-    this.pulse = pulse;
-    this.roster = roster;
+  SeedJoiner(final AgentContext context, final MembershipList membership) {
+    this.context = context;
+    this.membership = membership;
   }
 
   void seeds(final List<String> newSeeds) {
@@ -35,23 +35,23 @@
    * it heals a roster that split.
    */
   void start() {
-    if (roster.left()) {
+    if (membership.left()) {
       return;
     }
     final List<String> others = new ArrayList<>(seeds);
-    others.remove(roster.self().address);
+    others.remove(membership.self().address);
     // Once others are known one of the own zone knows as much, and its bytes cost nothing; the
     // seeds now and then.
     // Not at first: where all have started together their neighbours know as little as they do.
-    if (++hails > HAIL_SEED_FIRST && pulse.luck().nextInt(HAIL_SEED_EVERY) > 0) {
+    if (++hails > SEED_SYNCS_AT_START && context.luck().nextInt(SEED_SYNC_EVERY) > 0) {
       final List<String> near =
-          roster.all().stream()
+          membership.all().stream()
               .filter(
-                  peer ->
-                      peer.up()
-                          && !NodeRole.EDGE.is(peer.duty)
-                          && peer.zone.equals(roster.self().zone))
-              .map(peer -> peer.address)
+                  member ->
+                      member.up()
+                          && !NodeRole.EDGE.is(member.duty)
+                          && member.zone.equals(membership.self().zone))
+              .map(member -> member.address)
               .sorted()
               .toList();
       if (!near.isEmpty()) {
@@ -60,20 +60,20 @@
       }
     }
     if (!others.isEmpty()) {
-      final SyncRequest hail = new SyncRequest();
-      hail.digest = digest();
-      roster.send(others.get(pulse.luck().nextInt(others.size())), hail);
+      final SyncRequest syncRequest = new SyncRequest();
+      syncRequest.digest = digest();
+      membership.send(others.get(context.luck().nextInt(others.size())), syncRequest);
     }
-    pulse.after(paceMs, this::start);
-    if (!roster.all().isEmpty()) {
-      paceMs = Math.min(REJOIN_MS, 3 * paceMs);
+    context.after(paceMs, this::start);
+    if (!membership.all().isEmpty()) {
+      paceMs = Math.min(MAX_SYNC_INTERVAL_MS, 3 * paceMs);
     }
   }
 
   private long digest() {
-    long sum = roster.self().digest();
-    for (final Member peer : roster.all()) {
-      sum += peer.up() ? peer.digest() : 0;
+    long sum = membership.self().digest();
+    for (final Member member : membership.all()) {
+      sum += member.up() ? member.digest() : 0;
     }
     return sum;
   }
@@ -82,21 +82,21 @@
    * The whole crew, in datagrams of a bounded size; to one that knows the same only that this
    * process is there.
    */
-  void answer(final String from, final SyncRequest hail) {
-    SyncResponse crew = new SyncResponse();
-    if (hail.digest == digest()) {
-      roster.send(from, crew);
+  void answer(final String from, final SyncRequest syncRequest) {
+    SyncResponse syncResponse = new SyncResponse();
+    if (syncRequest.digest == digest()) {
+      membership.send(from, syncResponse);
       return;
     }
-    for (final Member peer : roster.all()) {
-      if (peer.up()) {
-        crew.news.add(peer.copy());
+    for (final Member member : membership.all()) {
+      if (member.up()) {
+        syncResponse.news.add(member.copy());
       }
-      if (crew.news.size() == CREW_PER_LETTER) {
-        roster.send(from, crew);
-        crew = new SyncResponse();
+      if (syncResponse.news.size() == MAX_MEMBERS_PER_DATAGRAM) {
+        membership.send(from, syncResponse);
+        syncResponse = new SyncResponse();
       }
     }
-    roster.send(from, crew);
+    membership.send(from, syncResponse);
   }
 }
--- a/src/main/java/yewjunction/node/ControlNode.java
+++ b/src/main/java/yewjunction/node/ControlNode.java
@@ -12,50 +12,51 @@
 
 /** The control plane's duty on one machine. */
 public final class ControlNode implements Node {
-  private final ControlService crux;
-  private final MembershipList roster;
+  private final ControlService controlService;
+  private final MembershipList membership;
   private final Settings settings;
   private final long life;
 
   public ControlNode(
-      final AgentContext pulse,
-      final PeerTransport post,
+      final AgentContext context,
+      final PeerTransport transport,
       final Disk disk,
-      final TaskExecutor clerk,
-      final MembershipList roster,
+      final TaskExecutor executor,
+      final MembershipList membership,
       final Settings settings,
       final long life) {
-    this.roster = roster;
+    this.membership = membership;
     this.settings = settings;
     this.life = life;
-    crux =
+    controlService =
         new ControlService(
-            pulse,
-            post,
+            context,
+            transport,
             disk,
-            clerk,
-            roster,
+            executor,
+            membership,
             settings.address(Settings.CONTROL_PORT_OFFSET),
             settings);
   }
 
   @Override
   public void start() {
-    crux.start(settings.founding(), settings.coreAddresses(), RaftNode.drawnName(life));
-    roster.ready(true);
+    controlService.start(settings.founding(), settings.coreAddresses(), RaftNode.drawnName(life));
+    membership.ready(true);
   }
 
   public OperatorApi desk() {
-    return crux.desk();
+    return controlService.desk();
   }
 
   @Override
   public void stop(final Runnable ended) {
-    crux.ledger()
+    controlService
+        .ledger()
         .membership()
         .leave(
             () -> {
-              crux.ledger().stop();
+              controlService.ledger().stop();
               ended.run();
             });
   }
--- a/src/main/java/yewjunction/node/EdgeNode.java
+++ b/src/main/java/yewjunction/node/EdgeNode.java
@@ -1,7 +1,7 @@
 package yewjunction.node;
 
-import static yewjunction.common.Limits.HOMELESS_MS;
-import static yewjunction.common.Limits.READY_LOOK_MS;
+import static yewjunction.limits.ClientLimits.READINESS_CHECK_INTERVAL_MS;
+import static yewjunction.limits.FanoutLimits.DETACHED_NOT_READY_MS;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -25,48 +25,56 @@
 
 /** An edge machine's data plane: holds clients' links and one replica of the subscription set. */
 public final class EdgeNode implements Node, LeaseClient.Listener {
-  private final AgentContext pulse;
-  private final MembershipList roster;
+  private final AgentContext context;
+  private final MembershipList membership;
   private final Settings settings;
   private final String address;
   private final long life;
-  private final AddWinsSet weave = new AddWinsSet();
-  private final LeaseClient tenure;
-  private final ClientRegistry dock;
-  private final StreamClient envoy;
+  private final AddWinsSet subscriptions = new AddWinsSet();
+  private final LeaseClient leaseClient;
+  private final ClientRegistry clientRegistry;
+  private final StreamClient streamClient;
   private volatile boolean ready;
   private boolean draining;
 
   public EdgeNode(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final MembershipList roster,
+      final AgentContext context,
+      final PeerTransport transport,
+      final MembershipList membership,
       final Settings settings,
       final long life) {
-    this.pulse = pulse;
-    this.roster = roster;
+    this.context = context;
+    this.membership = membership;
     this.settings = settings;
     this.life = life;
     address = settings.address(Settings.DATA_PORT_OFFSET);
-    tenure =
-        new LeaseClient(pulse, post, () -> Node.cruxes(roster, settings), this)
+    leaseClient =
+        new LeaseClient(context, transport, () -> Node.cruxes(membership, settings), this)
             .named(address, settings.node(), settings.zone(), NodeRole.EDGE, life);
-    dock = new ClientRegistry(pulse, post, tenure, weave, settings.pingS());
-    envoy =
-        new StreamClient(pulse, post, weave, settings.node(), this::vaults, dock, dock::setChanged);
-    dock.envoy(envoy);
-    tenure.reporting(
+    clientRegistry =
+        new ClientRegistry(context, transport, leaseClient, subscriptions, settings.pingS());
+    streamClient =
+        new StreamClient(
+            context,
+            transport,
+            subscriptions,
+            settings.node(),
+            this::vaults,
+            clientRegistry,
+            clientRegistry::setChanged);
+    clientRegistry.envoy(streamClient);
+    leaseClient.reporting(
         () -> {
-          tenure.waiting(dock.shipping().depth(), dock.shipping().dark());
-          tenure.disorders(dock.disorders().all());
+          leaseClient.waiting(clientRegistry.shipping().depth(), clientRegistry.shipping().dark());
+          leaseClient.disorders(clientRegistry.disorders().all());
         });
-    dock.live(replica -> Node.live(replica, weave, tenure, roster));
+    clientRegistry.live(replica -> Node.live(replica, subscriptions, leaseClient, membership));
   }
 
   @Override
   public void start() {
-    tenure.start();
-    pulse.every(READY_LOOK_MS, this::look);
+    leaseClient.start();
+    context.every(READINESS_CHECK_INTERVAL_MS, this::look);
   }
 
   /**
@@ -75,18 +83,18 @@
    */
   private List<String> vaults() {
     final Set<String> addresses = new LinkedHashSet<>();
-    final List<Member> known = roster.up(NodeRole.STORE);
-    final Set<String> retiring = tenure.facts().retiringAddresses();
+    final List<Member> known = membership.up(NodeRole.STORE);
+    final Set<String> retiring = leaseClient.facts().retiringAddresses();
     known.stream()
-        .filter(peer -> peer.zone.equals(settings.zone()) && !retiring.contains(peer.address))
-        .forEach(peer -> addresses.add(peer.address));
+        .filter(member -> member.zone.equals(settings.zone()) && !retiring.contains(member.address))
+        .forEach(member -> addresses.add(member.address));
     final List<String> named =
-        new ArrayList<>(tenure.facts().vaultAddresses(settings.zone(), true));
-    known.forEach(peer -> named.add(peer.address));
-    named.addAll(tenure.facts().vaultAddresses(settings.zone(), false));
+        new ArrayList<>(leaseClient.facts().vaultAddresses(settings.zone(), true));
+    known.forEach(member -> named.add(member.address));
+    named.addAll(leaseClient.facts().vaultAddresses(settings.zone(), false));
     for (final String address : named) {
-      final Member peer = roster.at(address);
-      if (!retiring.contains(address) && (peer == null || peer.up())) {
+      final Member member = membership.at(address);
+      if (!retiring.contains(address) && (member == null || member.up())) {
         addresses.add(address);
       }
     }
@@ -96,19 +104,19 @@
   private void look() {
     final boolean able =
         !draining
-            && weave.self() != 0
-            && tenure.held()
-            && envoy.homelessMs() < HOMELESS_MS
-            && !envoy.leader().isEmpty();
+            && subscriptions.self() != 0
+            && leaseClient.held()
+            && streamClient.homelessMs() < DETACHED_NOT_READY_MS
+            && !streamClient.leader().isEmpty();
     if (able != ready) {
       ready = able;
       (able ? LogEvent.READY : LogEvent.NOT_READY).info(settings.node());
-      roster.ready(able);
+      membership.ready(able);
     }
   }
 
-  public ClientConnection.Handler greet(final ClientConnection line) {
-    return dock.greet(line);
+  public ClientConnection.Handler greet(final ClientConnection connection) {
+    return clientRegistry.greet(connection);
   }
 
   /** Whether the platform may send clients here; asked from another thread. */
@@ -120,29 +128,29 @@
   public void stop(final Runnable ended) {
     draining = true;
     look();
-    new ConnectionDrainer(pulse, dock, roster, ended).start();
+    new ConnectionDrainer(context, clientRegistry, membership, ended).start();
   }
 
   @Override
-  public void configChanged(final Configuration charter) {
-    dock.configChanged(charter);
+  public void configChanged(final Configuration configuration) {
+    clientRegistry.configChanged(configuration);
   }
 
   @Override
-  public void factsChanged(final ClusterState facts) {
-    final long name = facts.replica(address, life);
-    final long before = weave.self();
-    weave.self(name);
-    weave.replicas(facts.newestReplica(), facts.liveReplicas());
+  public void factsChanged(final ClusterState clusterState) {
+    final long name = clusterState.replica(address, life);
+    final long before = subscriptions.self();
+    subscriptions.self(name);
+    subscriptions.replicas(clusterState.newestReplica(), clusterState.liveReplicas());
     if (before != 0 && name != before) {
       // Given up while this process was away, or for an earlier life's late letter: under that name
       // nobody is told of
       // its clients any more. They come again, and what it says of them stands under the new one.
       LogEvent.REPLICA_LOST.warn(before + " now " + name);
-      dock.gapped();
-      envoy.renamed();
+      clientRegistry.gapped();
+      streamClient.renamed();
     } else if (name != before) {
-      envoy.attach();
+      streamClient.attach();
     }
   }
 }
--- a/src/main/java/yewjunction/node/Node.java
+++ b/src/main/java/yewjunction/node/Node.java
@@ -19,24 +19,24 @@
   default void reread(final Settings fresh) {}
 
   /** Cruxes, nearest first; before the roster knows any, those on the seeds' machines. */
-  static List<String> cruxes(final MembershipList roster, final Settings settings) {
-    final List<String> known = addresses(roster, NodeRole.CONTROL);
+  static List<String> cruxes(final MembershipList membership, final Settings settings) {
+    final List<String> known = addresses(membership, NodeRole.CONTROL);
     return known.isEmpty() ? settings.coreAddresses() : known;
   }
 
   /** Peer addresses of a duty, own zone first, as the roster knows them now. */
-  static List<String> addresses(final MembershipList roster, final NodeRole role) {
-    return roster.up(role).stream().map(peer -> peer.address).toList();
+  static List<String> addresses(final MembershipList membership, final NodeRole role) {
+    return membership.up(role).stream().map(member -> member.address).toList();
   }
 
   /** Whether a replica's clients count as there: its process is up, as far as the roster knows. */
   static boolean live(
       final long replica,
-      final AddWinsSet weave,
-      final LeaseClient tenure,
-      final MembershipList roster) {
-    final String address = tenure.facts().addressOf(replica);
-    final Member peer = address == null ? null : roster.at(address);
-    return replica == weave.self() || peer != null && peer.up();
+      final AddWinsSet subscriptions,
+      final LeaseClient leaseClient,
+      final MembershipList membership) {
+    final String address = leaseClient.facts().addressOf(replica);
+    final Member member = address == null ? null : membership.at(address);
+    return replica == subscriptions.self() || member != null && member.up();
   }
 }
--- a/src/main/java/yewjunction/node/StoreNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -1,6 +1,6 @@
 package yewjunction.node;
 
-import static yewjunction.common.Limits.ENROL_MS;
+import static yewjunction.limits.RaftLimits.REGISTRATION_INTERVAL_MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -29,156 +29,165 @@
   /** Group number of the vaults' ledger; a field everywhere, so that there can be more. */
   private static final int GROUP = 1;
 
-  private final MessageStore cellar;
-  private final RaftNode ledger;
-  private final AdmissionController gate;
-  private final StreamServer home;
-  private final LeaseClient tenure;
-  private final AddWinsSet weave = new AddWinsSet();
+  private final MessageStore messageStore;
+  private final RaftNode raftNode;
+  private final AdmissionController admission;
+  private final StreamServer streamServer;
+  private final LeaseClient leaseClient;
+  private final AddWinsSet subscriptions = new AddWinsSet();
 
-  private final AgentContext pulse;
-  private final MembershipList roster;
+  private final AgentContext context;
+  private final MembershipList membership;
   private final Settings settings;
   private final String address;
   private final long life;
 
   public StoreNode(
-      final AgentContext pulse,
-      final PeerTransport post,
+      final AgentContext context,
+      final PeerTransport transport,
       final Disk disk,
-      final TaskExecutor clerk,
-      final MembershipList roster,
+      final TaskExecutor executor,
+      final MembershipList membership,
       final Settings settings,
       final long life) {
-    this.pulse = pulse;
-    this.roster = roster;
+    this.context = context;
+    this.membership = membership;
     this.settings = settings;
     this.life = life;
     address = settings.address(Settings.DATA_PORT_OFFSET);
-    cellar = new MessageStore(pulse, this, settings);
-    ledger = new RaftNode(GROUP, pulse, post, disk, clerk, "messages", cellar);
-    ledger.listen();
-    gate = new AdmissionController(pulse, post, ledger, cellar);
-    home = new StreamServer(pulse, post, ledger, cellar, weave);
-    tenure =
-        new LeaseClient(pulse, post, () -> Node.cruxes(roster, settings), this)
+    messageStore = new MessageStore(context, this, settings);
+    raftNode = new RaftNode(GROUP, context, transport, disk, executor, "messages", messageStore);
+    raftNode.listen();
+    admission = new AdmissionController(context, transport, raftNode, messageStore);
+    streamServer = new StreamServer(context, transport, raftNode, messageStore, subscriptions);
+    leaseClient =
+        new LeaseClient(context, transport, () -> Node.cruxes(membership, settings), this)
             .named(address, settings.node(), settings.zone(), NodeRole.STORE, life);
-    tenure.reporting(() -> tenure.diskOwed(ledger.course().owedMs()));
+    leaseClient.reporting(() -> leaseClient.diskOwed(raftNode.course().owedMs()));
     new SubscriptionSyncServer(
-        pulse, post, weave, roster, home, replica -> Node.live(replica, weave, tenure, roster));
+        context,
+        transport,
+        subscriptions,
+        membership,
+        streamServer,
+        replica -> Node.live(replica, subscriptions, leaseClient, membership));
   }
 
   @Override
   public void start() {
-    if (ledger.identity() == null) {
-      ledger.name(address + "#" + RaftNode.drawnName(life));
+    if (raftNode.identity() == null) {
+      raftNode.name(address + "#" + RaftNode.drawnName(life));
     }
-    ledger.start();
-    ledger
+    raftNode.start();
+    raftNode
         .electorate()
         .seat(
             new VoterPlacement(
-                settings.votersNeeded(), () -> tenure.facts().retiringAddresses(), roster::zoneAt));
-    ledger
+                settings.votersNeeded(),
+                () -> leaseClient.facts().retiringAddresses(),
+                membership::zoneAt));
+    raftNode
         .membership()
-        .keep(this::vaults, () -> !tenure.facts().retiringAddresses().contains(address));
-    tenure.identity(ledger.identity());
-    tenure.start();
-    pulse.every(ENROL_MS, this::settleDuties);
+        .keep(this::vaults, () -> !leaseClient.facts().retiringAddresses().contains(address));
+    leaseClient.identity(raftNode.identity());
+    leaseClient.start();
+    context.every(REGISTRATION_INTERVAL_MS, this::settleDuties);
   }
 
   public boolean leads() {
-    return ledger.leads();
+    return raftNode.leads();
   }
 
   /** What this vault keeps. */
   public MessageStore cellar() {
-    return cellar;
+    return messageStore;
   }
 
   /** Until the first voters are chosen there is nothing to join. */
   private List<String> vaults() {
-    return tenure.facts().vaults().isEmpty() ? List.of() : Node.addresses(roster, NodeRole.STORE);
+    return leaseClient.facts().vaults().isEmpty()
+        ? List.of()
+        : Node.addresses(membership, NodeRole.STORE);
   }
 
   /** Says how far it is, and empties what the core wants emptied. */
   private void settleDuties() {
-    tenure.applied(ledger.applied());
-    tenure.balances(cellar.balances());
-    final List<String> voters = ledger.voters();
-    if (ledger.leads()) {
-      gate.lending().look(tenure.charter());
+    leaseClient.applied(raftNode.applied());
+    leaseClient.balances(messageStore.balances());
+    final List<String> voters = raftNode.voters();
+    if (raftNode.leads()) {
+      admission.lending().look(leaseClient.charter());
       emptyRetiring(voters);
     }
   }
 
   private void emptyRetiring(final List<String> voters) {
-    final Set<String> retiring = tenure.facts().retiringAddresses();
+    final Set<String> retiring = leaseClient.facts().retiringAddresses();
     final List<String> emptied = new ArrayList<>();
     for (final String one : retiring) {
-      final String node = tenure.facts().retiringNode(one);
+      final String node = leaseClient.facts().retiringNode(one);
       // Only once the change is committed: then a majority of those that stay holds all that was
       // ever acknowledged.
       if (node != null
-          && !ledger.electorate().changing()
+          && !raftNode.electorate().changing()
           && voters.stream().noneMatch(voter -> RaftNode.address(voter).equals(one))) {
         emptied.add(node);
       }
     }
-    tenure.emptied(emptied);
+    leaseClient.emptied(emptied);
   }
 
   @Override
   public void stop(final Runnable ended) {
     // Edges leave first; the seat goes to a spare, and the lead to a peer that holds everything.
-    home.close();
-    ledger
+    streamServer.close();
+    raftNode
         .membership()
         .leave(
             () -> {
-              ledger.stop();
+              raftNode.stop();
               ended.run();
             });
   }
 
   @Override
-  public void configChanged(final Configuration charter) {
-    cellar.charter(charter);
-    gate.lending().look(charter);
+  public void configChanged(final Configuration configuration) {
+    messageStore.charter(configuration);
+    admission.lending().look(configuration);
   }
 
   @Override
-  public void factsChanged(final ClusterState facts) {
-    weave.replicas(facts.newestReplica(), facts.liveReplicas());
-    if (facts.retiringAddresses().contains(address)) {
+  public void factsChanged(final ClusterState clusterState) {
+    subscriptions.replicas(clusterState.newestReplica(), clusterState.liveReplicas());
+    if (clusterState.retiringAddresses().contains(address)) {
       // It may be taken away the moment it is empty: its edges find another home while it still
       // answers.
-      home.close();
+      streamServer.close();
     }
-    if (facts.vaults().contains(ledger.identity())) {
-      ledger.found(facts.vaults());
+    if (clusterState.vaults().contains(raftNode.identity())) {
+      raftNode.found(clusterState.vaults());
     }
   }
 
   @Override
   public boolean admittedHere(final StoredMessage message) {
-    return gate != null && gate.admitted(message);
+    return admission != null && admission.admitted(message);
   }
 
   @Override
   public void settledTo(final long commit) {
-    if (home != null) {
-      home.settled();
+    if (streamServer != null) {
+      streamServer.settled();
     }
   }
 
   @Override
   public void leaderIs(final String identity, final boolean self) {
-    if (home != null) {
+    if (streamServer != null) {
       if (!self) {
-        gate.leaderChanged();
+        admission.leaderChanged();
       }
-      home.leaderChanged();
+      streamServer.leaderChanged();
     }
   }
 }
--- a/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
+++ b/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
@@ -1,7 +1,7 @@
 package yewjunction.raft;
 
-import static yewjunction.common.ControlLimits.IMAGE_LEAST_BYTES;
-import static yewjunction.common.ControlLimits.IMAGE_PACE_MS;
+import static yewjunction.limits.StorageLimits.CHUNK_TRANSMISSION_TARGET_MS;
+import static yewjunction.limits.StorageLimits.MIN_CHUNK_BYTES;
 
 /**
  * How much a peer far behind is sent at a time: more while its link takes it well within a beat,
@@ -9,7 +9,7 @@
  */
 final class AdaptiveChunkSize {
   private final int mostBytes;
-  private int bytes = IMAGE_LEAST_BYTES;
+  private int bytes = MIN_CHUNK_BYTES;
   private long roundTripMs = Long.MAX_VALUE;
 
   AdaptiveChunkSize(final int mostBytes) {
@@ -24,10 +24,10 @@
   void took(final long ms) {
     roundTripMs = Math.min(roundTripMs, ms);
     final long onLinkMs = ms - roundTripMs;
-    if (onLinkMs <= IMAGE_PACE_MS) {
+    if (onLinkMs <= CHUNK_TRANSMISSION_TARGET_MS) {
       bytes = Math.min(2 * bytes, mostBytes);
-    } else if (onLinkMs > 2 * IMAGE_PACE_MS) {
-      bytes = Math.max(bytes / 2, IMAGE_LEAST_BYTES);
+    } else if (onLinkMs > 2 * CHUNK_TRANSMISSION_TARGET_MS) {
+      bytes = Math.max(bytes / 2, MIN_CHUNK_BYTES);
     }
   }
 }
--- a/src/main/java/yewjunction/raft/AppendOnlyFile.java
+++ b/src/main/java/yewjunction/raft/AppendOnlyFile.java
@@ -10,7 +10,7 @@
 /** An append-only file of records that is synced in groups and rewritten when it gets long. */
 final class AppendOnlyFile {
   private final Disk disk;
-  private final TaskExecutor clerk;
+  private final TaskExecutor executor;
   private final String name;
   private List<PendingRecord> waiting = new ArrayList<>();
   private boolean busy;
@@ -19,9 +19,9 @@
 
   private record PendingRecord(int kind, byte[] body, Runnable synced) {}
 
-  AppendOnlyFile(final Disk disk, final TaskExecutor clerk, final String name) {
+  AppendOnlyFile(final Disk disk, final TaskExecutor executor, final String name) {
     this.disk = disk;
-    this.clerk = clerk;
+    this.executor = executor;
     this.name = name;
   }
 
@@ -97,7 +97,7 @@
       }
     }
     length = (content != null ? 0 : length) + bytes.size();
-    clerk.work(
+    executor.work(
         () -> {
           if (content != null) {
             disk.replace(name, bytes.toByteArray());
--- a/src/main/java/yewjunction/raft/CommitTracker.java
+++ b/src/main/java/yewjunction/raft/CommitTracker.java
@@ -1,10 +1,10 @@
 package yewjunction.raft;
 
-import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
-import static yewjunction.common.ControlLimits.CATCH_UP_ENTRIES;
-import static yewjunction.common.Limits.LEDGER_BYTES;
-import static yewjunction.common.Limits.LEDGER_TAIL_BYTES;
-import static yewjunction.common.Limits.LEDGER_TAIL_ENTRIES;
+import static yewjunction.limits.StorageLimits.MAX_CATCH_UP_TAIL_BYTES;
+import static yewjunction.limits.StorageLimits.MAX_CATCH_UP_TAIL_ENTRIES;
+import static yewjunction.limits.StorageLimits.MIN_COMPACTION_BYTES;
+import static yewjunction.limits.StorageLimits.RETAINED_TAIL_BYTES;
+import static yewjunction.limits.StorageLimits.RETAINED_TAIL_ENTRIES;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -15,8 +15,8 @@
 
 /** How far the log is synced, committed and applied here, and who waits for that. */
 public final class CommitTracker {
-  private final RaftNode ledger;
-  private final StateMachine machine;
+  private final RaftNode raftNode;
+  private final StateMachine stateMachine;
   private final ArrayDeque<PendingWrite> writes = new ArrayDeque<>();
   private final Map<Long, Proposal> proposals = new HashMap<>();
   private boolean rewriting;
@@ -33,17 +33,17 @@
 
   private record Proposal(long term, Consumer<Boolean> done) {}
 
-  CommitTracker(final RaftNode ledger, final StateMachine machine) {
-    this.ledger = ledger;
-    this.machine = machine;
-    final RaftStorage archive = ledger.archive;
-    final byte[] state = archive.takeState();
+  CommitTracker(final RaftNode raftNode, final StateMachine stateMachine) {
+    this.raftNode = raftNode;
+    this.stateMachine = stateMachine;
+    final RaftStorage storage = raftNode.storage;
+    final byte[] state = storage.takeState();
     if (state != null) {
-      machine.restore(archive.stateIndex(), state);
-      applied = archive.stateIndex();
+      stateMachine.restore(storage.stateIndex(), state);
+      applied = storage.stateIndex();
       commit = applied;
     }
-    syncedIndex = ledger.log.lastIndex();
+    syncedIndex = raftNode.log.lastIndex();
   }
 
   long commit() {
@@ -60,7 +60,7 @@
 
   /** For how long the disk has owed its oldest write. */
   public long owedMs() {
-    return writes.isEmpty() ? 0 : ledger.pulse.nowMs() - writes.peek().atMs;
+    return writes.isEmpty() ? 0 : raftNode.context.nowMs() - writes.peek().atMs;
   }
 
   void await(final long index, final long term, final Consumer<Boolean> done) {
@@ -79,15 +79,15 @@
     }
     final PendingWrite write = new PendingWrite();
     write.lastIndex = entries.get(entries.size() - 1).index;
-    write.atMs = ledger.pulse.nowMs();
+    write.atMs = raftNode.context.nowMs();
     writes.add(write);
-    ledger.archive.append(
+    raftNode.storage.append(
         entries,
         () -> {
           writes.remove(write);
           syncedIndex = Math.max(syncedIndex, write.lastIndex);
-          ledger.following.synced();
-          ledger.leading.synced();
+          raftNode.followerState.synced();
+          raftNode.leaderState.synced();
         });
   }
 
@@ -97,7 +97,7 @@
       throw new IllegalStateException("cut at " + index + " below commit " + commit);
     }
     forget(index);
-    ledger.archive.cutFrom(index);
+    raftNode.storage.cutFrom(index);
   }
 
   /**
@@ -118,10 +118,10 @@
     // What the old log had on disk says nothing about the new one: counted as synced only once it
     // is.
     forget(1);
-    machine.restore(index, state);
+    stateMachine.restore(index, state);
     applied = index;
     commit = index;
-    ledger.archive.install(
+    raftNode.storage.install(
         index,
         term,
         voters,
@@ -130,53 +130,54 @@
           syncedIndex = Math.max(syncedIndex, index);
           after.run();
         });
-    machine.settled(commit);
+    stateMachine.settled(commit);
   }
 
   void commitTo(final long newCommit) {
     if (newCommit <= commit) {
       return;
     }
-    commit = Math.min(newCommit, ledger.log.lastIndex());
+    commit = Math.min(newCommit, raftNode.log.lastIndex());
     while (applied < commit) {
-      final LogEntry entry = ledger.log.get(applied + 1);
+      final LogEntry entry = raftNode.log.get(applied + 1);
       applied = entry.index;
       if (entry.kind == LogEntry.DATA) {
-        machine.apply(entry.index, entry.data);
+        stateMachine.apply(entry.index, entry.data);
       } else if (entry.kind == LogEntry.VOTERS) {
         LogEvent.VOTERS_CHANGED.info(
-            "group " + ledger.group + " " + RaftStorage.votersOf(entry.data));
+            "group " + raftNode.group + " " + RaftStorage.votersOf(entry.data));
       }
       final Proposal proposal = proposals.remove(entry.index);
       if (proposal != null) {
         proposal.done.accept(proposal.term == entry.term);
       }
     }
-    if (ledger.leadsTerm()) {
-      ledger.leading.advanced();
+    if (raftNode.leadsTerm()) {
+      raftNode.leaderState.advanced();
     }
-    ledger.relay.committed();
-    ledger.leading.images.committed(commit);
-    machine.settled(commit);
+    raftNode.relay.committed();
+    raftNode.leaderState.snapshotTransfer.committed(commit);
+    stateMachine.settled(commit);
     shorten();
   }
 
   private void shorten() {
     // A state that is large by itself is not rewritten with every entry: only once the file has
     // doubled.
-    if (rewriting || ledger.archive.bytes() < Math.max(LEDGER_BYTES, 2 * rewrittenBytes)) {
+    if (rewriting
+        || raftNode.storage.bytes() < Math.max(MIN_COMPACTION_BYTES, 2 * rewrittenBytes)) {
       return;
     }
     rewriting = true;
-    ledger.log.dropTo(tailStart());
-    ledger.leading.images.tidy(ledger.pulse.nowMs());
-    ledger.archive.rewrite(
+    raftNode.log.dropTo(tailStart());
+    raftNode.leaderState.snapshotTransfer.tidy(raftNode.context.nowMs());
+    raftNode.storage.rewrite(
         applied,
-        machine.snapshot(),
+        stateMachine.snapshot(),
         () -> {
           rewriting = false;
-          rewrittenBytes = ledger.archive.bytes();
-          LogEvent.LEDGER_REWRITTEN.info("group " + ledger.group + " bytes " + rewrittenBytes);
+          rewrittenBytes = raftNode.storage.bytes();
+          LogEvent.LEDGER_REWRITTEN.info("group " + raftNode.group + " bytes " + rewrittenBytes);
         });
   }
 
@@ -187,12 +188,13 @@
   private long tailStart() {
     final long start =
         Math.min(
-            ledger.log.reachBack(applied, LEDGER_TAIL_ENTRIES, LEDGER_TAIL_BYTES),
-            ledger.leading.images.unneeded(ledger.pulse.nowMs()));
-    return Math.max(start, ledger.log.reachBack(applied, CATCH_UP_ENTRIES, CATCH_UP_BYTES));
+            raftNode.log.reachBack(applied, RETAINED_TAIL_ENTRIES, RETAINED_TAIL_BYTES),
+            raftNode.leaderState.snapshotTransfer.unneeded(raftNode.context.nowMs()));
+    return Math.max(
+        start, raftNode.log.reachBack(applied, MAX_CATCH_UP_TAIL_ENTRIES, MAX_CATCH_UP_TAIL_BYTES));
   }
 
   byte[] image() {
-    return machine.snapshot();
+    return stateMachine.snapshot();
   }
 }
--- a/src/main/java/yewjunction/raft/ConnectionHandshakes.java
+++ b/src/main/java/yewjunction/raft/ConnectionHandshakes.java
@@ -10,7 +10,7 @@
  * and ends with either process.
  */
 final class ConnectionHandshakes {
-  private final RaftNode ledger;
+  private final RaftNode raftNode;
 
   /** To whom the last letter sent on a link was. */
   private final Map<PeerConnection, Long> told = new HashMap<>();
@@ -18,44 +18,44 @@
   /** Who speaks to this member on a link. */
   private final Map<PeerConnection, String> speakers = new HashMap<>();
 
-  ConnectionHandshakes(final RaftNode ledger) {
-    this.ledger = ledger;
+  ConnectionHandshakes(final RaftNode raftNode) {
+    this.raftNode = raftNode;
   }
 
   /** The letter may be changed: it is on its way now. */
-  boolean send(final PeerConnection link, final RaftMessages.RaftMessage letter) {
-    if (letter.to != 0) {
-      final Long before = told.put(link, letter.to);
-      if (before != null && before == letter.to) {
-        letter.from = null;
-        letter.to = 0;
+  boolean send(final PeerConnection connection, final RaftMessages.RaftMessage message) {
+    if (message.to != 0) {
+      final Long before = told.put(connection, message.to);
+      if (before != null && before == message.to) {
+        message.from = null;
+        message.to = 0;
       }
     }
-    return link.send(letter);
+    return connection.send(message);
   }
 
   /** Whether the letter is for this member; its sender stands in it then. */
-  boolean heard(final PeerConnection link, final RaftMessages.RaftMessage letter) {
-    if (letter.from == null) {
-      letter.from = speakers.get(link);
-      return letter.from != null;
+  boolean heard(final PeerConnection connection, final RaftMessages.RaftMessage message) {
+    if (message.from == null) {
+      message.from = speakers.get(connection);
+      return message.from != null;
     }
-    if (letter.to == 0) {
+    if (message.to == 0) {
       return true;
     }
     // An identity whose disk is gone: neither this letter nor those that follow it are for this
     // member.
-    final boolean own = letter.to == RaftMessages.shortened(ledger.identity());
+    final boolean own = message.to == RaftMessages.shortened(raftNode.identity());
     if (own) {
-      speakers.put(link, letter.from);
+      speakers.put(connection, message.from);
     } else {
-      speakers.remove(link);
+      speakers.remove(connection);
     }
     return own;
   }
 
-  void closed(final PeerConnection link) {
-    told.remove(link);
-    speakers.remove(link);
+  void closed(final PeerConnection connection) {
+    told.remove(connection);
+    speakers.remove(connection);
   }
 }
--- a/src/main/java/yewjunction/raft/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -1,11 +1,11 @@
 package yewjunction.raft;
 
-import static yewjunction.common.Limits.ELECT_BROKEN_LEAST_MS;
-import static yewjunction.common.Limits.ELECT_BROKEN_MOST_MS;
-import static yewjunction.common.Limits.ELECT_FIRST_LEAST_MS;
-import static yewjunction.common.Limits.ELECT_FIRST_MOST_MS;
-import static yewjunction.common.Limits.ELECT_LEAST_MS;
-import static yewjunction.common.Limits.ELECT_MOST_MS;
+import static yewjunction.limits.RaftLimits.MAX_DISCONNECT_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MAX_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MAX_STARTUP_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MIN_DISCONNECT_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MIN_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MIN_STARTUP_ELECTION_TIMEOUT_MS;
 
 import java.util.HashSet;
 import java.util.List;
@@ -16,29 +16,31 @@
 
 /** When and how a member stands for the lead. */
 final class Election {
-  private final RaftNode ledger;
+  private final RaftNode raftNode;
   private final Set<String> grants = new HashSet<>();
   private long electAtMs;
 
   /** Votes proper are being asked for, not only whether they would be given. */
   private boolean firm;
 
-  Election(final RaftNode ledger) {
-    this.ledger = ledger;
+  Election(final RaftNode raftNode) {
+    this.raftNode = raftNode;
   }
 
   void restartClock() {
-    restartClock(ELECT_LEAST_MS, ELECT_MOST_MS);
+    restartClock(MIN_ELECTION_TIMEOUT_MS, MAX_ELECTION_TIMEOUT_MS);
   }
 
   private void restartClock(final long leastMs, final long mostMs) {
     electAtMs =
-        ledger.pulse.nowMs() + leastMs + ledger.pulse.luck().nextInt((int) (mostMs - leastMs));
+        raftNode.context.nowMs()
+            + leastMs
+            + raftNode.context.luck().nextInt((int) (mostMs - leastMs));
   }
 
   /** After a loss of power all members start together and nobody leads: the first wait is short. */
   void start() {
-    restartClock(ELECT_FIRST_LEAST_MS, ELECT_FIRST_MOST_MS);
+    restartClock(MIN_STARTUP_ELECTION_TIMEOUT_MS, MAX_STARTUP_ELECTION_TIMEOUT_MS);
     watch();
   }
 
@@ -47,26 +49,30 @@
    * dials again.
    */
   void leaderLinkBroke() {
-    restartClock(ELECT_BROKEN_LEAST_MS, ELECT_BROKEN_MOST_MS);
-    ledger.pulse.after(electAtMs - ledger.pulse.nowMs(), this::standWhenDue);
+    restartClock(MIN_DISCONNECT_ELECTION_TIMEOUT_MS, MAX_DISCONNECT_ELECTION_TIMEOUT_MS);
+    raftNode.context.after(electAtMs - raftNode.context.nowMs(), this::standWhenDue);
   }
 
   private void standWhenDue() {
-    if (!ledger.leadsTerm() && !ledger.stopped() && ledger.pulse.nowMs() >= electAtMs) {
+    if (!raftNode.leadsTerm() && !raftNode.stopped() && raftNode.context.nowMs() >= electAtMs) {
       stand(false);
     }
   }
 
   private void watch() {
-    if (ledger.stopped()) {
+    if (raftNode.stopped()) {
       return;
     }
     try {
       standWhenDue();
     } finally {
       // A turn that fails must not be the last look.
-      ledger.pulse.after(
-          Math.max(10, ledger.leadsTerm() ? ELECT_LEAST_MS : electAtMs - ledger.pulse.nowMs()),
+      raftNode.context.after(
+          Math.max(
+              10,
+              raftNode.leadsTerm()
+                  ? MIN_ELECTION_TIMEOUT_MS
+                  : electAtMs - raftNode.context.nowMs()),
           this::watch);
     }
   }
@@ -77,32 +83,32 @@
    */
   void stand(final boolean handedOver) {
     restartClock();
-    if (!ledger.membership.seated()) {
-      ledger.membership.patienceEnded();
+    if (!raftNode.groupMembership.seated()) {
+      raftNode.groupMembership.patienceEnded();
       return;
     }
     if (handedOver) {
       standFirmly(true);
       return;
     }
-    ledger.follow(null);
-    grants.add(ledger.identity());
+    raftNode.follow(null);
+    grants.add(raftNode.identity());
     askAll(true, false);
     count(true);
   }
 
   private void standFirmly(final boolean handedOver) {
-    ledger.stands();
+    raftNode.stands();
     firm = true;
     grants.clear();
-    final long newTerm = ledger.archive.term + 1;
-    ledger.archive.saveVote(
+    final long newTerm = raftNode.storage.term + 1;
+    raftNode.storage.saveVote(
         newTerm,
-        ledger.identity(),
+        raftNode.identity(),
         () -> {
           // Asked only once the own vote is on disk.
-          if (ledger.archive.term == newTerm && firm) {
-            grants.add(ledger.identity());
+          if (raftNode.storage.term == newTerm && firm) {
+            grants.add(raftNode.identity());
             askAll(false, handedOver);
             count(false);
           }
@@ -110,36 +116,36 @@
   }
 
   private void askAll(final boolean pre, final boolean handedOver) {
-    for (final String voter : ledger.voters()) {
-      if (!voter.equals(ledger.identity())) {
-        final VoteRequest ask = new VoteRequest();
-        ask.pre = pre;
-        ask.handedOver = handedOver;
-        ask.lastIndex = ledger.log.lastIndex();
-        ask.lastTerm = ledger.log.lastTerm();
-        ledger.introductions.send(
-            ledger.post.dial(RaftNode.address(voter)),
+    for (final String voter : raftNode.voters()) {
+      if (!voter.equals(raftNode.identity())) {
+        final VoteRequest request = new VoteRequest();
+        request.pre = pre;
+        request.handedOver = handedOver;
+        request.lastIndex = raftNode.log.lastIndex();
+        request.lastTerm = raftNode.log.lastTerm();
+        raftNode.handshakes.send(
+            raftNode.transport.dial(RaftNode.address(voter)),
             RaftMessages.withTerm(
-                ledger.addressed(ask, voter), ledger.archive.term + (pre ? 1 : 0)));
+                raftNode.addressed(request, voter), raftNode.storage.term + (pre ? 1 : 0)));
       }
     }
   }
 
-  void granted(final VoteResponse answer) {
-    final long term = ledger.archive.term;
-    if (answer.term > term && !answer.granted) {
-      ledger.seen(answer.term);
-    } else if (answer.granted
-        && answer.pre != firm
-        && answer.term == term + (answer.pre ? 1 : 0)
+  void granted(final VoteResponse response) {
+    final long term = raftNode.storage.term;
+    if (response.term > term && !response.granted) {
+      raftNode.seen(response.term);
+    } else if (response.granted
+        && response.pre != firm
+        && response.term == term + (response.pre ? 1 : 0)
         && !grants.isEmpty()) {
-      grants.add(answer.from);
-      count(answer.pre);
+      grants.add(response.from);
+      count(response.pre);
     }
   }
 
   private void count(final boolean pre) {
-    final List<String> voters = ledger.voters();
+    final List<String> voters = raftNode.voters();
     if (voters.stream().filter(grants::contains).count() * 2 <= voters.size()) {
       return;
     }
@@ -147,8 +153,8 @@
       standFirmly(false);
     } else {
       over();
-      LogEvent.LEADER_WON.info("group " + ledger.group + " term " + ledger.archive.term);
-      ledger.lead();
+      LogEvent.LEADER_WON.info("group " + raftNode.group + " term " + raftNode.storage.term);
+      raftNode.lead();
     }
   }
 
--- a/src/main/java/yewjunction/raft/FollowerState.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -12,90 +12,96 @@
 
 /** What a member does for a candidate or a leader. */
 final class FollowerState {
-  private final RaftNode ledger;
+  private final RaftNode raftNode;
   private final List<PendingResponse> waiting = new ArrayList<>();
 
   /** An answer owed once the disk holds the entries it speaks of. */
-  private record PendingResponse(PeerConnection link, AppendEntriesRequest append, long match) {}
+  private record PendingResponse(
+      PeerConnection connection, AppendEntriesRequest request, long match) {}
 
-  FollowerState(final RaftNode ledger) {
-    this.ledger = ledger;
+  FollowerState(final RaftNode raftNode) {
+    this.raftNode = raftNode;
   }
 
   void join(final String peerAddress, final boolean wantsVote, final boolean leaves) {
-    final JoinRequest join = ledger.addressed(new JoinRequest(), null);
-    join.wantsVote = wantsVote;
-    join.leaves = leaves ? true : null;
-    ledger.introductions.send(ledger.post.dial(peerAddress), join);
+    final JoinRequest request = raftNode.addressed(new JoinRequest(), null);
+    request.wantsVote = wantsVote;
+    request.leaves = leaves ? true : null;
+    raftNode.handshakes.send(raftNode.transport.dial(peerAddress), request);
   }
 
-  void ask(final PeerConnection link, final VoteRequest ask) {
-    final RaftStorage archive = ledger.archive;
+  void ask(final PeerConnection connection, final VoteRequest request) {
+    final RaftStorage storage = raftNode.storage;
     final boolean logServes =
-        ask.lastTerm > ledger.log.lastTerm()
-            || ask.lastTerm == ledger.log.lastTerm() && ask.lastIndex >= ledger.log.lastIndex();
+        request.lastTerm > raftNode.log.lastTerm()
+            || request.lastTerm == raftNode.log.lastTerm()
+                && request.lastIndex >= raftNode.log.lastIndex();
     // Whoever hears a leader keeps to it: a peer with a bad link must not unseat a good leader.
-    if (ledger.heardLately() && !ask.handedOver) {
-      answer(link, ask, false, archive.term);
+    if (raftNode.heardLately() && !request.handedOver) {
+      answer(connection, request, false, storage.term);
       return;
     }
-    if (ask.pre) {
-      final boolean granted = ask.term > archive.term && logServes;
-      answer(link, ask, granted, granted ? ask.term : archive.term);
+    if (request.pre) {
+      final boolean granted = request.term > storage.term && logServes;
+      answer(connection, request, granted, granted ? request.term : storage.term);
       return;
     }
-    ledger.seen(ask.term);
+    raftNode.seen(request.term);
     final boolean granted =
-        ask.term == archive.term
+        request.term == storage.term
             && logServes
-            && (archive.votedFor.isEmpty() || archive.votedFor.equals(ask.from));
+            && (storage.votedFor.isEmpty() || storage.votedFor.equals(request.from));
     if (!granted) {
-      answer(link, ask, false, archive.term);
+      answer(connection, request, false, storage.term);
       return;
     }
-    ledger.restartClock();
-    archive.saveVote(ask.term, ask.from, () -> answer(link, ask, true, ask.term));
+    raftNode.restartClock();
+    storage.saveVote(
+        request.term, request.from, () -> answer(connection, request, true, request.term));
   }
 
   private void answer(
-      final PeerConnection link, final VoteRequest ask, final boolean granted, final long term) {
-    final VoteResponse answer =
-        RaftMessages.withTerm(ledger.addressed(new VoteResponse(), ask.from), term);
-    answer.pre = ask.pre;
-    answer.granted = granted;
-    ledger.introductions.send(link, answer);
+      final PeerConnection connection,
+      final VoteRequest request,
+      final boolean granted,
+      final long term) {
+    final VoteResponse response =
+        RaftMessages.withTerm(raftNode.addressed(new VoteResponse(), request.from), term);
+    response.pre = request.pre;
+    response.granted = granted;
+    raftNode.handshakes.send(connection, response);
   }
 
   /** True when the letter comes from the leader of the current term. */
-  private boolean accepted(final RaftMessages.RaftMessage letter) {
-    ledger.seen(letter.term);
-    if (letter.term < ledger.archive.term) {
+  private boolean accepted(final RaftMessages.RaftMessage message) {
+    raftNode.seen(message.term);
+    if (message.term < raftNode.storage.term) {
       return false;
     }
     // Invariant: one leader a term.
-    if (ledger.leadsTerm()) {
-      throw new IllegalStateException("two leaders in term " + letter.term);
+    if (raftNode.leadsTerm()) {
+      throw new IllegalStateException("two leaders in term " + message.term);
     }
-    ledger.follow(letter.from);
+    raftNode.follow(message.from);
     return true;
   }
 
-  void append(final PeerConnection link, final AppendEntriesRequest append) {
-    final RaftLog log = ledger.log;
-    if (!accepted(append)) {
-      answer(link, append, false, 0);
+  void append(final PeerConnection connection, final AppendEntriesRequest request) {
+    final RaftLog log = raftNode.log;
+    if (!accepted(request)) {
+      answer(connection, request, false, 0);
       return;
     }
-    ledger.heardOn(link);
-    ledger.relay.source(append.relay);
-    ledger.membership.told(append.commit);
-    final boolean behindBase = append.prevIndex < log.baseIndex();
-    if (!behindBase && log.termAt(append.prevIndex) != append.prevTerm) {
-      answer(link, append, false, Math.min(log.lastIndex(), append.prevIndex - 1));
+    raftNode.heardOn(connection);
+    raftNode.relay.source(request.relay);
+    raftNode.groupMembership.told(request.commit);
+    final boolean behindBase = request.prevIndex < log.baseIndex();
+    if (!behindBase && log.termAt(request.prevIndex) != request.prevTerm) {
+      answer(connection, request, false, Math.min(log.lastIndex(), request.prevIndex - 1));
       return;
     }
     final List<LogEntry> fresh = new ArrayList<>();
-    for (final LogEntry entry : append.entries) {
+    for (final LogEntry entry : request.entries) {
       // What the snapshot covers was committed and is the same everywhere.
       if (entry.index <= log.baseIndex()) {
         continue;
@@ -104,23 +110,23 @@
         continue;
       }
       if (fresh.isEmpty() && entry.index <= log.lastIndex()) {
-        ledger.course.cutFrom(entry.index);
+        raftNode.commitTracker.cutFrom(entry.index);
       }
       fresh.add(entry);
     }
-    ledger.course.write(fresh);
-    long match = Math.max(append.prevIndex + append.entries.size(), log.baseIndex());
-    ledger.course.commitTo(Math.min(append.commit, match));
+    raftNode.commitTracker.write(fresh);
+    long match = Math.max(request.prevIndex + request.entries.size(), log.baseIndex());
+    raftNode.commitTracker.commitTo(Math.min(request.commit, match));
     // What was committed here on another's word the leader has, too: so it hears how far a relayed
     // member is.
-    match = append.relay == null ? match : Math.max(match, ledger.commit());
-    if (append.quiet && append.entries.isEmpty()) {
+    match = request.relay == null ? match : Math.max(match, raftNode.commit());
+    if (request.quiet && request.entries.isEmpty()) {
       return;
     }
-    if (match <= ledger.course.syncedIndex() || append.entries.isEmpty()) {
-      answer(link, append, true, Math.min(match, ledger.course.syncedIndex()));
+    if (match <= raftNode.commitTracker.syncedIndex() || request.entries.isEmpty()) {
+      answer(connection, request, true, Math.min(match, raftNode.commitTracker.syncedIndex()));
     } else {
-      waiting.add(new PendingResponse(link, append, match));
+      waiting.add(new PendingResponse(connection, request, match));
     }
   }
 
@@ -131,11 +137,11 @@
     final List<PendingResponse> owed = new ArrayList<>(waiting);
     waiting.clear();
     for (final PendingResponse one : owed) {
-      if (one.append.term != ledger.archive.term) {
+      if (one.request.term != raftNode.storage.term) {
         continue;
       }
-      if (one.match <= ledger.course.syncedIndex()) {
-        answer(one.link, one.append, true, one.match);
+      if (one.match <= raftNode.commitTracker.syncedIndex()) {
+        answer(one.connection, one.request, true, one.match);
       } else {
         waiting.add(one);
       }
@@ -143,45 +149,50 @@
   }
 
   private void answer(
-      final PeerConnection link,
-      final AppendEntriesRequest append,
+      final PeerConnection connection,
+      final AppendEntriesRequest request,
       final boolean accepted,
       final long match) {
-    final AppendEntriesResponse answer = ledger.addressed(new AppendEntriesResponse(), append.from);
-    answer.accepted = accepted;
-    answer.match = match;
+    final AppendEntriesResponse response =
+        raftNode.addressed(new AppendEntriesResponse(), request.from);
+    response.accepted = accepted;
+    response.match = match;
     // The answer bears this member's term: a round counts in it only if it was asked in it.
-    answer.round = append.term == answer.term ? append.round : 0;
-    ledger.introductions.send(link, answer);
+    response.round = request.term == response.term ? request.round : 0;
+    raftNode.handshakes.send(connection, response);
   }
 
-  void image(final PeerConnection link, final InstallSnapshotRequest image) {
-    if (!accepted(image)) {
+  void image(final PeerConnection connection, final InstallSnapshotRequest request) {
+    if (!accepted(request)) {
       return;
     }
     final AppendEntriesRequest asked = new AppendEntriesRequest();
-    asked.from = image.from;
+    asked.from = request.from;
     // The entry that a snapshot ends with is here: so is all before it, and what is behind it must
     // stay.
-    if (ledger.log.termAt(image.lastIndex) == image.lastTerm) {
-      ledger.course.commitTo(image.lastIndex);
+    if (raftNode.log.termAt(request.lastIndex) == request.lastTerm) {
+      raftNode.commitTracker.commitTo(request.lastIndex);
     }
     // What is committed here the leader has too: said so, or it would send the same again and
     // again.
-    if (image.lastIndex <= ledger.commit()) {
-      answer(link, asked, true, Math.min(ledger.commit(), ledger.course.syncedIndex()));
+    if (request.lastIndex <= raftNode.commit()) {
+      answer(
+          connection,
+          asked,
+          true,
+          Math.min(raftNode.commit(), raftNode.commitTracker.syncedIndex()));
       return;
     }
-    final byte[] state = ledger.leading.images.taken(image);
+    final byte[] state = raftNode.leaderState.snapshotTransfer.taken(request);
     if (state == null) {
       return;
     }
     waiting.clear();
-    ledger.course.installed(
-        image.lastIndex,
-        image.lastTerm,
-        image.voters,
+    raftNode.commitTracker.installed(
+        request.lastIndex,
+        request.lastTerm,
+        request.voters,
         state,
-        () -> answer(link, asked, true, image.lastIndex));
+        () -> answer(connection, asked, true, request.lastIndex));
   }
 }
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -1,8 +1,8 @@
 package yewjunction.raft;
 
-import static yewjunction.common.ControlLimits.LEAVE_LOOK_MS;
-import static yewjunction.common.ControlLimits.LEAVE_MS;
-import static yewjunction.common.Limits.ENROL_MS;
+import static yewjunction.limits.RaftLimits.LEAVE_CHECK_INTERVAL_MS;
+import static yewjunction.limits.RaftLimits.LEAVE_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.REGISTRATION_INTERVAL_MS;
 
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -14,7 +14,7 @@
  * log, and all others only by their own word.
  */
 public final class GroupMembership {
-  private final RaftNode ledger;
+  private final RaftNode raftNode;
   private Supplier<List<String>> peers = List::of;
   private BooleanSupplier wantsVote = () -> false;
   private boolean leaving;
@@ -27,8 +27,8 @@
 
   private long goalMs;
 
-  GroupMembership(final RaftNode ledger) {
-    this.ledger = ledger;
+  GroupMembership(final RaftNode raftNode) {
+    this.raftNode = raftNode;
   }
 
   /**
@@ -39,25 +39,25 @@
       final Supplier<List<String>> chosenPeers, final BooleanSupplier chosenWantsVote) {
     peers = chosenPeers;
     wantsVote = chosenWantsVote;
-    ledger.pulse.every(ENROL_MS, this::seek);
+    raftNode.context.every(REGISTRATION_INTERVAL_MS, this::seek);
   }
 
   /** Whether this member votes, as far as its own log says. */
   public boolean seated() {
-    return ledger.voters().contains(ledger.identity());
+    return raftNode.voters().contains(raftNode.identity());
   }
 
   private void seek() {
-    if (ledger.stopped()
-        || ledger.identity() == null
-        || seated() && !leaving && !ledger.leaderless()) {
+    if (raftNode.stopped()
+        || raftNode.identity() == null
+        || seated() && !leaving && !raftNode.leaderless()) {
       return;
     }
     // Whoever knows another leader passes it on; with a leader in reach nobody else is troubled.
-    final String leader = ledger.leader();
+    final String leader = raftNode.leader();
     final List<String> asked = leader == null ? peers.get() : List.of(RaftNode.address(leader));
     asked.forEach(
-        peer -> ledger.following.join(peer, !leaving && wantsVote.getAsBoolean(), leaving));
+        peer -> raftNode.followerState.join(peer, !leaving && wantsVote.getAsBoolean(), leaving));
   }
 
   /** This member's process ends soon. */
@@ -72,21 +72,21 @@
    */
   public void leave(final Runnable ended) {
     leaving = true;
-    waitLeft(ledger.pulse.nowMs(), ended);
+    waitLeft(raftNode.context.nowMs(), ended);
   }
 
   private void waitLeft(final long startMs, final Runnable ended) {
-    final boolean owed = seated() || ledger.electorate().changing();
+    final boolean owed = seated() || raftNode.electorate().changing();
     // Nobody without a seat is known: what remains to be handed on is the lead.
-    final boolean taker = peers.get().size() >= ledger.electorate().seats();
-    if (!owed || !taker || ledger.pulse.nowMs() - startMs > LEAVE_MS) {
-      ledger.electorate().handOver(ended);
+    final boolean taker = peers.get().size() >= raftNode.electorate().seats();
+    if (!owed || !taker || raftNode.context.nowMs() - startMs > LEAVE_TIMEOUT_MS) {
+      raftNode.electorate().handOver(ended);
       return;
     }
-    if (!ledger.leadsTerm()) {
+    if (!raftNode.leadsTerm()) {
       seek();
     }
-    ledger.pulse.after(LEAVE_LOOK_MS, () -> waitLeft(startMs, ended));
+    raftNode.context.after(LEAVE_CHECK_INTERVAL_MS, () -> waitLeft(startMs, ended));
   }
 
   /**
@@ -94,7 +94,7 @@
    * asking a former one.
    */
   void patienceEnded() {
-    ledger.follow(null);
+    raftNode.follow(null);
     seek();
   }
 
@@ -109,14 +109,16 @@
   }
 
   void told(final long leaderCommit) {
-    if (ledger.applied() >= goal) {
+    if (raftNode.applied() >= goal) {
       goal = leaderCommit;
-      goalMs = ledger.pulse.nowMs();
+      goalMs = raftNode.context.nowMs();
     }
   }
 
   /** ms for which this member has lacked what its leader had committed; 0 while it keeps up. */
   public long behindMs() {
-    return ledger.leadsTerm() || ledger.applied() >= goal ? 0 : ledger.pulse.nowMs() - goalMs;
+    return raftNode.leadsTerm() || raftNode.applied() >= goal
+        ? 0
+        : raftNode.context.nowMs() - goalMs;
   }
 }
--- a/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
+++ b/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
@@ -1,9 +1,9 @@
 package yewjunction.raft;
 
-import static yewjunction.common.Limits.ELECT_MOST_MS;
-import static yewjunction.common.Limits.LATE_REST_MS;
-import static yewjunction.common.Limits.LATE_SHARE;
-import static yewjunction.common.Limits.LATE_WEIGHT;
+import static yewjunction.limits.RaftLimits.LATE_HEARTBEAT_SHARE;
+import static yewjunction.limits.RaftLimits.LATE_HEARTBEAT_WEIGHT;
+import static yewjunction.limits.RaftLimits.MAX_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MIN_LEADERSHIP_MS;
 
 import java.util.List;
 
@@ -12,41 +12,42 @@
  * the one to go.
  */
 final class LeaderLatencyMonitor {
-  private final RaftNode ledger;
-  private final LeaderState leading;
+  private final RaftNode raftNode;
+  private final LeaderState leaderState;
   private long beatRound;
   private long sinceMs;
 
-  LeaderLatencyMonitor(final RaftNode ledger, final LeaderState leading) {
-    this.ledger = ledger;
-    this.leading = leading;
+  LeaderLatencyMonitor(final RaftNode raftNode, final LeaderState leaderState) {
+    this.raftNode = raftNode;
+    this.leaderState = leaderState;
   }
 
   void reset() {
-    sinceMs = ledger.pulse.nowMs();
+    sinceMs = raftNode.context.nowMs();
     beatRound = 0;
   }
 
   /** At each beat: who has not answered the one before. */
   void beat(final long newRound) {
-    for (final PeerProgress standing : leading.standings.values()) {
-      final boolean late = standing.round < beatRound;
-      standing.late += LATE_WEIGHT * ((late ? 1 : 0) - standing.late);
+    for (final PeerProgress progress : leaderState.progressByMember.values()) {
+      final boolean late = progress.round < beatRound;
+      progress.late += LATE_HEARTBEAT_WEIGHT * ((late ? 1 : 0) - progress.late);
     }
     beatRound = newRound;
   }
 
   /** Another would lead better: all others are there, and all of them are late. */
   boolean drags() {
-    final long nowMs = ledger.pulse.nowMs();
-    final List<String> voters = ledger.voters();
-    if (voters.size() < 3 || nowMs - sinceMs < LATE_REST_MS) {
+    final long nowMs = raftNode.context.nowMs();
+    final List<String> voters = raftNode.voters();
+    if (voters.size() < 3 || nowMs - sinceMs < MIN_LEADERSHIP_MS) {
       return false;
     }
     for (final String voter : voters) {
-      final PeerProgress standing = leading.standing(voter);
-      if (!voter.equals(ledger.identity())
-          && (standing.late < LATE_SHARE || nowMs - standing.heardMs > ELECT_MOST_MS)) {
+      final PeerProgress progress = leaderState.standing(voter);
+      if (!voter.equals(raftNode.identity())
+          && (progress.late < LATE_HEARTBEAT_SHARE
+              || nowMs - progress.heardMs > MAX_ELECTION_TIMEOUT_MS)) {
         return false;
       }
     }
--- a/src/main/java/yewjunction/raft/LeaderState.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -1,10 +1,10 @@
 package yewjunction.raft;
 
-import static yewjunction.common.Limits.APPEND_AGAIN_MS;
-import static yewjunction.common.Limits.BEAT_MS;
-import static yewjunction.common.Limits.COMMIT_WORD_MS;
-import static yewjunction.common.Limits.DISK_DRAGS_MS;
-import static yewjunction.common.Limits.ELECT_MOST_MS;
+import static yewjunction.limits.RaftLimits.APPEND_RETRY_MS;
+import static yewjunction.limits.RaftLimits.COMMIT_NOTICE_DELAY_MS;
+import static yewjunction.limits.RaftLimits.HEARTBEAT_INTERVAL_MS;
+import static yewjunction.limits.RaftLimits.MAX_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.StorageLimits.SLOW_DISK_TRANSFER_MS;
 
 import java.util.HashMap;
 import java.util.List;
@@ -15,12 +15,12 @@
 
 /** What a leader does: replicates, commits, confirms its leadership. */
 final class LeaderState {
-  private final RaftNode ledger;
-  final VoterReconfiguration electorate;
-  final Map<String, PeerProgress> standings = new HashMap<>();
-  private final ReadIndexRequests rounds;
-  private final LeaderLatencyMonitor tempo;
-  final SnapshotTransfer images;
+  private final RaftNode raftNode;
+  final VoterReconfiguration reconfiguration;
+  final Map<String, PeerProgress> progressByMember = new HashMap<>();
+  private final ReadIndexRequests readIndexRequests;
+  private final LeaderLatencyMonitor latencyMonitor;
+  final SnapshotTransfer snapshotTransfer;
   private long firstIndex;
   private long era;
   private boolean sending;
@@ -34,31 +34,31 @@
   /** The commit that all have been told. */
   private long toldCommit;
 
-  LeaderState(final RaftNode ledger) {
-    this.ledger = ledger;
-    electorate = new VoterReconfiguration(ledger, this);
-    rounds = new ReadIndexRequests(ledger);
-    tempo = new LeaderLatencyMonitor(ledger, this);
-    images = new SnapshotTransfer(ledger, this);
+  LeaderState(final RaftNode raftNode) {
+    this.raftNode = raftNode;
+    reconfiguration = new VoterReconfiguration(raftNode, this);
+    readIndexRequests = new ReadIndexRequests(raftNode);
+    latencyMonitor = new LeaderLatencyMonitor(raftNode, this);
+    snapshotTransfer = new SnapshotTransfer(raftNode, this);
   }
 
   void begin() {
     era++;
-    standings.clear();
-    electorate.reset();
-    tempo.reset();
+    progressByMember.clear();
+    reconfiguration.reset();
+    latencyMonitor.reset();
     announced = false;
-    ledger.voters().forEach(this::standing);
-    firstIndex = ledger.log.lastIndex() + 1;
+    raftNode.voters().forEach(this::standing);
+    firstIndex = raftNode.log.lastIndex() + 1;
     append(LogEntry.NOTHING, new byte[0]);
     beat(era);
   }
 
   void end() {
     era++;
-    electorate.reset();
-    images.drop();
-    rounds.drop();
+    reconfiguration.reset();
+    snapshotTransfer.drop();
+    readIndexRequests.drop();
   }
 
   long firstIndex() {
@@ -66,55 +66,58 @@
   }
 
   PeerProgress standing(final String identity) {
-    return standings.computeIfAbsent(
+    return progressByMember.computeIfAbsent(
         identity,
         key -> {
           final PeerProgress fresh = new PeerProgress();
-          fresh.next = ledger.log.lastIndex() + 1;
-          fresh.heardMs = ledger.pulse.nowMs();
+          fresh.next = raftNode.log.lastIndex() + 1;
+          fresh.heardMs = raftNode.context.nowMs();
           return fresh;
         });
   }
 
   private boolean self(final String identity) {
-    return identity.equals(ledger.identity());
+    return identity.equals(raftNode.identity());
   }
 
   private void beat(final long ofEra) {
-    if (ofEra != era || !ledger.leadsTerm()) {
+    if (ofEra != era || !raftNode.leadsTerm()) {
       return;
     }
     // Armed first: a turn that fails must not be the last beat.
-    ledger.pulse.after(BEAT_MS, () -> beat(ofEra));
-    final long nowMs = ledger.pulse.nowMs();
+    raftNode.context.after(HEARTBEAT_INTERVAL_MS, () -> beat(ofEra));
+    final long nowMs = raftNode.context.nowMs();
     // A leader that a majority no longer answers steps down, so that others are not led astray.
-    final List<String> voters = ledger.voters();
+    final List<String> voters = raftNode.voters();
     final long heard =
         voters.stream()
-            .filter(voter -> self(voter) || nowMs - standing(voter).heardMs < 2 * ELECT_MOST_MS)
+            .filter(
+                voter ->
+                    self(voter) || nowMs - standing(voter).heardMs < 2 * MAX_ELECTION_TIMEOUT_MS)
             .count();
     if (heard * 2 <= voters.size()) {
-      ledger.follow(null);
-      ledger.restartClock();
+      raftNode.follow(null);
+      raftNode.restartClock();
       return;
     }
-    tempo.beat(rounds.next());
-    images.tidy(nowMs);
-    electorate.relays(nowMs);
+    latencyMonitor.beat(readIndexRequests.next());
+    snapshotTransfer.tidy(nowMs);
+    reconfiguration.relays(nowMs);
     wanted = true;
     sendAll();
-    electorate.settle();
-    if (ledger.leads()
-        && !electorate.handing()
-        && (tempo.drags() && !images.hold(nowMs) || ledger.course.owedMs() > DISK_DRAGS_MS)) {
-      electorate.handOver(tempo::reset);
+    reconfiguration.settle();
+    if (raftNode.leads()
+        && !reconfiguration.handing()
+        && (latencyMonitor.drags() && !snapshotTransfer.hold(nowMs)
+            || raftNode.commitTracker.owedMs() > SLOW_DISK_TRANSFER_MS)) {
+      reconfiguration.handOver(latencyMonitor::reset);
     }
   }
 
   long append(final int kind, final byte[] data) {
     final LogEntry entry =
-        new LogEntry(ledger.log.lastIndex() + 1, ledger.archive.term, kind, data);
-    ledger.course.write(List.of(entry));
+        new LogEntry(raftNode.log.lastIndex() + 1, raftNode.storage.term, kind, data);
+    raftNode.commitTracker.write(List.of(entry));
     sendSoon();
     return entry.index;
   }
@@ -123,7 +126,7 @@
   private void sendSoon() {
     if (!sending) {
       sending = true;
-      ledger.pulse.post(
+      raftNode.context.post(
           () -> {
             sending = false;
             sendAll();
@@ -138,11 +141,11 @@
   private void tellCommit() {
     if (!telling) {
       telling = true;
-      ledger.pulse.after(
-          COMMIT_WORD_MS,
+      raftNode.context.after(
+          COMMIT_NOTICE_DELAY_MS,
           () -> {
             telling = false;
-            if (toldCommit < ledger.commit()) {
+            if (toldCommit < raftNode.commit()) {
               sendAll();
             }
           });
@@ -150,9 +153,9 @@
   }
 
   private void sendAll() {
-    if (ledger.leadsTerm()) {
-      toldCommit = ledger.commit();
-      for (final Map.Entry<String, PeerProgress> one : List.copyOf(standings.entrySet())) {
+    if (raftNode.leadsTerm()) {
+      toldCommit = raftNode.commit();
+      for (final Map.Entry<String, PeerProgress> one : List.copyOf(progressByMember.entrySet())) {
         if (!self(one.getKey())) {
           send(one.getKey(), one.getValue());
         }
@@ -165,107 +168,109 @@
    * What was lost with a link shows at the next beat: it names an entry that the peer lacks, and is
    * denied.
    */
-  private void send(final String identity, final PeerProgress standing) {
-    final long nowMs = ledger.pulse.nowMs();
-    final RaftLog log = ledger.log;
-    if (standing.relay != null) {
-      ledger.relay.tell(identity, standing, rounds.newest());
+  private void send(final String identity, final PeerProgress progress) {
+    final long nowMs = raftNode.context.nowMs();
+    final RaftLog log = raftNode.log;
+    if (progress.relay != null) {
+      raftNode.relay.tell(identity, progress, readIndexRequests.newest());
       return;
     }
-    final boolean silent = nowMs - standing.heardMs > APPEND_AGAIN_MS;
+    final boolean silent = nowMs - progress.heardMs > APPEND_RETRY_MS;
     // A newcomer with nothing also needs to learn who votes, which only a snapshot tells.
     // None is built for a silent peer: it gets a beat, which it denies once it is back.
     final boolean behind =
-        standing.next <= log.baseIndex()
-            || standing.next == 1 && !ledger.voters().contains(identity);
-    if (behind && (!silent || images.sends(identity))) {
-      images.send(identity, nowMs);
+        progress.next <= log.baseIndex()
+            || progress.next == 1 && !raftNode.voters().contains(identity);
+    if (behind && (!silent || snapshotTransfer.sends(identity))) {
+      snapshotTransfer.send(identity, nowMs);
       return;
     }
-    final AppendEntriesRequest append = new AppendEntriesRequest();
-    append.prevIndex = standing.next - 1;
-    append.prevTerm = log.termAt(append.prevIndex);
-    append.commit = ledger.commit();
-    append.round = rounds.newest();
-    append.quiet = !wanted;
+    final AppendEntriesRequest request = new AppendEntriesRequest();
+    request.prevIndex = progress.next - 1;
+    request.prevTerm = log.termAt(request.prevIndex);
+    request.commit = raftNode.commit();
+    request.round = readIndexRequests.newest();
+    request.quiet = !wanted;
     // A silent peer gets beats only: what it misses would pile up on its link.
     if (!silent) {
-      append.entries = standing.slice(log, nowMs);
+      request.entries = progress.slice(log, nowMs);
     }
-    standing.next += append.entries.size();
-    ledger.sendTo(identity, append);
+    progress.next += request.entries.size();
+    raftNode.sendTo(identity, request);
   }
 
-  void answered(final AppendEntriesResponse answer) {
-    ledger.seen(answer.term);
-    final PeerProgress standing = standings.get(answer.from);
-    if (!ledger.leadsTerm() || answer.term != ledger.archive.term || standing == null) {
+  void answered(final AppendEntriesResponse response) {
+    raftNode.seen(response.term);
+    final PeerProgress progress = progressByMember.get(response.from);
+    if (!raftNode.leadsTerm() || response.term != raftNode.storage.term || progress == null) {
       return;
     }
-    final boolean wasSilent = ledger.pulse.nowMs() - standing.heardMs > APPEND_AGAIN_MS;
-    standing.heardMs = ledger.pulse.nowMs();
-    standing.round = Math.max(standing.round, answer.round);
-    if (answer.accepted) {
-      standing.accepted(answer.match, standing.heardMs);
+    final boolean wasSilent = raftNode.context.nowMs() - progress.heardMs > APPEND_RETRY_MS;
+    progress.heardMs = raftNode.context.nowMs();
+    progress.round = Math.max(progress.round, response.round);
+    if (response.accepted) {
+      progress.accepted(response.match, progress.heardMs);
     } else {
-      standing.next = Math.max(standing.match, Math.min(standing.next - 2, answer.match)) + 1;
+      progress.next = Math.max(progress.match, Math.min(progress.next - 2, response.match)) + 1;
     }
-    if (standing.next <= ledger.log.lastIndex()
-        && (!answer.accepted || wasSilent || standing.match == standing.next - 1)) {
-      send(answer.from, standing);
+    if (progress.next <= raftNode.log.lastIndex()
+        && (!response.accepted || wasSilent || progress.match == progress.next - 1)) {
+      send(response.from, progress);
     }
     advance();
-    rounds.look(this);
-    electorate.handOn(answer.from, standing);
+    readIndexRequests.look(this);
+    reconfiguration.handOn(response.from, progress);
   }
 
   void synced() {
-    if (ledger.leadsTerm()) {
+    if (raftNode.leadsTerm()) {
       advance();
     }
   }
 
   private void advance() {
-    final List<String> voters = ledger.voters();
+    final List<String> voters = raftNode.voters();
     final long[] matches = new long[voters.size()];
     for (int i = 0; i < matches.length; i++) {
       matches[i] =
-          self(voters.get(i)) ? ledger.course.syncedIndex() : standing(voters.get(i)).match;
+          self(voters.get(i))
+              ? raftNode.commitTracker.syncedIndex()
+              : standing(voters.get(i)).match;
     }
     java.util.Arrays.sort(matches);
     final long majority = matches[(matches.length - 1) / 2];
     // Only entries of the own term are counted; older ones are committed along with them.
-    if (majority > ledger.commit() && ledger.log.termAt(majority) == ledger.archive.term) {
-      ledger.course.commitTo(majority);
+    if (majority > raftNode.commit() && raftNode.log.termAt(majority) == raftNode.storage.term) {
+      raftNode.commitTracker.commitTo(majority);
       tellCommit();
     }
   }
 
   void advanced() {
-    if (!announced && ledger.applied() >= firstIndex) {
+    if (!announced && raftNode.applied() >= firstIndex) {
       announced = true;
-      ledger.announceLeading();
+      raftNode.announceLeading();
     }
     // A leader that voted itself out goes once that is committed.
-    if (ledger.log.lastVotersIndex() <= ledger.commit()
-        && !ledger.voters().contains(ledger.identity())) {
-      ledger.follow(null);
+    if (raftNode.log.lastVotersIndex() <= raftNode.commit()
+        && !raftNode.voters().contains(raftNode.identity())) {
+      raftNode.follow(null);
     }
   }
 
   void confirm(final Consumer<Boolean> done) {
-    rounds.ask(done);
+    readIndexRequests.ask(done);
     wanted = true;
-    if (ledger.voters().size() == 1) {
-      rounds.look(this);
+    if (raftNode.voters().size() == 1) {
+      readIndexRequests.look(this);
     } else {
       sendSoon();
     }
   }
 
-  void learn(final RaftMessages.JoinRequest join) {
-    if (ledger.leadsTerm()) {
-      standing(join.from).said(join, ledger.pulse.nowMs());
+  void learn(final RaftMessages.JoinRequest request) {
+    if (raftNode.leadsTerm()) {
+      standing(request.from).said(request, raftNode.context.nowMs());
     }
   }
 }
--- a/src/main/java/yewjunction/raft/LocalDisk.java
+++ b/src/main/java/yewjunction/raft/LocalDisk.java
@@ -25,8 +25,8 @@
     this.folder = folder;
     try {
       Files.createDirectories(folder);
-    } catch (final IOException defect) {
-      throw new StorageException(STORAGE_FAILED, "cannot make " + folder, defect);
+    } catch (final IOException failure) {
+      throw new StorageException(STORAGE_FAILED, "cannot make " + folder, failure);
     }
   }
 
@@ -37,8 +37,8 @@
   private static <T> T guard(final String what, final IoOperation<T> step) {
     try {
       return step.run();
-    } catch (final IOException defect) {
-      throw new StorageException(STORAGE_FAILED, what + ": " + defect.getMessage(), defect);
+    } catch (final IOException failure) {
+      throw new StorageException(STORAGE_FAILED, what + ": " + failure.getMessage(), failure);
     }
   }
 
@@ -66,11 +66,11 @@
     final long before = guard("position of " + name, channel::position);
     try {
       write(channel, bytes);
-    } catch (final IOException defect) {
+    } catch (final IOException failure) {
       // What was written in part goes again, so that the same can be tried once there is room.
       guard("cut back " + name, () -> channel.truncate(before).position(before));
       throw new StorageException(
-          STORAGE_FULL, "append " + name + ": " + defect.getMessage(), defect);
+          STORAGE_FULL, "append " + name + ": " + failure.getMessage(), failure);
     }
   }
 
@@ -105,7 +105,7 @@
       write(written, bytes);
       written.force(true);
       Files.move(fresh, folder.resolve(name), ATOMIC_MOVE);
-    } catch (final IOException defect) {
+    } catch (final IOException failure) {
       // The old file stands as it was; the new one gives its room back, which an open file would
       // keep.
       final FileChannel given = written;
@@ -118,7 +118,7 @@
             return Files.deleteIfExists(fresh);
           });
       throw new StorageException(
-          STORAGE_FULL, "replace " + name + ": " + defect.getMessage(), defect);
+          STORAGE_FULL, "replace " + name + ": " + failure.getMessage(), failure);
     }
     final FileChannel channel = written;
     guard(
--- a/src/main/java/yewjunction/raft/LogRecord.java
+++ b/src/main/java/yewjunction/raft/LogRecord.java
@@ -22,6 +22,7 @@
    */
   record ScanResult(List<Content> pieces, int goodBytes, boolean damaged) {}
 
+  /** Kind and body of a record. */
   record Content(int kind, byte[] body) {}
 
   static byte[] wrapBody(final int kind, final byte[] body, final long syncedTo) {
--- a/src/main/java/yewjunction/raft/MessageRouter.java
+++ b/src/main/java/yewjunction/raft/MessageRouter.java
@@ -15,49 +15,51 @@
 
 /** Brings a member the letters that are for it. */
 final class MessageRouter {
-  private final RaftNode ledger;
-  private final FollowerState following;
-  private final LeaderState leading;
+  private final RaftNode raftNode;
+  private final FollowerState followerState;
+  private final LeaderState leaderState;
   private final Election election;
 
   MessageRouter(
-      final RaftNode ledger,
-      final FollowerState following,
-      final LeaderState leading,
+      final RaftNode raftNode,
+      final FollowerState followerState,
+      final LeaderState leaderState,
       final Election election) {
-    this.ledger = ledger;
-    this.following = following;
-    this.leading = leading;
+    this.raftNode = raftNode;
+    this.followerState = followerState;
+    this.leaderState = leaderState;
     this.election = election;
   }
 
   void listen() {
-    ledger.post.onClose(ledger::closed);
-    on(FetchRequest.class, ledger.relay::asked);
-    on(FetchResponse.class, (link, fetched) -> ledger.relay.taken(fetched));
-    on(VoteRequest.class, following::ask);
-    on(VoteResponse.class, (link, answer) -> election.granted(answer));
-    on(AppendEntriesRequest.class, following::append);
-    on(AppendEntriesResponse.class, (link, answer) -> leading.answered(answer));
-    on(InstallSnapshotRequest.class, following::image);
-    on(InstallSnapshotResponse.class, (link, answer) -> leading.images.answered(answer));
+    raftNode.transport.onClose(raftNode::closed);
+    on(FetchRequest.class, raftNode.relay::asked);
+    on(FetchResponse.class, (connection, response) -> raftNode.relay.taken(response));
+    on(VoteRequest.class, followerState::ask);
+    on(VoteResponse.class, (connection, response) -> election.granted(response));
+    on(AppendEntriesRequest.class, followerState::append);
+    on(AppendEntriesResponse.class, (connection, response) -> leaderState.answered(response));
+    on(InstallSnapshotRequest.class, followerState::image);
+    on(
+        InstallSnapshotResponse.class,
+        (connection, response) -> leaderState.snapshotTransfer.answered(response));
     on(
         JoinRequest.class,
-        (link, join) -> {
-          if (ledger.leadsTerm()) {
-            leading.learn(join);
-          } else if (join.passedOn == null && ledger.leader() != null) {
+        (connection, request) -> {
+          if (raftNode.leadsTerm()) {
+            leaderState.learn(request);
+          } else if (request.passedOn == null && raftNode.leader() != null) {
             // The newcomer may not know the leader's machine yet; passed on once, so that it never
             // runs in circles.
-            join.passedOn = true;
-            ledger.post.dial(RaftNode.address(ledger.leader())).send(join);
+            request.passedOn = true;
+            raftNode.transport.dial(RaftNode.address(raftNode.leader())).send(request);
           }
         });
     on(
         TimeoutNowRequest.class,
-        (link, handOver) -> {
+        (connection, request) -> {
           // Only the leader of this very term may name its follower.
-          if (handOver.term == ledger.archive.term) {
+          if (request.term == raftNode.storage.term) {
             election.stand(true);
           }
         });
@@ -65,16 +67,16 @@
 
   private <T extends RaftMessages.RaftMessage> void on(
       final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-    ledger.post.on(
+    raftNode.transport.on(
         kind,
-        (link, letter) -> {
+        (connection, letter) -> {
           // Another group, or an identity whose disk is gone: not for this member.
           final boolean forThis =
-              letter.group == ledger.group
-                  && ledger.identity() != null
-                  && ledger.introductions.heard(link, letter);
-          if (forThis && !ledger.stopped()) {
-            handler.accept(link, letter);
+              letter.group == raftNode.group
+                  && raftNode.identity() != null
+                  && raftNode.handshakes.heard(connection, letter);
+          if (forThis && !raftNode.stopped()) {
+            handler.accept(connection, letter);
           }
         });
   }
--- a/src/main/java/yewjunction/raft/PeerProgress.java
+++ b/src/main/java/yewjunction/raft/PeerProgress.java
@@ -1,10 +1,10 @@
 package yewjunction.raft;
 
-import static yewjunction.common.ControlLimits.CAUGHT_UP_BYTES;
-import static yewjunction.common.Limits.APPEND_BYTES;
-import static yewjunction.common.Limits.APPEND_ENTRIES;
-import static yewjunction.common.Limits.LEDGER_TAIL_ENTRIES;
-import static yewjunction.common.Limits.VOTER_LAGS_MS;
+import static yewjunction.limits.RaftLimits.MAX_APPEND_BYTES;
+import static yewjunction.limits.RaftLimits.MAX_APPEND_ENTRIES;
+import static yewjunction.limits.RaftLimits.VOTER_LAG_TIMEOUT_MS;
+import static yewjunction.limits.StorageLimits.CAUGHT_UP_BYTES;
+import static yewjunction.limits.StorageLimits.RETAINED_TAIL_ENTRIES;
 
 import java.util.List;
 
@@ -40,11 +40,11 @@
 
   private long windowEnd;
   private long sentMs;
-  private final AdaptiveChunkSize pace = new AdaptiveChunkSize(APPEND_BYTES);
+  private final AdaptiveChunkSize chunkSize = new AdaptiveChunkSize(MAX_APPEND_BYTES);
 
-  void said(final RaftMessages.JoinRequest join, final long nowMs) {
-    wantsVote = join.wantsVote;
-    leavesMs = join.leaves == null ? 0 : nowMs;
+  void said(final RaftMessages.JoinRequest request, final long nowMs) {
+    wantsVote = request.wantsVote;
+    leavesMs = request.leaves == null ? 0 : nowMs;
   }
 
   /**
@@ -61,12 +61,12 @@
     // beats up at the end.
     behind =
         behind
-            ? log.exceeds(next, APPEND_ENTRIES, CAUGHT_UP_BYTES)
-            : log.exceeds(next, LEDGER_TAIL_ENTRIES, APPEND_BYTES);
+            ? log.exceeds(next, MAX_APPEND_ENTRIES, CAUGHT_UP_BYTES)
+            : log.exceeds(next, RETAINED_TAIL_ENTRIES, MAX_APPEND_BYTES);
     if (!behind) {
-      return log.slice(next, APPEND_ENTRIES, APPEND_BYTES);
+      return log.slice(next, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES);
     }
-    final List<LogEntry> entries = log.slice(next, APPEND_ENTRIES, pace.bytes());
+    final List<LogEntry> entries = log.slice(next, MAX_APPEND_ENTRIES, chunkSize.bytes());
     windowEnd = next - 1 + entries.size();
     sentMs = nowMs;
     return entries;
@@ -78,7 +78,7 @@
     next = Math.max(next, match + 1);
     if (windowEnd > 0 && match >= windowEnd) {
       windowEnd = 0;
-      pace.took(nowMs - sentMs);
+      chunkSize.took(nowMs - sentMs);
     }
   }
 
@@ -91,6 +91,6 @@
 
   /** Answers, perhaps, but its disk does not take what a majority's disks took long ago. */
   boolean lags(final long nowMs) {
-    return match < goal && nowMs - goalMs > VOTER_LAGS_MS;
+    return match < goal && nowMs - goalMs > VOTER_LAG_TIMEOUT_MS;
   }
 }
--- a/src/main/java/yewjunction/raft/RaftNode.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -1,8 +1,8 @@
 package yewjunction.raft;
 
-import static yewjunction.common.Limits.ASK_AROUND_MS;
-import static yewjunction.common.Limits.ELECT_LEAST_MS;
-import static yewjunction.common.Limits.ELECT_MOST_MS;
+import static yewjunction.limits.RaftLimits.LEADER_SEARCH_AFTER_MS;
+import static yewjunction.limits.RaftLimits.MAX_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MIN_ELECTION_TIMEOUT_MS;
 
 import java.util.List;
 import java.util.function.Consumer;
@@ -13,6 +13,7 @@
 
 /** One member of a replicated log. All calls on the owner's thread. */
 public final class RaftNode {
+  /** What a member is in its current term. */
   enum Role {
     FOLLOWS,
     STANDS,
@@ -20,53 +21,53 @@
   }
 
   final int group;
-  final AgentContext pulse;
-  final PeerTransport post;
-  final RaftStorage archive;
+  final AgentContext context;
+  final PeerTransport transport;
+  final RaftStorage storage;
   final RaftLog log;
-  private final StateMachine machine;
-  final LeaderState leading;
-  final FollowerState following;
+  private final StateMachine stateMachine;
+  final LeaderState leaderState;
+  final FollowerState followerState;
   private final Election election;
-  final CommitTracker course;
-  final ConnectionHandshakes introductions;
+  final CommitTracker commitTracker;
+  final ConnectionHandshakes handshakes;
   final ZoneRelay relay;
-  final GroupMembership membership;
+  final GroupMembership groupMembership;
   private Role role = Role.FOLLOWS;
   private String leaderIdentity;
-  private PeerConnection leaderLink;
+  private PeerConnection leaderConnection;
   private long heardMs;
   private boolean stopped;
 
   public RaftNode(
       final int group,
-      final AgentContext pulse,
-      final PeerTransport post,
+      final AgentContext context,
+      final PeerTransport transport,
       final Disk disk,
-      final TaskExecutor clerk,
+      final TaskExecutor executor,
       final String name,
-      final StateMachine machine) {
+      final StateMachine stateMachine) {
     this.group = group;
-    this.pulse = pulse;
-    this.post = post;
-    this.machine = machine;
-    archive = new RaftStorage(new AppendOnlyFile(disk, clerk, name));
-    log = archive.log;
-    introductions = new ConnectionHandshakes(this);
+    this.context = context;
+    this.transport = transport;
+    this.stateMachine = stateMachine;
+    storage = new RaftStorage(new AppendOnlyFile(disk, executor, name));
+    log = storage.log;
+    handshakes = new ConnectionHandshakes(this);
     relay = new ZoneRelay(this);
-    membership = new GroupMembership(this);
-    leading = new LeaderState(this);
-    following = new FollowerState(this);
+    groupMembership = new GroupMembership(this);
+    leaderState = new LeaderState(this);
+    followerState = new FollowerState(this);
     election = new Election(this);
-    course = new CommitTracker(this, machine);
-    heardMs = -ELECT_MOST_MS;
+    commitTracker = new CommitTracker(this, stateMachine);
+    heardMs = -MAX_ELECTION_TIMEOUT_MS;
     LogEvent.LEDGER_OPENED.info(
         "group "
             + group
             + " identity "
-            + archive.identity
+            + storage.identity
             + " term "
-            + archive.term
+            + storage.term
             + " last "
             + log.lastIndex()
             + " voters "
@@ -75,14 +76,14 @@
 
   /** Names a member whose disk was empty. */
   public void name(final String identity) {
-    archive.saveIdentity(identity, () -> {});
+    storage.saveIdentity(identity, () -> {});
   }
 
   /** The first voters; has no effect on a log that has some. */
   public void found(final List<String> firstVoters) {
     if (voters().isEmpty() && log.lastIndex() == 0) {
       log.reset(0, 0, firstVoters);
-      archive.rewrite(0, machine.snapshot(), () -> {});
+      storage.rewrite(0, stateMachine.snapshot(), () -> {});
       restartClock();
     }
   }
@@ -96,7 +97,7 @@
   }
 
   public String identity() {
-    return archive.identity;
+    return storage.identity;
   }
 
   /** A short name for an identity, from what was drawn at the start: it travels in every letter. */
@@ -118,16 +119,16 @@
   }
 
   public long commit() {
-    return course.commit();
+    return commitTracker.commit();
   }
 
   public long applied() {
-    return course.applied();
+    return commitTracker.applied();
   }
 
   /** True when this member leads and has applied all that was committed before its term. */
   public boolean leads() {
-    return role == Role.LEADS && course.applied() >= leading.firstIndex() && !stopped;
+    return role == Role.LEADS && commitTracker.applied() >= leaderState.firstIndex() && !stopped;
   }
 
   boolean stopped() {
@@ -143,18 +144,18 @@
    * first.
    */
   public boolean propose(final byte[] data, final Consumer<Boolean> done) {
-    if (!leads() || leading.electorate.handing()) {
+    if (!leads() || leaderState.reconfiguration.handing()) {
       return false;
     }
-    final long index = leading.append(LogEntry.DATA, data);
-    course.await(index, archive.term, done);
+    final long index = leaderState.append(LogEntry.DATA, data);
+    commitTracker.await(index, storage.term, done);
     return true;
   }
 
   /** Asks a majority whether this member still leads; true comes only after that. */
   public void confirm(final Consumer<Boolean> done) {
     if (leads()) {
-      leading.confirm(done);
+      leaderState.confirm(done);
     } else {
       done.accept(false);
     }
@@ -162,34 +163,34 @@
 
   /** How far entries are synced, committed and applied here. */
   public CommitTracker course() {
-    return course;
+    return commitTracker;
   }
 
   /** Who votes, decided by the leader. */
   public VoterReconfiguration electorate() {
-    return leading.electorate;
+    return leaderState.reconfiguration;
   }
 
   /** This member's own side of its membership. */
   public GroupMembership membership() {
-    return membership;
+    return groupMembership;
   }
 
   /** Takes the group's letters from the post. */
   public void listen() {
-    new MessageRouter(this, following, leading, election).listen();
+    new MessageRouter(this, followerState, leaderState, election).listen();
   }
 
   <T extends RaftMessages.RaftMessage> T addressed(final T letter, final String to) {
     letter.group = group;
-    letter.from = archive.identity;
+    letter.from = storage.identity;
     letter.to = to == null ? 0 : RaftMessages.shortened(to);
-    letter.term = archive.term;
+    letter.term = storage.term;
     return letter;
   }
 
-  void sendTo(final String identity, final RaftMessages.RaftMessage letter) {
-    introductions.send(post.dial(address(identity)), addressed(letter, identity));
+  void sendTo(final String identity, final RaftMessages.RaftMessage message) {
+    handshakes.send(transport.dial(address(identity)), addressed(message, identity));
   }
 
   void restartClock() {
@@ -198,23 +199,24 @@
 
   /** Heard of no leader for a while: none is in reach, or this member is no longer told. */
   public boolean leaderless() {
-    return leaderIdentity == null && pulse.nowMs() - heardMs > ASK_AROUND_MS;
+    return leaderIdentity == null && context.nowMs() - heardMs > LEADER_SEARCH_AFTER_MS;
   }
 
   boolean heardLately() {
-    return role == Role.LEADS || leaderIdentity != null && pulse.nowMs() - heardMs < ELECT_LEAST_MS;
+    return role == Role.LEADS
+        || leaderIdentity != null && context.nowMs() - heardMs < MIN_ELECTION_TIMEOUT_MS;
   }
 
-  void heardOn(final PeerConnection link) {
-    leaderLink = link;
+  void heardOn(final PeerConnection connection) {
+    leaderConnection = connection;
   }
 
-  void closed(final PeerConnection link) {
-    introductions.closed(link);
-    relay.closed(link);
-    if (link == leaderLink && role == Role.FOLLOWS && !stopped) {
-      leaderLink = null;
-      heardMs = pulse.nowMs() - ELECT_LEAST_MS;
+  void closed(final PeerConnection connection) {
+    handshakes.closed(connection);
+    relay.closed(connection);
+    if (connection == leaderConnection && role == Role.FOLLOWS && !stopped) {
+      leaderConnection = null;
+      heardMs = context.nowMs() - MIN_ELECTION_TIMEOUT_MS;
       election.leaderLinkBroke();
     }
   }
@@ -225,14 +227,14 @@
 
   void lead() {
     role = Role.LEADS;
-    leaderIdentity = archive.identity;
-    leading.begin();
+    leaderIdentity = storage.identity;
+    leaderState.begin();
   }
 
   /** A later term was seen: whatever this member was, it follows now. */
   void seen(final long newTerm) {
-    if (newTerm > archive.term) {
-      archive.saveVote(newTerm, "", () -> {});
+    if (newTerm > storage.term) {
+      storage.saveVote(newTerm, "", () -> {});
       follow(null);
     }
   }
@@ -243,27 +245,27 @@
     if (led) {
       // Whoever is told no here must not find a leader any more: it would propose in a term that is
       // another's.
-      LogEvent.LEADER_LOST.info("group " + group + " term " + archive.term);
-      leading.end();
+      LogEvent.LEADER_LOST.info("group " + group + " term " + storage.term);
+      leaderState.end();
     }
     election.over();
     if (newLeader == null && leaderIdentity != null) {
       leaderIdentity = null;
-      course.dropProposals();
-      machine.leader(null, false);
+      commitTracker.dropProposals();
+      stateMachine.leader(null, false);
     } else if (newLeader != null) {
-      heardMs = pulse.nowMs();
+      heardMs = context.nowMs();
       restartClock();
       if (!newLeader.equals(leaderIdentity)) {
         leaderIdentity = newLeader;
-        course.dropProposals();
-        machine.leader(newLeader, false);
-        membership.leaderFound();
+        commitTracker.dropProposals();
+        stateMachine.leader(newLeader, false);
+        groupMembership.leaderFound();
       }
     }
   }
 
   void announceLeading() {
-    machine.leader(archive.identity, true);
+    stateMachine.leader(storage.identity, true);
   }
 }
--- a/src/main/java/yewjunction/raft/RaftStorage.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -14,7 +14,7 @@
   private static final int ENTRY = 3;
   private static final int CUT = 4;
   private static final int IMAGE = 5;
-  private final AppendOnlyFile shelf;
+  private final AppendOnlyFile file;
 
   long term;
   String votedFor = "";
@@ -29,9 +29,9 @@
   private long stateIndex;
   final RaftLog log = new RaftLog();
 
-  RaftStorage(final AppendOnlyFile shelf) {
-    this.shelf = shelf;
-    for (final LogRecord.Content piece : shelf.open()) {
+  RaftStorage(final AppendOnlyFile file) {
+    this.file = file;
+    for (final LogRecord.Content piece : file.open()) {
       replay(piece.kind(), ByteBuffer.wrap(piece.body()));
     }
   }
@@ -96,7 +96,7 @@
 
   void saveIdentity(final String newIdentity, final Runnable synced) {
     identity = newIdentity;
-    shelf.append(IDENTITY, identity.getBytes(UTF_8), synced);
+    file.append(IDENTITY, identity.getBytes(UTF_8), synced);
   }
 
   void saveVote(final long newTerm, final String newVote, final Runnable synced) {
@@ -107,7 +107,7 @@
     }
     term = newTerm;
     votedFor = newVote;
-    shelf.append(VOTE, voteBody(), synced);
+    file.append(VOTE, voteBody(), synced);
   }
 
   private byte[] voteBody() {
@@ -127,17 +127,17 @@
   void append(final List<LogEntry> entries, final Runnable synced) {
     for (int i = 0; i < entries.size(); i++) {
       log.append(entries.get(i));
-      shelf.append(ENTRY, entryBody(entries.get(i)), i == entries.size() - 1 ? synced : () -> {});
+      file.append(ENTRY, entryBody(entries.get(i)), i == entries.size() - 1 ? synced : () -> {});
     }
   }
 
   void cutFrom(final long index) {
     log.cutFrom(index);
-    shelf.append(CUT, ByteBuffer.allocate(8).putLong(index).array(), () -> {});
+    file.append(CUT, ByteBuffer.allocate(8).putLong(index).array(), () -> {});
   }
 
   long bytes() {
-    return shelf.length();
+    return file.length();
   }
 
   /** Puts a snapshot and the log behind it in the place of the whole file. */
@@ -160,7 +160,7 @@
     for (long at = log.baseIndex() + 1; at <= log.lastIndex(); at++) {
       content.add(new LogRecord.Content(ENTRY, entryBody(log.get(at))));
     }
-    shelf.rewrite(content, synced);
+    file.rewrite(content, synced);
   }
 
   /** Takes over a snapshot from the leader: nothing of the own log stays. */
--- a/src/main/java/yewjunction/raft/ReadIndexRequests.java
+++ b/src/main/java/yewjunction/raft/ReadIndexRequests.java
@@ -10,14 +10,14 @@
  * appends.
  */
 final class ReadIndexRequests {
-  private final RaftNode ledger;
+  private final RaftNode raftNode;
   private final List<PendingRead> questions = new ArrayList<>();
   private long newest;
 
   private record PendingRead(long round, Consumer<Boolean> done) {}
 
-  ReadIndexRequests(final RaftNode ledger) {
-    this.ledger = ledger;
+  ReadIndexRequests(final RaftNode raftNode) {
+    this.raftNode = raftNode;
   }
 
   long newest() {
@@ -33,15 +33,17 @@
   }
 
   /** Answers what a majority has answered by now. */
-  void look(final LeaderState leading) {
+  void look(final LeaderState leaderState) {
     if (questions.isEmpty()) {
       return;
     }
-    final List<String> voters = ledger.voters();
+    final List<String> voters = raftNode.voters();
     final long[] rounds = new long[voters.size()];
     for (int i = 0; i < rounds.length; i++) {
       rounds[i] =
-          voters.get(i).equals(ledger.identity()) ? newest : leading.standing(voters.get(i)).round;
+          voters.get(i).equals(raftNode.identity())
+              ? newest
+              : leaderState.standing(voters.get(i)).round;
     }
     Arrays.sort(rounds);
     final long majority = rounds[(rounds.length - 1) / 2];
--- a/src/main/java/yewjunction/raft/SnapshotTransfer.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -1,14 +1,14 @@
 package yewjunction.raft;
 
-import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
-import static yewjunction.common.ControlLimits.CATCH_UP_ENTRIES;
-import static yewjunction.common.ControlLimits.IMAGES_MOST;
-import static yewjunction.common.ControlLimits.IMAGE_ASK_MS;
-import static yewjunction.common.ControlLimits.IMAGE_GONE_MS;
-import static yewjunction.common.ControlLimits.IMAGE_LEAD_MS;
-import static yewjunction.common.ControlLimits.IMAGE_MOST_BYTES;
-import static yewjunction.common.Limits.IMAGE_PIECE_BYTES;
-import static yewjunction.common.Limits.LINK_SILENCE_MS;
+import static yewjunction.limits.StorageLimits.MAX_CATCH_UP_TAIL_BYTES;
+import static yewjunction.limits.StorageLimits.MAX_CATCH_UP_TAIL_ENTRIES;
+import static yewjunction.limits.StorageLimits.MAX_CONCURRENT_SNAPSHOTS;
+import static yewjunction.limits.StorageLimits.MAX_SNAPSHOT_BYTES;
+import static yewjunction.limits.StorageLimits.MAX_SNAPSHOT_CHUNK_BYTES;
+import static yewjunction.limits.StorageLimits.MAX_SNAPSHOT_LEADERSHIP_MS;
+import static yewjunction.limits.StorageLimits.SNAPSHOT_PROBE_INTERVAL_MS;
+import static yewjunction.limits.StorageLimits.SNAPSHOT_RECEIVER_TIMEOUT_MS;
+import static yewjunction.limits.TransportLimits.CONNECTION_TIMEOUT_MS;
 
 import java.util.Arrays;
 import java.util.Comparator;
@@ -24,11 +24,11 @@
  * for long, or the leadership ends.
  */
 final class SnapshotTransfer {
-  private final RaftNode ledger;
-  private final LeaderState leading;
-  private final Map<String, OutgoingSnapshot> sendings = new HashMap<>();
+  private final RaftNode raftNode;
+  private final LeaderState leaderState;
+  private final Map<String, OutgoingSnapshot> transfers = new HashMap<>();
   private long snapshots;
-  private IncomingSnapshot receiving;
+  private IncomingSnapshot incoming;
 
   /**
    * A snapshot, shared by all that receive it. Its number never returns in this life, nor its term
@@ -41,7 +41,7 @@
   private static final class OutgoingSnapshot {
     final Snapshot snapshot;
     int offset;
-    final AdaptiveChunkSize pace = new AdaptiveChunkSize(IMAGE_PIECE_BYTES);
+    final AdaptiveChunkSize chunkSize = new AdaptiveChunkSize(MAX_SNAPSHOT_CHUNK_BYTES);
 
     /** Counts letters; and which of them was the last that carried a piece. */
     int attempt;
@@ -65,26 +65,26 @@
     final byte[] state;
     int held;
 
-    IncomingSnapshot(final InstallSnapshotRequest image) {
-      from = image.from;
-      term = image.term;
-      number = image.number;
-      lastIndex = image.lastIndex;
-      state = new byte[image.length];
+    IncomingSnapshot(final InstallSnapshotRequest request) {
+      from = request.from;
+      term = request.term;
+      number = request.number;
+      lastIndex = request.lastIndex;
+      state = new byte[request.length];
     }
   }
 
-  SnapshotTransfer(final RaftNode ledger, final LeaderState leading) {
-    this.ledger = ledger;
-    this.leading = leading;
+  SnapshotTransfer(final RaftNode raftNode, final LeaderState leaderState) {
+    this.raftNode = raftNode;
+    this.leaderState = leaderState;
   }
 
   void drop() {
-    sendings.clear();
+    transfers.clear();
   }
 
   boolean sends(final String identity) {
-    return sendings.containsKey(identity);
+    return transfers.containsKey(identity);
   }
 
   /**
@@ -92,15 +92,15 @@
    * again.
    */
   void send(final String identity, final long nowMs) {
-    OutgoingSnapshot sending = sendings.get(identity);
-    if (sending == null) {
-      sending = new OutgoingSnapshot(snapshot(), nowMs);
-      sendings.put(identity, sending);
-    } else if (nowMs - sending.sentMs < IMAGE_ASK_MS) {
+    OutgoingSnapshot transfer = transfers.get(identity);
+    if (transfer == null) {
+      transfer = new OutgoingSnapshot(snapshot(), nowMs);
+      transfers.put(identity, transfer);
+    } else if (nowMs - transfer.sentMs < SNAPSHOT_PROBE_INTERVAL_MS) {
       return;
     }
     // What is held is asked for first: a piece that is late would only be doubled on a slow link.
-    letter(identity, sending, sending.offset, nowMs);
+    letter(identity, transfer, transfer.offset, nowMs);
   }
 
   /**
@@ -108,17 +108,18 @@
    * here.
    */
   boolean hold(final long nowMs) {
-    return sendings.entrySet().stream()
+    return transfers.entrySet().stream()
         .anyMatch(
             one -> {
-              final OutgoingSnapshot sending = one.getValue();
-              final PeerProgress standing = leading.standings.get(one.getKey());
+              final OutgoingSnapshot transfer = one.getValue();
+              final PeerProgress progress = leaderState.progressByMember.get(one.getKey());
               // What is there in full needs this leader no more, and a receiver may be gone while a
               // broken link shows.
-              return standing != null
-                  && sending.offset < sending.snapshot.state.length
-                  && nowMs - sending.beganMs < IMAGE_LEAD_MS
-                  && nowMs - standing.heardMs < LINK_SILENCE_MS + 2 * IMAGE_ASK_MS;
+              return progress != null
+                  && transfer.offset < transfer.snapshot.state.length
+                  && nowMs - transfer.beganMs < MAX_SNAPSHOT_LEADERSHIP_MS
+                  && nowMs - progress.heardMs
+                      < CONNECTION_TIMEOUT_MS + 2 * SNAPSHOT_PROBE_INTERVAL_MS;
             });
   }
 
@@ -128,78 +129,81 @@
    */
   private Snapshot snapshot() {
     final List<Snapshot> under =
-        sendings.values().stream()
-            .map(sending -> sending.snapshot)
+        transfers.values().stream()
+            .map(transfer -> transfer.snapshot)
             .distinct()
             .sorted(Comparator.comparingLong(Snapshot::number).reversed())
             .toList();
-    final long applied = ledger.applied();
+    final long applied = raftNode.applied();
     if (!under.isEmpty()
-        && (under.size() >= IMAGES_MOST
-            || ledger.log.reachBack(applied, CATCH_UP_ENTRIES / 2, CATCH_UP_BYTES / 2)
+        && (under.size() >= MAX_CONCURRENT_SNAPSHOTS
+            || raftNode.log.reachBack(
+                    applied, MAX_CATCH_UP_TAIL_ENTRIES / 2, MAX_CATCH_UP_TAIL_BYTES / 2)
                 <= under.get(0).lastIndex)) {
       return under.get(0);
     }
     return new Snapshot(
         ++snapshots,
         applied,
-        ledger.log.termAt(applied),
-        ledger.log.votersAt(applied),
-        ledger.course.image());
+        raftNode.log.termAt(applied),
+        raftNode.log.votersAt(applied),
+        raftNode.commitTracker.image());
   }
 
   private void letter(
       final String identity,
-      final OutgoingSnapshot sending,
+      final OutgoingSnapshot transfer,
       final int endOffset,
       final long nowMs) {
-    sending.sentMs = nowMs;
-    sending.attempt++;
-    final Snapshot snapshot = sending.snapshot;
-    final InstallSnapshotRequest image = new InstallSnapshotRequest();
-    image.lastIndex = snapshot.lastIndex;
-    image.lastTerm = snapshot.lastTerm;
-    image.voters = snapshot.voters;
-    image.offset = sending.offset;
-    image.length = snapshot.state.length;
-    image.piece = Arrays.copyOfRange(snapshot.state, sending.offset, endOffset);
-    image.number = snapshot.number;
-    image.attempt = sending.attempt;
-    ledger.sendTo(identity, image);
+    transfer.sentMs = nowMs;
+    transfer.attempt++;
+    final Snapshot snapshot = transfer.snapshot;
+    final InstallSnapshotRequest request = new InstallSnapshotRequest();
+    request.lastIndex = snapshot.lastIndex;
+    request.lastTerm = snapshot.lastTerm;
+    request.voters = snapshot.voters;
+    request.offset = transfer.offset;
+    request.length = snapshot.state.length;
+    request.piece = Arrays.copyOfRange(snapshot.state, transfer.offset, endOffset);
+    request.number = snapshot.number;
+    request.attempt = transfer.attempt;
+    raftNode.sendTo(identity, request);
   }
 
-  void answered(final InstallSnapshotResponse answer) {
-    ledger.seen(answer.term);
-    final PeerProgress standing = leading.standings.get(answer.from);
-    final OutgoingSnapshot sending = sendings.get(answer.from);
-    if (!ledger.leadsTerm()
-        || answer.term != ledger.archive.term
-        || standing == null
-        || sending == null
-        || sending.snapshot.number != answer.number
-        || answer.held < 0
-        || answer.held > sending.snapshot.state.length) {
+  void answered(final InstallSnapshotResponse response) {
+    raftNode.seen(response.term);
+    final PeerProgress progress = leaderState.progressByMember.get(response.from);
+    final OutgoingSnapshot transfer = transfers.get(response.from);
+    if (!raftNode.leadsTerm()
+        || response.term != raftNode.storage.term
+        || progress == null
+        || transfer == null
+        || transfer.snapshot.number != response.number
+        || response.held < 0
+        || response.held > transfer.snapshot.state.length) {
       return;
     }
-    final long nowMs = ledger.pulse.nowMs();
-    standing.heardMs = nowMs;
+    final long nowMs = raftNode.context.nowMs();
+    progress.heardMs = nowMs;
     // Letters keep their order: an answer to one before the last piece does not say whether that
     // piece came.
-    if (answer.held <= sending.offset && answer.attempt < sending.pieceAttempt) {
+    if (response.held <= transfer.offset && response.attempt < transfer.pieceAttempt) {
       return;
     }
-    if (answer.attempt == sending.attempt) {
-      sending.pace.took(nowMs - sending.sentMs);
+    if (response.attempt == transfer.attempt) {
+      transfer.chunkSize.took(nowMs - transfer.sentMs);
     }
-    sending.offset = answer.held;
-    if (answer.held < sending.snapshot.state.length) {
+    transfer.offset = response.held;
+    if (response.held < transfer.snapshot.state.length) {
       letter(
-          answer.from,
-          sending,
+          response.from,
+          transfer,
           (int)
-              Math.min((long) sending.offset + sending.pace.bytes(), sending.snapshot.state.length),
+              Math.min(
+                  (long) transfer.offset + transfer.chunkSize.bytes(),
+                  transfer.snapshot.state.length),
           nowMs);
-      sending.pieceAttempt = sending.attempt;
+      transfer.pieceAttempt = transfer.attempt;
     }
     // The rest is the ledger's: the peer answers once it has the whole on disk, and is asked until
     // then.
@@ -210,16 +214,16 @@
    * begins before its end.
    */
   void tidy(final long nowMs) {
-    sendings
+    transfers
         .entrySet()
         .removeIf(
             one -> {
-              final PeerProgress standing = leading.standings.get(one.getKey());
+              final PeerProgress progress = leaderState.progressByMember.get(one.getKey());
               final long lastIndex = one.getValue().snapshot.lastIndex;
-              return standing == null
-                  || standing.match >= lastIndex
-                  || nowMs - standing.heardMs > IMAGE_GONE_MS
-                  || lastIndex < ledger.log.baseIndex();
+              return progress == null
+                  || progress.match >= lastIndex
+                  || nowMs - progress.heardMs > SNAPSHOT_RECEIVER_TIMEOUT_MS
+                  || lastIndex < raftNode.log.baseIndex();
             });
   }
 
@@ -229,13 +233,13 @@
    */
   long unneeded(final long nowMs) {
     long unneeded = Long.MAX_VALUE;
-    if (ledger.leadsTerm()) {
-      for (final Map.Entry<String, PeerProgress> one : leading.standings.entrySet()) {
-        final OutgoingSnapshot sending = sendings.get(one.getKey());
-        final long held = sending == null ? one.getValue().match : sending.snapshot.lastIndex;
-        if (!one.getKey().equals(ledger.identity())
-            && held >= ledger.log.baseIndex()
-            && nowMs - one.getValue().heardMs <= IMAGE_GONE_MS) {
+    if (raftNode.leadsTerm()) {
+      for (final Map.Entry<String, PeerProgress> one : leaderState.progressByMember.entrySet()) {
+        final OutgoingSnapshot transfer = transfers.get(one.getKey());
+        final long held = transfer == null ? one.getValue().match : transfer.snapshot.lastIndex;
+        if (!one.getKey().equals(raftNode.identity())
+            && held >= raftNode.log.baseIndex()
+            && nowMs - one.getValue().heardMs <= SNAPSHOT_RECEIVER_TIMEOUT_MS) {
           unneeded = Math.min(unneeded, held);
         }
       }
@@ -244,43 +248,43 @@
   }
 
   /** Takes a piece; the whole state once the last one is there, else null. */
-  byte[] taken(final InstallSnapshotRequest image) {
+  byte[] taken(final InstallSnapshotRequest request) {
     final boolean sameLeader =
-        receiving != null && receiving.from.equals(image.from) && receiving.term == image.term;
+        incoming != null && incoming.from.equals(request.from) && incoming.term == request.term;
     // A late letter of one that its sender gave up, or nothing that a ledger could hold.
-    if (sameLeader && image.number < receiving.number
-        || image.length < 0
-        || image.length > IMAGE_MOST_BYTES) {
+    if (sameLeader && request.number < incoming.number
+        || request.length < 0
+        || request.length > MAX_SNAPSHOT_BYTES) {
       return null;
     }
-    if (!sameLeader || image.number > receiving.number) {
-      receiving = new IncomingSnapshot(image);
+    if (!sameLeader || request.number > incoming.number) {
+      incoming = new IncomingSnapshot(request);
     }
     // One that was lost with a link leaves a gap: the answer names what is missing.
-    if (image.offset == receiving.held
-        && image.piece.length <= receiving.state.length - receiving.held) {
-      System.arraycopy(image.piece, 0, receiving.state, receiving.held, image.piece.length);
-      receiving.held += image.piece.length;
+    if (request.offset == incoming.held
+        && request.piece.length <= incoming.state.length - incoming.held) {
+      System.arraycopy(request.piece, 0, incoming.state, incoming.held, request.piece.length);
+      incoming.held += request.piece.length;
     }
-    final InstallSnapshotResponse answer =
-        ledger.addressed(new InstallSnapshotResponse(), image.from);
-    answer.lastIndex = image.lastIndex;
-    answer.held = receiving.held;
-    answer.number = image.number;
-    answer.attempt = image.attempt;
-    ledger.sendTo(image.from, answer);
-    if (receiving.held < receiving.state.length) {
+    final InstallSnapshotResponse response =
+        raftNode.addressed(new InstallSnapshotResponse(), request.from);
+    response.lastIndex = request.lastIndex;
+    response.held = incoming.held;
+    response.number = request.number;
+    response.attempt = request.attempt;
+    raftNode.sendTo(request.from, response);
+    if (incoming.held < incoming.state.length) {
       return null;
     }
-    final byte[] state = receiving.state;
-    receiving = null;
+    final byte[] state = incoming.state;
+    incoming = null;
     return state;
   }
 
   /** All up to there is committed here: a snapshot that ends before it is no longer of use. */
   void committed(final long commit) {
-    if (receiving != null && receiving.lastIndex <= commit) {
-      receiving = null;
+    if (incoming != null && incoming.lastIndex <= commit) {
+      incoming = null;
     }
   }
 }
--- a/src/main/java/yewjunction/raft/StorageInspection.java
+++ b/src/main/java/yewjunction/raft/StorageInspection.java
@@ -21,8 +21,8 @@
           found.add(
               new StorageInspection(
                   file.toString(), bytes.length, reading.goodBytes(), reading.damaged()));
-        } catch (final IOException defect) {
-          throw new UncheckedIOException(defect);
+        } catch (final IOException failure) {
+          throw new UncheckedIOException(failure);
         }
       }
     }
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -1,13 +1,13 @@
 package yewjunction.raft;
 
-import static yewjunction.common.ControlLimits.LEAVE_SAID_MS;
-import static yewjunction.common.Limits.APPEND_AGAIN_MS;
-import static yewjunction.common.Limits.BEAT_MS;
-import static yewjunction.common.Limits.CAUGHT_UP_ENTRIES;
-import static yewjunction.common.Limits.ELECT_MOST_MS;
-import static yewjunction.common.Limits.HAND_OVER_MS;
-import static yewjunction.common.Limits.RELAY_ENTRIES;
-import static yewjunction.common.Limits.VOTER_SILENT_MS;
+import static yewjunction.limits.RaftLimits.APPEND_RETRY_MS;
+import static yewjunction.limits.RaftLimits.CAUGHT_UP_ENTRIES;
+import static yewjunction.limits.RaftLimits.HEARTBEAT_INTERVAL_MS;
+import static yewjunction.limits.RaftLimits.LEADER_TRANSFER_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.LEAVE_NOTICE_VALID_MS;
+import static yewjunction.limits.RaftLimits.MAX_ELECTION_TIMEOUT_MS;
+import static yewjunction.limits.RaftLimits.MAX_RELAYED_LAG_ENTRIES;
+import static yewjunction.limits.RaftLimits.VOTER_SILENCE_TIMEOUT_MS;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -21,15 +21,15 @@
  * stops.
  */
 public final class VoterReconfiguration {
-  private final RaftNode ledger;
-  private final LeaderState leading;
+  private final RaftNode raftNode;
+  private final LeaderState leaderState;
   private boolean handing;
   private boolean handed;
   private VoterPlacement seating = VoterPlacement.OPEN;
 
-  VoterReconfiguration(final RaftNode ledger, final LeaderState leading) {
-    this.ledger = ledger;
-    this.leading = leading;
+  VoterReconfiguration(final RaftNode raftNode, final LeaderState leaderState) {
+    this.raftNode = raftNode;
+    this.leaderState = leaderState;
   }
 
   public void seat(final VoterPlacement chosenSeating) {
@@ -47,20 +47,20 @@
 
   /** Whether a member is within a few entries of this leader's end. */
   public boolean nearEnd(final String identity) {
-    final PeerProgress standing = leading.standings.get(identity);
-    return standing != null && standing.match + CAUGHT_UP_ENTRIES >= ledger.log.lastIndex();
+    final PeerProgress progress = leaderState.progressByMember.get(identity);
+    return progress != null && progress.match + CAUGHT_UP_ENTRIES >= raftNode.log.lastIndex();
   }
 
   /** Whether a change of the voters is under way: what it decides may still not come to be. */
   public boolean changing() {
-    return ledger.log.lastVotersIndex() > ledger.commit();
+    return raftNode.log.lastVotersIndex() > raftNode.commit();
   }
 
   public void change(final List<String> newVoters) {
     // One change at a time, and only by a leader that has committed in its own term.
-    if (ledger.leads() && !changing() && !newVoters.equals(ledger.voters())) {
-      newVoters.forEach(leading::standing);
-      leading.append(LogEntry.VOTERS, RaftStorage.votersData(newVoters));
+    if (raftNode.leads() && !changing() && !newVoters.equals(raftNode.voters())) {
+      newVoters.forEach(leaderState::standing);
+      leaderState.append(LogEntry.VOTERS, RaftStorage.votersData(newVoters));
     }
   }
 
@@ -71,22 +71,23 @@
    * does better, and goes last: whoever was only away counts until then.
    */
   void settle() {
-    if (!ledger.leads() || handing || changing()) {
+    if (!raftNode.leads() || handing || changing()) {
       return;
     }
-    final List<String> voters = ledger.voters();
-    final long nowMs = ledger.pulse.nowMs();
-    leading
-        .standings
+    final List<String> voters = raftNode.voters();
+    final long nowMs = raftNode.context.nowMs();
+    leaderState
+        .progressByMember
         .entrySet()
         .removeIf(
             one ->
                 !voters.contains(one.getKey())
-                    && nowMs - one.getValue().heardMs > 20 * ELECT_MOST_MS);
-    leading.standings.forEach((identity, standing) -> standing.keepUp(ledger.commit(), nowMs));
+                    && nowMs - one.getValue().heardMs > 20 * MAX_ELECTION_TIMEOUT_MS);
+    leaderState.progressByMember.forEach(
+        (identity, progress) -> progress.keepUp(raftNode.commit(), nowMs));
     final List<String> newVoters = new ArrayList<>(voters);
     final String surplus = surplus(voters, nowMs);
-    if (ledger.identity().equals(surplus)) {
+    if (raftNode.identity().equals(surplus)) {
       // A leader that is to go hands over before.
       handOver(() -> {});
       return;
@@ -108,16 +109,16 @@
   }
 
   private boolean answers(final String voter, final long nowMs) {
-    return voter.equals(ledger.identity())
-        || nearEnd(voter) && nowMs - leading.standing(voter).heardMs <= APPEND_AGAIN_MS;
+    return voter.equals(raftNode.identity())
+        || nearEnd(voter) && nowMs - leaderState.standing(voter).heardMs <= APPEND_RETRY_MS;
   }
 
   /** A voter that does not do what it sits there for. */
   private boolean weak(final String voter, final long nowMs) {
-    final PeerProgress standing = leading.standing(voter);
+    final PeerProgress progress = leaderState.standing(voter);
     return leaves(voter)
-        || !voter.equals(ledger.identity())
-            && (nowMs - standing.heardMs > VOTER_SILENT_MS || standing.lags(nowMs));
+        || !voter.equals(raftNode.identity())
+            && (nowMs - progress.heardMs > VOTER_SILENCE_TIMEOUT_MS || progress.lags(nowMs));
   }
 
   /** The voter that goes since its successor has come; null when none has to. */
@@ -133,19 +134,19 @@
         .or(
             () ->
                 voters.stream()
-                    .filter(voter -> !voter.equals(ledger.identity()))
+                    .filter(voter -> !voter.equals(raftNode.identity()))
                     .reduce((one, other) -> other))
         .orElse(null);
   }
 
   /** Its machine is to be emptied, or its process said a moment ago that it ends. */
   private boolean leaves(final String identity) {
-    final PeerProgress standing = leading.standings.get(identity);
+    final PeerProgress progress = leaderState.progressByMember.get(identity);
     return seating.leaving().get().contains(RaftNode.address(identity))
-        || identity.equals(ledger.identity()) && ledger.membership.leaving()
-        || standing != null
-            && standing.leavesMs > 0
-            && ledger.pulse.nowMs() - standing.leavesMs < LEAVE_SAID_MS;
+        || identity.equals(raftNode.identity()) && raftNode.groupMembership.leaving()
+        || progress != null
+            && progress.leavesMs > 0
+            && raftNode.context.nowMs() - progress.leavesMs < LEAVE_NOTICE_VALID_MS;
   }
 
   int seats() {
@@ -157,7 +158,7 @@
    * fewest voters.
    */
   private String newcomer(final List<String> voters, final long nowMs) {
-    return leading.standings.entrySet().stream()
+    return leaderState.progressByMember.entrySet().stream()
         // Only one that answers right now: an identity whose disk is gone again stays out.
         .filter(
             one ->
@@ -165,7 +166,7 @@
                     && !voters.contains(one.getKey())
                     && nearEnd(one.getKey())
                     && !one.getValue().lags(nowMs)
-                    && nowMs - one.getValue().heardMs <= APPEND_AGAIN_MS
+                    && nowMs - one.getValue().heardMs <= APPEND_RETRY_MS
                     && !leaves(one.getKey()))
         .map(Map.Entry::getKey)
         .min(
@@ -179,24 +180,24 @@
    * leader serves itself.
    */
   void relays(final long nowMs) {
-    final List<String> voters = ledger.voters();
+    final List<String> voters = raftNode.voters();
     // While a seat is to be filled, candidates are brought to the very end.
     final boolean seated =
         voters.stream().filter(voter -> !leaves(voter)).count() >= seating.seats()
             && voters.stream()
                 .allMatch(
                     voter ->
-                        voter.equals(ledger.identity())
-                            || nowMs - leading.standing(voter).heardMs < APPEND_AGAIN_MS
-                                && !leading.standing(voter).lags(nowMs));
-    leading.standings.forEach(
-        (identity, standing) ->
-            standing.relay =
+                        voter.equals(raftNode.identity())
+                            || nowMs - leaderState.standing(voter).heardMs < APPEND_RETRY_MS
+                                && !leaderState.standing(voter).lags(nowMs));
+    leaderState.progressByMember.forEach(
+        (identity, progress) ->
+            progress.relay =
                 seated
                         && !voters.contains(identity)
-                        && standing.match + RELAY_ENTRIES >= ledger.commit()
-                        && ledger.log.termAt(standing.match) >= 0
-                        && !standing.lags(nowMs)
+                        && progress.match + MAX_RELAYED_LAG_ENTRIES >= raftNode.commit()
+                        && raftNode.log.termAt(progress.match) >= 0
+                        && !progress.lags(nowMs)
                     ? relay(RaftNode.address(identity), voters, nowMs)
                     : null);
   }
@@ -211,10 +212,10 @@
     if (near.isEmpty()) {
       // No voter there: the first of the others that answers is served from here and serves the
       // rest.
-      leading.standings.forEach(
-          (one, standing) -> {
+      leaderState.progressByMember.forEach(
+          (one, progress) -> {
             if (seating.zoneOf().apply(RaftNode.address(one)).equals(zone)
-                && nowMs - standing.heardMs < 2 * APPEND_AGAIN_MS) {
+                && nowMs - progress.heardMs < 2 * APPEND_RETRY_MS) {
               near.add(one);
             }
           });
@@ -236,36 +237,36 @@
   }
 
   public void handOver(final Runnable done) {
-    if (!ledger.leadsTerm() || ledger.voters().size() == 1) {
+    if (!raftNode.leadsTerm() || raftNode.voters().size() == 1) {
       done.run();
       return;
     }
     handing = true;
     handed = false;
-    LogEvent.LEADER_HANDED.info("group " + ledger.group);
-    leading.standings.forEach(this::handOn);
-    waitHanded(ledger.pulse.nowMs(), done);
+    LogEvent.LEADER_HANDED.info("group " + raftNode.group);
+    leaderState.progressByMember.forEach(this::handOn);
+    waitHanded(raftNode.context.nowMs(), done);
   }
 
   private void waitHanded(final long startMs, final Runnable done) {
-    if (!ledger.leadsTerm() || ledger.pulse.nowMs() - startMs > HAND_OVER_MS) {
+    if (!raftNode.leadsTerm() || raftNode.context.nowMs() - startMs > LEADER_TRANSFER_TIMEOUT_MS) {
       reset();
       done.run();
     } else {
-      ledger.pulse.after(20, () -> waitHanded(startMs, done));
+      raftNode.context.after(20, () -> waitHanded(startMs, done));
     }
   }
 
   /** The first peer that holds everything is told to stand. */
-  void handOn(final String identity, final PeerProgress standing) {
+  void handOn(final String identity, final PeerProgress progress) {
     if (handing
         && !handed
-        && !identity.equals(ledger.identity())
-        && standing.match == ledger.log.lastIndex()
-        && ledger.voters().contains(identity)
-        && ledger.pulse.nowMs() - standing.heardMs < 3 * BEAT_MS) {
+        && !identity.equals(raftNode.identity())
+        && progress.match == raftNode.log.lastIndex()
+        && raftNode.voters().contains(identity)
+        && raftNode.context.nowMs() - progress.heardMs < 3 * HEARTBEAT_INTERVAL_MS) {
       handed = true;
-      ledger.sendTo(identity, new TimeoutNowRequest());
+      raftNode.sendTo(identity, new TimeoutNowRequest());
     }
   }
 }
--- a/src/main/java/yewjunction/raft/ZoneRelay.java
+++ b/src/main/java/yewjunction/raft/ZoneRelay.java
@@ -1,9 +1,9 @@
 package yewjunction.raft;
 
-import static yewjunction.common.Limits.APPEND_BYTES;
-import static yewjunction.common.Limits.APPEND_ENTRIES;
-import static yewjunction.common.Limits.RELAY_AGAIN_MS;
-import static yewjunction.common.Limits.RELAY_BEAT_MS;
+import static yewjunction.limits.RaftLimits.MAX_APPEND_BYTES;
+import static yewjunction.limits.RaftLimits.MAX_APPEND_ENTRIES;
+import static yewjunction.limits.RaftLimits.RELAYED_HEARTBEAT_INTERVAL_MS;
+import static yewjunction.limits.RaftLimits.RELAY_RETRY_MS;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -19,7 +19,7 @@
  * does not matter who hands it on.
  */
 final class ZoneRelay {
-  private final RaftNode ledger;
+  private final RaftNode raftNode;
 
   /** Who asked for what is not committed here yet: answered the moment it is. */
   private final Map<PeerConnection, FetchRequest> waiting = new LinkedHashMap<>();
@@ -29,48 +29,48 @@
 
   private long askedMs;
 
-  ZoneRelay(final RaftNode ledger) {
-    this.ledger = ledger;
+  ZoneRelay(final RaftNode raftNode) {
+    this.raftNode = raftNode;
   }
 
   /** The leader's word on who serves this member. */
   void source(final String address) {
     final boolean other = address != null && !address.equals(source);
     source = address;
-    if (source != null && (other || ledger.pulse.nowMs() - askedMs > RELAY_AGAIN_MS)) {
+    if (source != null && (other || raftNode.context.nowMs() - askedMs > RELAY_RETRY_MS)) {
       fetch();
     }
   }
 
   private void fetch() {
-    final FetchRequest fetch = ledger.addressed(new FetchRequest(), null);
-    fetch.next = ledger.log.lastIndex() + 1;
-    fetch.lastTerm = ledger.log.lastTerm();
-    askedMs = ledger.pulse.nowMs();
-    ledger.introductions.send(ledger.post.dial(source), fetch);
+    final FetchRequest request = raftNode.addressed(new FetchRequest(), null);
+    request.next = raftNode.log.lastIndex() + 1;
+    request.lastTerm = raftNode.log.lastTerm();
+    askedMs = raftNode.context.nowMs();
+    raftNode.handshakes.send(raftNode.transport.dial(source), request);
   }
 
   /**
    * To a member whose zone has the entries: it only needs to hear who leads, and to say how far it
    * is.
    */
-  void tell(final String identity, final PeerProgress standing, final long round) {
-    final long nowMs = ledger.pulse.nowMs();
-    if (nowMs - standing.relayToldMs >= RELAY_BEAT_MS) {
-      standing.relayToldMs = nowMs;
-      final AppendEntriesRequest append = new AppendEntriesRequest();
-      append.prevIndex = standing.match;
-      append.prevTerm = ledger.log.termAt(standing.match);
-      append.commit = ledger.commit();
-      append.round = round;
-      append.relay = standing.relay;
-      ledger.sendTo(identity, append);
+  void tell(final String identity, final PeerProgress progress, final long round) {
+    final long nowMs = raftNode.context.nowMs();
+    if (nowMs - progress.relayToldMs >= RELAYED_HEARTBEAT_INTERVAL_MS) {
+      progress.relayToldMs = nowMs;
+      final AppendEntriesRequest request = new AppendEntriesRequest();
+      request.prevIndex = progress.match;
+      request.prevTerm = raftNode.log.termAt(progress.match);
+      request.commit = raftNode.commit();
+      request.round = round;
+      request.relay = progress.relay;
+      raftNode.sendTo(identity, request);
     }
   }
 
-  void asked(final PeerConnection link, final FetchRequest fetch) {
-    waiting.put(link, fetch);
-    serve(link, fetch);
+  void asked(final PeerConnection connection, final FetchRequest request) {
+    waiting.put(connection, request);
+    serve(connection, request);
   }
 
   /** More is committed here now. */
@@ -80,45 +80,47 @@
     }
   }
 
-  private void serve(final PeerConnection link, final FetchRequest fetch) {
-    final long commit = ledger.commit();
-    if (fetch.next > commit) {
+  private void serve(final PeerConnection connection, final FetchRequest request) {
+    final long commit = raftNode.commit();
+    if (request.next > commit) {
       return;
     }
-    waiting.remove(link);
+    waiting.remove(connection);
     // Behind this member's snapshot, or with a tail that was never committed: the leader's matter,
     // which sees it lag.
-    if (ledger.log.termAt(fetch.next - 1) != fetch.lastTerm) {
+    if (raftNode.log.termAt(request.next - 1) != request.lastTerm) {
       return;
     }
-    final FetchResponse fetched = ledger.addressed(new FetchResponse(), fetch.from);
-    fetched.prevIndex = fetch.next - 1;
-    fetched.prevTerm = fetch.lastTerm;
-    fetched.entries =
-        ledger.log.slice(
-            fetch.next, (int) Math.min(APPEND_ENTRIES, commit - fetch.next + 1), APPEND_BYTES);
-    ledger.introductions.send(link, fetched);
+    final FetchResponse response = raftNode.addressed(new FetchResponse(), request.from);
+    response.prevIndex = request.next - 1;
+    response.prevTerm = request.lastTerm;
+    response.entries =
+        raftNode.log.slice(
+            request.next,
+            (int) Math.min(MAX_APPEND_ENTRIES, commit - request.next + 1),
+            MAX_APPEND_BYTES);
+    raftNode.handshakes.send(connection, response);
   }
 
-  void taken(final FetchResponse fetched) {
+  void taken(final FetchResponse response) {
     // What is taken may be of a later term than the one heard of: a leader of an earlier one must
     // not cut it again.
-    ledger.seen(fetched.term);
-    if (source == null || ledger.leadsTerm()) {
+    raftNode.seen(response.term);
+    if (source == null || raftNode.leadsTerm()) {
       return;
     }
-    final List<LogEntry> entries = fetched.entries;
+    final List<LogEntry> entries = response.entries;
     // Only right behind the end: what came from elsewhere meanwhile is not touched.
     if (!entries.isEmpty()
-        && fetched.prevIndex == ledger.log.lastIndex()
-        && fetched.prevTerm == ledger.log.lastTerm()) {
-      ledger.course.write(entries);
-      ledger.course.commitTo(entries.get(entries.size() - 1).index);
+        && response.prevIndex == raftNode.log.lastIndex()
+        && response.prevTerm == raftNode.log.lastTerm()) {
+      raftNode.commitTracker.write(entries);
+      raftNode.commitTracker.commitTo(entries.get(entries.size() - 1).index);
     }
     fetch();
   }
 
-  void closed(final PeerConnection link) {
-    waiting.remove(link);
+  void closed(final PeerConnection connection) {
+    waiting.remove(connection);
   }
 }
