--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -1,7 +1,7 @@
 package yewjunction.server;
 
 import static yewjunction.common.ErrorCode.STORAGE_FULL;
-import static yewjunction.common.Limits.DISK_AGAIN_MS;
+import static yewjunction.limits.StorageLimits.DISK_RETRY_INTERVAL_MS;
 
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -17,7 +17,7 @@
  * no lock to order.
  */
 final class BlockingTaskExecutor implements TaskExecutor {
-  private final AgentContext pulse;
+  private final AgentContext context;
   private final IntConsumer ending;
   private final ExecutorService pool =
       Executors.newSingleThreadExecutor(
@@ -28,8 +28,8 @@
           });
 
   /** Ending ends the process with a code, at once. */
-  BlockingTaskExecutor(final AgentContext pulse, final IntConsumer ending) {
-    this.pulse = pulse;
+  BlockingTaskExecutor(final AgentContext context, final IntConsumer ending) {
+    this.context = context;
     this.ending = ending;
   }
 
@@ -39,14 +39,14 @@
         () -> {
           try {
             insist(blocking);
-            pulse.post(afterwards);
-          } catch (final Throwable defect) {
+            context.post(afterwards);
+          } catch (final Throwable failure) {
             // A disk that fails a sync can no longer be trusted: better down than wrong. An error
             // too, as of memory: the
             // pool would go on with another thread, and the owner would wait for this work for
             // ever.
             try {
-              LogEvent.DISK_FAILED.warn(String.valueOf(defect.getMessage()), defect);
+              LogEvent.DISK_FAILED.warn(String.valueOf(failure.getMessage()), failure);
             } finally {
               ending.accept(ExitCode.DISK_FAILED);
             }
@@ -67,15 +67,15 @@
           LogEvent.DISK_TAKES.info("after a while without room");
         }
         return;
-      } catch (final YewjunctionException defect) {
-        if (defect.code() != STORAGE_FULL) {
-          throw defect;
+      } catch (final YewjunctionException failure) {
+        if (failure.code() != STORAGE_FULL) {
+          throw failure;
         }
         if (!told) {
-          LogEvent.DISK_FULL.warn(defect.getMessage());
+          LogEvent.DISK_FULL.warn(failure.getMessage());
           told = true;
         }
-        Thread.sleep(DISK_AGAIN_MS);
+        Thread.sleep(DISK_RETRY_INTERVAL_MS);
       }
     }
   }
--- a/src/main/java/yewjunction/server/HttpEndpoint.java
+++ b/src/main/java/yewjunction/server/HttpEndpoint.java
@@ -1,11 +1,11 @@
 package yewjunction.server;
 
-import static yewjunction.common.ControlLimits.CALL_READ_MOST;
-import static yewjunction.common.ControlLimits.CALL_THREAD_IDLE_MS;
-import static yewjunction.common.ControlLimits.CALL_TRANSFER_S;
-import static yewjunction.common.ControlLimits.READY_THREADS;
-import static yewjunction.common.Limits.CALL_THREADS;
-import static yewjunction.common.Limits.CONFIG_BYTES;
+import static yewjunction.limits.OperatorLimits.CALL_THREAD_IDLE_MS;
+import static yewjunction.limits.OperatorLimits.MAX_CALL_THREADS;
+import static yewjunction.limits.OperatorLimits.MAX_CALL_TRANSFER_S;
+import static yewjunction.limits.OperatorLimits.MAX_CONFIGURATION_BYTES;
+import static yewjunction.limits.OperatorLimits.MAX_DISCARDED_BODY_BYTES;
+import static yewjunction.limits.OperatorLimits.MAX_READINESS_THREADS;
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpHandler;
@@ -40,16 +40,16 @@
       final String address, final HttpHandler handler, final Executor pool) {
     // Read by the server when it is made: else a caller that was cut off half way would keep its
     // thread.
-    System.setProperty("sun.net.httpserver.maxReqTime", String.valueOf(CALL_TRANSFER_S));
-    System.setProperty("sun.net.httpserver.maxRspTime", String.valueOf(CALL_TRANSFER_S));
+    System.setProperty("sun.net.httpserver.maxReqTime", String.valueOf(MAX_CALL_TRANSFER_S));
+    System.setProperty("sun.net.httpserver.maxRspTime", String.valueOf(MAX_CALL_TRANSFER_S));
     try {
       final HttpServer server = HttpServer.create(SocketAddresses.parse(address), 64);
       server.createContext("/", handler);
       server.setExecutor(pool);
       server.start();
       return server;
-    } catch (final IOException defect) {
-      throw new UncheckedIOException("cannot listen on " + address, defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException("cannot listen on " + address, failure);
     }
   }
 
@@ -62,33 +62,33 @@
           final boolean known = exchange.getRequestURI().getPath().equals("/-/readyz");
           answer(exchange, !known ? 404 : ready.getAsBoolean() ? 200 : 503, "");
         },
-        pool("ready", READY_THREADS));
+        pool("ready", MAX_READINESS_THREADS));
   }
 
   /** What the owner of the tables does with a call; it answers once, maybe later. */
   interface Owner {
-    void take(OperatorApi.Request request, Consumer<OperatorApi.Response> answer);
+    void take(OperatorApi.Request request, Consumer<OperatorApi.Response> responder);
   }
 
   /**
    * The operator's calls, each handed to the owner of the tables; a thread is held only while bytes
    * travel.
    */
-  static HttpServer operator(final String address, final AgentContext pulse, final Owner owner) {
-    final Executor pool = pool("call", CALL_THREADS);
+  static HttpServer operator(final String address, final AgentContext context, final Owner owner) {
+    final Executor pool = pool("call", MAX_CALL_THREADS);
     return server(
         address,
         exchange -> {
           final OperatorApi.Request request = read(exchange);
           final CompletableFuture<OperatorApi.Response> promise = new CompletableFuture<>();
-          promise.thenAcceptAsync(answer -> reply(exchange, answer), pool);
-          pulse.post(
+          promise.thenAcceptAsync(response -> reply(exchange, response), pool);
+          context.post(
               () -> {
-                pulse.after(request.patienceMs(), () -> promise.complete(NO_ANSWER));
+                context.after(request.patienceMs(), () -> promise.complete(NO_ANSWER));
                 try {
                   owner.take(request, promise::complete);
-                } catch (final RuntimeException defect) {
-                  LogEvent.TURN_DEFECT.warn("an operator's call", defect);
+                } catch (final RuntimeException failure) {
+                  LogEvent.TURN_DEFECT.warn("an operator's call", failure);
                   promise.complete(NO_ANSWER);
                 }
               });
@@ -97,7 +97,7 @@
   }
 
   /** Reads large bodies on a thread of its own, which shares nothing with the owner. */
-  static TaskExecutor reader(final AgentContext pulse) {
+  static TaskExecutor reader(final AgentContext context) {
     final Executor pool = pool("reader", 1);
     return (blocking, afterwards) ->
         pool.execute(
@@ -105,7 +105,7 @@
               try {
                 blocking.run();
               } finally {
-                pulse.post(afterwards);
+                context.post(afterwards);
               }
             });
   }
@@ -129,11 +129,12 @@
 
   private static OperatorApi.Request read(final HttpExchange exchange) throws IOException {
     final InputStream in = exchange.getRequestBody();
-    final byte[] body = in.readNBytes(CONFIG_BYTES + 1);
+    final byte[] body = in.readNBytes(MAX_CONFIGURATION_BYTES + 1);
     final byte[] rest = new byte[16 << 10];
-    for (int more = body.length; more > CONFIG_BYTES && more < CALL_READ_MOST; ) {
+    for (int more = body.length;
+        more > MAX_CONFIGURATION_BYTES && more < MAX_DISCARDED_BODY_BYTES; ) {
       final int count = in.read(rest);
-      more = count < 0 ? CALL_READ_MOST : more + count;
+      more = count < 0 ? MAX_DISCARDED_BODY_BYTES : more + count;
     }
     // As HTTP joins a header that was sent more than once: whoever reads it sees that.
     final List<String> bases = exchange.getRequestHeaders().get("Base-Version");
@@ -144,21 +145,21 @@
         body);
   }
 
-  private static void reply(final HttpExchange exchange, final OperatorApi.Response answer) {
+  private static void reply(final HttpExchange exchange, final OperatorApi.Response response) {
     try {
-      if (answer.status() == 307) {
+      if (response.status() == 307) {
         exchange
             .getResponseHeaders()
             .set(
                 "Location",
                 "http://"
-                    + SocketAddresses.ip(answer.leaderAddress())
+                    + SocketAddresses.ip(response.leaderAddress())
                     + ":"
                     + exchange.getLocalAddress().getPort()
                     + exchange.getRequestURI());
       }
-      answer(exchange, answer.status(), answer.json());
-    } catch (final IOException defect) {
+      answer(exchange, response.status(), response.json());
+    } catch (final IOException failure) {
       // Its caller has gone, and asks again where it wants to know.
       exchange.close();
     }
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -1,6 +1,6 @@
 package yewjunction.server;
 
-import static yewjunction.common.Limits.SETTINGS_LOOK_MS;
+import static yewjunction.limits.OperatorLimits.SETTINGS_CHECK_INTERVAL_MS;
 
 import java.nio.file.Path;
 import java.time.Instant;
@@ -34,8 +34,8 @@
 /** What all processes share: the agent, peer links, the roster, signals, the settings file. */
 public final class ServerProcess {
   private final Settings settings;
-  private final EventLoopAgent loom;
-  private final MembershipList roster;
+  private final EventLoopAgent agent;
+  private final MembershipList membership;
   private final Node node;
   private final SettingsReloader file;
   private final CountDownLatch ended = new CountDownLatch(1);
@@ -54,15 +54,15 @@
             role == NodeRole.CONTROL ? Settings.CONTROL_PORT_OFFSET : Settings.DATA_PORT_OFFSET);
     // Drawn anew at each start: tells two lives at one address apart.
     final long life = new java.security.SecureRandom().nextLong() >>> 1;
-    loom = new EventLoopAgent(life ^ System.nanoTime());
+    agent = new EventLoopAgent(life ^ System.nanoTime());
     final MessageCodec codec = new MessageCodec();
     yewjunction.raft.RaftMessages.know(codec);
     yewjunction.membership.MembershipMessages.know(codec);
     yewjunction.control.LeaseMessages.know(codec);
     yewjunction.store.AdmissionMessages.know(codec);
     yewjunction.fanout.FanoutMessages.know(codec);
-    final TcpPeerTransport wires =
-        new TcpPeerTransport(loom, codec, SocketAddresses.parse(address));
+    final TcpPeerTransport transport =
+        new TcpPeerTransport(agent, codec, SocketAddresses.parse(address));
     final Member self = new Member();
     self.address = address;
     self.node = settings.node();
@@ -71,19 +71,21 @@
     self.front = settings.front();
     self.life = life;
     self.begin(System.currentTimeMillis());
-    final UdpTransport datagrams = new UdpTransport(loom, codec, SocketAddresses.parse(address));
-    roster = new MembershipList(loom, self, datagrams::send);
-    datagrams.onLetter(roster::take);
+    final UdpTransport datagrams = new UdpTransport(agent, codec, SocketAddresses.parse(address));
+    membership = new MembershipList(agent, self, datagrams::send);
+    datagrams.onLetter(membership::take);
     node =
         switch (role) {
-          case CONTROL -> new ControlNode(loom, wires, disk(), worker(), roster, settings, life);
-          case STORE -> new StoreNode(loom, wires, disk(), worker(), roster, settings, life);
-          case EDGE -> new EdgeNode(loom, wires, roster, settings, life);
+          case CONTROL ->
+              new ControlNode(agent, transport, disk(), worker(), membership, settings, life);
+          case STORE ->
+              new StoreNode(agent, transport, disk(), worker(), membership, settings, life);
+          case EDGE -> new EdgeNode(agent, transport, membership, settings, life);
         };
   }
 
   private BlockingTaskExecutor worker() {
-    return new BlockingTaskExecutor(loom, Runtime.getRuntime()::halt);
+    return new BlockingTaskExecutor(agent, Runtime.getRuntime()::halt);
   }
 
   /** Whose signals it takes; those of a process of its own. */
@@ -103,7 +105,8 @@
     if (calendar != null) {
       final MaintenanceWindows windows = MaintenanceWindows.read(Path.of(calendar));
       windows.bad().forEach(LogEvent.CALENDAR_BAD::warn);
-      roster.planned(peer -> windows.explains(Instant.now(), List.of(peer.node, peer.zone)));
+      membership.planned(
+          member -> windows.explains(Instant.now(), List.of(member.node, member.zone)));
     }
   }
 
@@ -115,11 +118,11 @@
 
   /** Opens the doors to the outside that this duty has. */
   private void listen() {
-    if (node instanceof ControlNode crux) {
-      crux.desk().readBy(HttpEndpoint.reader(loom));
-      HttpEndpoint.operator(settings.control(), loom, crux.desk()::take);
+    if (node instanceof ControlNode controlNode) {
+      controlNode.desk().readBy(HttpEndpoint.reader(agent));
+      HttpEndpoint.operator(settings.control(), agent, controlNode.desk()::take);
     } else if (node instanceof EdgeNode edge) {
-      TcpClientConnection.listen(loom, SocketAddresses.parse(settings.front()), edge::greet);
+      TcpClientConnection.listen(agent, SocketAddresses.parse(settings.front()), edge::greet);
       HttpEndpoint.readiness(settings.ready(), edge::ready);
     }
   }
@@ -129,15 +132,15 @@
     final AgentRunner runner =
         new AgentRunner(
             NoOpIdleStrategy.INSTANCE,
-            defect -> broken(defect, Runtime.getRuntime()::halt),
+            failure -> broken(failure, Runtime.getRuntime()::halt),
             null,
-            loom);
-    loom.post(this::start);
+            agent);
+    agent.post(this::start);
     // Behind the start: a signal that came early finds a process that has started.
     signals.deliver(
-        kind -> loom.post(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::hungUp));
-    loom.every(
-        SETTINGS_LOOK_MS,
+        kind -> agent.post(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::hungUp));
+    agent.every(
+        SETTINGS_CHECK_INTERVAL_MS,
         () -> {
           if (file.due()) {
             reread();
@@ -146,7 +149,7 @@
     AgentRunner.startOnThread(runner);
     try {
       ended.await();
-    } catch (final InterruptedException defect) {
+    } catch (final InterruptedException failure) {
       Thread.currentThread().interrupt();
     }
     if (startDefect != null) {
@@ -157,14 +160,14 @@
 
   private void start() {
     try {
-      roster.start(settings.coreAddresses());
+      membership.start(settings.coreAddresses());
       node.start();
       listen();
       LogEvent.STARTED.info(settings.node() + " " + settings.role());
-    } catch (final RuntimeException defect) {
+    } catch (final RuntimeException failure) {
       // A process without its doors serves nobody, and nobody would notice: it ends and says why.
       stopping = true;
-      startDefect = defect;
+      startDefect = failure;
       ended.countDown();
     }
   }
@@ -173,11 +176,11 @@
    * What one turn can't contain: after an error tables may be half changed, and only the disk says
    * what was promised.
    */
-  static void broken(final Throwable defect, final IntConsumer ending) {
+  static void broken(final Throwable failure, final IntConsumer ending) {
     try {
-      LogEvent.TURN_DEFECT.warn("loom", defect);
+      LogEvent.TURN_DEFECT.warn("loom", failure);
     } finally {
-      if (defect instanceof Error) {
+      if (failure instanceof Error) {
         ending.accept(ExitCode.UNEXPECTED_ERROR);
       }
     }
@@ -189,10 +192,10 @@
       LogEvent.STOPPING.info(settings.node() + " " + settings.role());
       try {
         node.stop(this::end);
-      } catch (final RuntimeException defect) {
+      } catch (final RuntimeException failure) {
         // What it could not give up in order ends as by a kill, and at once rather than after the
         // platform's grace.
-        LogEvent.TURN_DEFECT.warn("stop", defect);
+        LogEvent.TURN_DEFECT.warn("stop", failure);
         end();
       }
     }
@@ -201,8 +204,8 @@
   private void end() {
     // One more turn, so that what is written in this one leaves; armed first, so that it ends
     // whatever fails here.
-    loom.after(20, ended::countDown);
-    roster.leave();
+    agent.after(20, ended::countDown);
+    membership.leave();
     LogEvent.STOPPED.info(settings.node() + " " + settings.role());
   }
 
@@ -214,13 +217,13 @@
   private void reread() {
     try {
       final Settings fresh = file.load();
-      roster.seeds(fresh.coreAddresses());
+      membership.seeds(fresh.coreAddresses());
       node.reread(fresh);
       readCalendar();
       LogEvent.SETTINGS_REREAD.info(file.toString());
-    } catch (final YewjunctionException defect) {
+    } catch (final YewjunctionException failure) {
       // The settings in force stay: a bad file must not stop a node that works.
-      LogEvent.SETTINGS_BAD.warn(defect.code() + " " + defect.getMessage());
+      LogEvent.SETTINGS_BAD.warn(failure.code() + " " + failure.getMessage());
     }
   }
 }
--- a/src/main/java/yewjunction/server/SettingsReloader.java
+++ b/src/main/java/yewjunction/server/SettingsReloader.java
@@ -50,7 +50,7 @@
     try {
       final BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
       return attributes.lastModifiedTime().toMillis() + " " + attributes.size();
-    } catch (final IOException defect) {
+    } catch (final IOException failure) {
       return null;
     }
   }
--- a/src/main/java/yewjunction/settings/Settings.java
+++ b/src/main/java/yewjunction/settings/Settings.java
@@ -46,8 +46,8 @@
     final String text;
     try {
       text = Files.readString(file);
-    } catch (final IOException defect) {
-      throw new SettingsException(SETTINGS_MISSING, "cannot read " + file, defect);
+    } catch (final IOException failure) {
+      throw new SettingsException(SETTINGS_MISSING, "cannot read " + file, failure);
     }
     return read(text);
   }
@@ -56,8 +56,8 @@
     final Object tree;
     try {
       tree = new Yaml(new SafeConstructor(new LoaderOptions())).load(text);
-    } catch (final YAMLException defect) {
-      throw new SettingsException(SETTINGS_UNREADABLE, defect.getMessage(), defect);
+    } catch (final YAMLException failure) {
+      throw new SettingsException(SETTINGS_UNREADABLE, failure.getMessage(), failure);
     }
     if (!(tree instanceof Map<?, ?> map)) {
       throw new SettingsException(SETTINGS_UNREADABLE, "not a map of fields");
@@ -153,9 +153,9 @@
   private static void address(final String text, final String field) {
     try {
       SocketAddresses.parse(text);
-    } catch (final IllegalArgumentException defect) {
+    } catch (final IllegalArgumentException failure) {
       throw new SettingsException(
-          SETTINGS_FIELD, field + ": not an address ip:port: " + text, defect);
+          SETTINGS_FIELD, field + ": not an address ip:port: " + text, failure);
     }
   }
 
--- a/src/main/java/yewjunction/store/AcceptedNumbers.java
+++ b/src/main/java/yewjunction/store/AcceptedNumbers.java
@@ -1,6 +1,6 @@
 package yewjunction.store;
 
-import static yewjunction.common.Limits.NUMBER_MS;
+import static yewjunction.limits.QuotaLimits.NUMBER_RETENTION_MS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,39 +26,39 @@
   }
 
   void accept(final String client, final String topic, final long number, final long nowMs) {
-    final SenderHistory track =
+    final SenderHistory history =
         tracks.computeIfAbsent(key(client, topic), key -> new SenderHistory());
     // Invariant: numbers of a client rise on a topic; the gate lets nothing else through.
-    if (number <= track.highest) {
+    if (number <= history.highest) {
       throw new IllegalStateException(
-          "number " + number + " after " + track.highest + " of " + client + " on " + topic);
+          "number " + number + " after " + history.highest + " of " + client + " on " + topic);
     }
-    track.key = key(client, topic);
-    track.highest = number;
-    track.atMs = nowMs;
-    track.recent.add(number);
-    track.recentAtMs.add(nowMs);
+    history.key = key(client, topic);
+    history.highest = number;
+    history.atMs = nowMs;
+    history.recent.add(number);
+    history.recentAtMs.add(nowMs);
   }
 
   boolean accepted(final String client, final String topic, final long number) {
-    final SenderHistory track = tracks.get(key(client, topic));
-    return track != null && track.recent.contains(number);
+    final SenderHistory history = tracks.get(key(client, topic));
+    return history != null && history.recent.contains(number);
   }
 
   long highest(final String client, final String topic) {
-    final SenderHistory track = tracks.get(key(client, topic));
-    return track == null ? 0 : track.highest;
+    final SenderHistory history = tracks.get(key(client, topic));
+    return history == null ? 0 : history.highest;
   }
 
   void sweep(final long nowMs) {
     for (final Iterator<SenderHistory> each = tracks.values().iterator(); each.hasNext(); ) {
-      final SenderHistory track = each.next();
-      while (!track.recent.isEmpty() && nowMs - track.recentAtMs.get(0) > NUMBER_MS) {
-        track.recent.remove(0);
-        track.recentAtMs.remove(0);
+      final SenderHistory history = each.next();
+      while (!history.recent.isEmpty() && nowMs - history.recentAtMs.get(0) > NUMBER_RETENTION_MS) {
+        history.recent.remove(0);
+        history.recentAtMs.remove(0);
       }
       // The highest number outlives the list: a much later low one must still be denied.
-      if (track.recent.isEmpty() && nowMs - track.atMs > 10 * NUMBER_MS) {
+      if (history.recent.isEmpty() && nowMs - history.atMs > 10 * NUMBER_RETENTION_MS) {
         each.remove();
       }
     }
@@ -70,11 +70,11 @@
 
   void restore(final List<SenderHistory> saved, final long nowMs) {
     tracks.clear();
-    for (final SenderHistory track : saved) {
-      track.atMs = nowMs;
-      track.recentAtMs = new ArrayList<>();
-      track.recent.forEach(number -> track.recentAtMs.add(nowMs));
-      tracks.put(track.key, track);
+    for (final SenderHistory history : saved) {
+      history.atMs = nowMs;
+      history.recentAtMs = new ArrayList<>();
+      history.recent.forEach(number -> history.recentAtMs.add(nowMs));
+      tracks.put(history.key, history);
     }
   }
 }
--- a/src/main/java/yewjunction/store/AdmissionController.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -1,6 +1,6 @@
 package yewjunction.store;
 
-import static yewjunction.common.Limits.NUMBER_MS;
+import static yewjunction.limits.QuotaLimits.NUMBER_RETENTION_MS;
 import static yewjunction.store.AdmissionMessages.ACCEPTED;
 import static yewjunction.store.AdmissionMessages.DENIED;
 import static yewjunction.store.AdmissionMessages.ELSEWHERE;
@@ -22,27 +22,27 @@
  * Admission of new messages, by the vaults' leader alone: doubles, order, quota, then the ledger.
  */
 public final class AdmissionController {
-  private final AgentContext pulse;
-  private final RaftNode ledger;
-  private final MessageStore cellar;
+  private final AgentContext context;
+  private final RaftNode raftNode;
+  private final MessageStore messageStore;
   private final Map<String, List<Requester>> inFlight = new HashMap<>();
   private final Map<String, Long> highestInFlight = new HashMap<>();
   private final LinkedHashMap<String, Long> deniedMs = new LinkedHashMap<>();
 
-  private final QuotaBorrowing lending;
+  private final QuotaBorrowing borrowing;
 
-  private record Requester(PeerConnection link, long request) {}
+  private record Requester(PeerConnection connection, long request) {}
 
   public AdmissionController(
-      final AgentContext pulse,
-      final PeerTransport post,
-      final RaftNode ledger,
-      final MessageStore cellar) {
-    this.pulse = pulse;
-    this.ledger = ledger;
-    this.cellar = cellar;
-    lending = new QuotaBorrowing(pulse, ledger, cellar);
-    post.on(AdmitRequest.class, this::admit);
+      final AgentContext context,
+      final PeerTransport transport,
+      final RaftNode raftNode,
+      final MessageStore messageStore) {
+    this.context = context;
+    this.raftNode = raftNode;
+    this.messageStore = messageStore;
+    borrowing = new QuotaBorrowing(context, raftNode, messageStore);
+    transport.on(AdmitRequest.class, this::admit);
   }
 
   private static String key(final StoredMessage message) {
@@ -51,52 +51,53 @@
 
   /** The leader's side of borrowing ahead. */
   public QuotaBorrowing lending() {
-    return lending;
+    return borrowing;
   }
 
-  private void admit(final PeerConnection link, final AdmitRequest admit) {
+  private void admit(final PeerConnection connection, final AdmitRequest request) {
     // What an edge says of accounts counts for nothing: only the leader stamps.
-    admit.message.stampMs = null;
-    admit.message.change = null;
-    final Requester asker = new Requester(link, admit.request);
-    final StoredMessage message = admit.message;
-    if (admit.revoked != null
-        && ledger.leads()
+    request.message.stampMs = null;
+    request.message.change = null;
+    final Requester requester = new Requester(connection, request.request);
+    final StoredMessage message = request.message;
+    if (request.revoked != null
+        && raftNode.leads()
         && !inFlight.containsKey(key(message))
-        && !cellar.numbers.accepted(message.client, message.topic, message.number)) {
-      deny(key(message), asker);
+        && !messageStore.acceptedNumbers.accepted(message.client, message.topic, message.number)) {
+      deny(key(message), requester);
     } else {
-      decide(asker, message, false);
+      decide(requester, message, false);
     }
   }
 
   /** In turn: it waited until all that paid had passed, and may borrow now. */
-  private void decide(final Requester asker, final StoredMessage message, final boolean inTurn) {
-    if (!ledger.leads()) {
-      answer(asker, ELSEWHERE);
+  private void decide(
+      final Requester requester, final StoredMessage message, final boolean inTurn) {
+    if (!raftNode.leads()) {
+      answer(requester, ELSEWHERE);
       return;
     }
     final String key = key(message);
     final String track = AcceptedNumbers.key(message.client, message.topic);
     final List<Requester> askers = inFlight.get(key);
-    if (cellar.numbers.accepted(message.client, message.topic, message.number)) {
-      answer(asker, ACCEPTED);
+    if (messageStore.acceptedNumbers.accepted(message.client, message.topic, message.number)) {
+      answer(requester, ACCEPTED);
     } else if (askers != null) {
-      askers.add(asker);
+      askers.add(requester);
     } else if (deniedMs.containsKey(key)) {
-      answer(asker, DENIED);
+      answer(requester, DENIED);
     } else if (message.number
         <= Math.max(
-            cellar.numbers.highest(message.client, message.topic),
+            messageStore.acceptedNumbers.highest(message.client, message.topic),
             highestInFlight.getOrDefault(track, 0L))) {
       // Never accepted and below an accepted one: it would break the sender's order.
-      deny(key, asker);
-    } else if (lending.keeps(message.tenant)) {
-      account(key, track, message, asker, inTurn);
-    } else if (!cellar.quotas.take(message.tenant, pulse.nowMs())) {
-      deny(key, asker);
+      deny(key, requester);
+    } else if (borrowing.keeps(message.tenant)) {
+      account(key, track, message, requester, inTurn);
+    } else if (!messageStore.rateLimiter.take(message.tenant, context.nowMs())) {
+      deny(key, requester);
     } else {
-      append(key, track, message, asker);
+      append(key, track, message, requester);
     }
   }
 
@@ -104,32 +105,35 @@
       final String key,
       final String track,
       final StoredMessage message,
-      final Requester asker,
+      final Requester requester,
       final boolean inTurn) {
-    final long stampMs = lending.stampMs();
-    switch (lending.verdict(message.tenant, stampMs, inTurn)) {
+    final long stampMs = borrowing.stampMs();
+    switch (borrowing.verdict(message.tenant, stampMs, inTurn)) {
       case PAYS, BORROWS -> {
         message.stampMs = stampMs;
-        append(key, track, message, asker);
+        append(key, track, message, requester);
       }
-      case WAITS -> lending.await(message.tenant, () -> decide(asker, message, true));
-      default -> deny(key, asker);
+      case WAITS -> borrowing.await(message.tenant, () -> decide(requester, message, true));
+      default -> deny(key, requester);
     }
   }
 
   private void append(
-      final String key, final String track, final StoredMessage message, final Requester asker) {
+      final String key,
+      final String track,
+      final StoredMessage message,
+      final Requester requester) {
     final List<Requester> askers = new ArrayList<>(1);
-    askers.add(asker);
+    askers.add(requester);
     inFlight.put(key, askers);
     highestInFlight.put(track, message.number);
     final boolean taken =
-        ledger.propose(
+        raftNode.propose(
             MessageStore.bytes(message),
             done -> {
               final List<Requester> owed = inFlight.remove(key);
               highestInFlight.remove(track, message.number);
-              lending.settled();
+              borrowing.settled();
               // Without a clear end nothing is said: the edge asks the next leader with the same
               // number.
               if (done && owed != null) {
@@ -137,34 +141,34 @@
               }
             });
     if (taken) {
-      lending.proposed(
+      borrowing.proposed(
           message.stampMs == null ? "" : message.tenant,
           message.stampMs == null ? 0 : message.stampMs);
     } else {
       inFlight.remove(key);
       highestInFlight.remove(track);
-      answer(asker, ELSEWHERE);
+      answer(requester, ELSEWHERE);
     }
   }
 
   /** The promise is remembered for longer than a copy of the number can be under way. */
-  private void deny(final String key, final Requester asker) {
-    final long nowMs = pulse.nowMs();
+  private void deny(final String key, final Requester requester) {
+    final long nowMs = context.nowMs();
     deniedMs.put(key, nowMs);
     for (final Iterator<Long> each = deniedMs.values().iterator(); each.hasNext(); ) {
-      if (nowMs - each.next() <= NUMBER_MS) {
+      if (nowMs - each.next() <= NUMBER_RETENTION_MS) {
         break;
       }
       each.remove();
     }
-    answer(asker, DENIED);
+    answer(requester, DENIED);
   }
 
-  private static void answer(final Requester asker, final int what) {
-    final AdmitResponse verdict = new AdmitResponse();
-    verdict.request = asker.request;
-    verdict.what = what;
-    asker.link.send(verdict);
+  private static void answer(final Requester requester, final int what) {
+    final AdmitResponse response = new AdmitResponse();
+    response.request = requester.request;
+    response.what = what;
+    requester.connection.send(response);
   }
 
   /** Whether this leader admitted the message itself. */
@@ -176,6 +180,6 @@
   public void leaderChanged() {
     inFlight.clear();
     highestInFlight.clear();
-    lending.leaderChanged();
+    borrowing.leaderChanged();
   }
 }
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -1,7 +1,7 @@
 package yewjunction.store;
 
-import static yewjunction.common.Limits.KEEP_SLACK_MS;
-import static yewjunction.common.Limits.VAULT_SWEEP_MS;
+import static yewjunction.limits.QuotaLimits.RETENTION_CHECK_INTERVAL_MS;
+import static yewjunction.limits.QuotaLimits.RETENTION_SLACK_MS;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -25,14 +25,14 @@
   private static final Schema<StoredMessage> MESSAGES =
       RuntimeSchema.getSchema(StoredMessage.class);
   private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
-  private final AgentContext pulse;
+  private final AgentContext context;
   private final Listener watcher;
   private final TreeMap<Long, StoredMessage> byIndex = new TreeMap<>();
   private final Map<String, TopicMessages> byTopic = new HashMap<>();
-  final AcceptedNumbers numbers = new AcceptedNumbers();
-  final TenantRateLimiter quotas;
+  final AcceptedNumbers acceptedNumbers = new AcceptedNumbers();
+  final TenantRateLimiter rateLimiter;
   final BorrowingAccounts accounts;
-  private Configuration charter;
+  private Configuration configuration;
   private long floor;
 
   /** A topic's messages and the index of the last one dropped. */
@@ -66,20 +66,24 @@
     void leaderIs(String identity, boolean self);
   }
 
-  public MessageStore(final AgentContext pulse, final Listener watcher, final Settings settings) {
-    this.pulse = pulse;
-    quotas =
+  public MessageStore(final AgentContext context, final Listener watcher, final Settings settings) {
+    this.context = context;
+    rateLimiter =
         new TenantRateLimiter(
-            settings.quotaWindowS(), settings.quotaExcess(), settings.quotaSlack(), pulse.nowMs());
+            settings.quotaWindowS(),
+            settings.quotaExcess(),
+            settings.quotaSlack(),
+            context.nowMs());
     this.watcher = watcher;
     accounts =
-        new BorrowingAccounts((tenant, tokens) -> quotas.continued(tenant, tokens, pulse.nowMs()));
-    pulse.every(VAULT_SWEEP_MS, this::sweep);
+        new BorrowingAccounts(
+            (tenant, tokens) -> rateLimiter.continued(tenant, tokens, context.nowMs()));
+    context.every(RETENTION_CHECK_INTERVAL_MS, this::sweep);
   }
 
-  public void charter(final Configuration newCharter) {
-    charter = newCharter;
-    quotas.charter(newCharter);
+  public void charter(final Configuration newConfiguration) {
+    configuration = newConfiguration;
+    rateLimiter.charter(newConfiguration);
   }
 
   static byte[] bytes(final StoredMessage message) {
@@ -91,15 +95,15 @@
     final StoredMessage message = MESSAGES.newMessage();
     ProtostuffIOUtil.mergeFrom(data, message, MESSAGES);
     message.index = index;
-    message.atMs = pulse.nowMs();
+    message.atMs = context.nowMs();
     accounts.apply(index, message, message.atMs);
     if (message.change != null) {
       // Of the accounts alone: no client sent it, and none gets it.
       return;
     }
-    numbers.accept(message.client, message.topic, message.number, message.atMs);
+    acceptedNumbers.accept(message.client, message.topic, message.number, message.atMs);
     if (message.stampMs == null && !watcher.admittedHere(message)) {
-      quotas.count(message.tenant, message.atMs);
+      rateLimiter.count(message.tenant, message.atMs);
     }
     put(message);
   }
@@ -116,15 +120,15 @@
 
   /** A topic's messages behind a position, or null when one behind it was dropped. */
   public List<StoredMessage> behind(final String topic, final long position) {
-    final TopicMessages shelf = byTopic.get(topic);
-    if (shelf == null) {
+    final TopicMessages topicMessages = byTopic.get(topic);
+    if (topicMessages == null) {
       return List.of();
     }
-    if (shelf.floor > position) {
+    if (topicMessages.floor > position) {
       return null;
     }
     final List<StoredMessage> found = new ArrayList<>();
-    for (final StoredMessage message : shelf.messages) {
+    for (final StoredMessage message : topicMessages.messages) {
       if (message.index > position) {
         found.add(message);
       }
@@ -143,62 +147,65 @@
   }
 
   private void sweep() {
-    final long nowMs = pulse.nowMs();
-    numbers.sweep(nowMs);
+    final long nowMs = context.nowMs();
+    acceptedNumbers.sweep(nowMs);
     byTopic.forEach(
-        (topic, shelf) -> {
+        (topic, topicMessages) -> {
           final long keepMs = keepMs(topic);
-          while (!shelf.messages.isEmpty() && nowMs - shelf.messages.peek().atMs > keepMs) {
-            final StoredMessage dropped = shelf.messages.poll();
+          while (!topicMessages.messages.isEmpty()
+              && nowMs - topicMessages.messages.peek().atMs > keepMs) {
+            final StoredMessage dropped = topicMessages.messages.poll();
             byIndex.remove(dropped.index);
-            shelf.floor = dropped.index;
+            topicMessages.floor = dropped.index;
             floor = Math.max(floor, dropped.index);
           }
         });
   }
 
   private long keepMs(final String topic) {
-    final Configuration.Route space = charter == null ? null : charter.space(topic);
+    final Configuration.Route route = configuration == null ? null : configuration.space(topic);
     // Without a configuration nothing may be dropped; of a space that is gone nothing is owed.
-    return charter == null ? Long.MAX_VALUE : (space == null ? 0 : space.keepMs()) + KEEP_SLACK_MS;
+    return configuration == null
+        ? Long.MAX_VALUE
+        : (route == null ? 0 : route.keepMs()) + RETENTION_SLACK_MS;
   }
 
   @Override
   public byte[] snapshot() {
-    final Snapshot image = new Snapshot();
-    image.messages.addAll(byIndex.values());
-    image.tracks = numbers.all();
-    image.floor = floor;
-    image.accounts = accounts.saved();
+    final Snapshot snapshot = new Snapshot();
+    snapshot.messages.addAll(byIndex.values());
+    snapshot.tracks = acceptedNumbers.all();
+    snapshot.floor = floor;
+    snapshot.accounts = accounts.saved();
     byTopic.forEach(
-        (topic, shelf) -> {
-          if (shelf.floor > 0) {
+        (topic, topicMessages) -> {
+          if (topicMessages.floor > 0) {
             final TopicFloor one = new TopicFloor();
             one.topic = topic;
-            one.index = shelf.floor;
-            image.floors.add(one);
+            one.index = topicMessages.floor;
+            snapshot.floors.add(one);
           }
         });
-    return ProtostuffIOUtil.toByteArray(image, IMAGES, LinkedBuffer.allocate(64 << 10));
+    return ProtostuffIOUtil.toByteArray(snapshot, IMAGES, LinkedBuffer.allocate(64 << 10));
   }
 
   @Override
   public void restore(final long index, final byte[] state) {
-    final Snapshot image = IMAGES.newMessage();
-    ProtostuffIOUtil.mergeFrom(state, image, IMAGES);
+    final Snapshot snapshot = IMAGES.newMessage();
+    ProtostuffIOUtil.mergeFrom(state, snapshot, IMAGES);
     byIndex.clear();
     byTopic.clear();
-    floor = image.floor;
-    final long nowMs = pulse.nowMs();
-    for (final StoredMessage message : image.messages) {
+    floor = snapshot.floor;
+    final long nowMs = context.nowMs();
+    for (final StoredMessage message : snapshot.messages) {
       message.atMs = nowMs;
       put(message);
     }
-    image.floors.forEach(
+    snapshot.floors.forEach(
         one -> byTopic.computeIfAbsent(one.topic, key -> new TopicMessages()).floor = one.index);
-    numbers.restore(image.tracks, nowMs);
-    accounts.restore(image.accounts, nowMs);
-    quotas.forget();
+    acceptedNumbers.restore(snapshot.tracks, nowMs);
+    accounts.restore(snapshot.accounts, nowMs);
+    rateLimiter.forget();
   }
 
   @Override
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -1,10 +1,10 @@
 package yewjunction.store;
 
-import static yewjunction.common.Limits.LEND_IN_FLIGHT;
-import static yewjunction.common.Limits.LEND_OWED_MS;
-import static yewjunction.common.Limits.LEND_TURN;
-import static yewjunction.common.Limits.LEND_WAITING;
-import static yewjunction.common.Limits.SETTLE_MS;
+import static yewjunction.limits.QuotaLimits.DEBT_UPDATE_INTERVAL_MS;
+import static yewjunction.limits.QuotaLimits.MAX_BORROWS_PER_TURN;
+import static yewjunction.limits.QuotaLimits.MAX_DISK_LAG_TO_LEND_MS;
+import static yewjunction.limits.QuotaLimits.MAX_IN_FLIGHT_TO_LEND;
+import static yewjunction.limits.QuotaLimits.MAX_WAITING_TO_BORROW;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -24,9 +24,9 @@
  * borrower gets what others leave.
  */
 public final class QuotaBorrowing {
-  private final AgentContext pulse;
-  private final RaftNode ledger;
-  private final MessageStore cellar;
+  private final AgentContext context;
+  private final RaftNode raftNode;
+  private final MessageStore messageStore;
   private final Map<String, ArrayDeque<Runnable>> lanes = new LinkedHashMap<>();
   private final Set<String> atLimit = new HashSet<>();
   private BorrowingAccounts ahead;
@@ -42,27 +42,28 @@
     DENIES
   }
 
-  QuotaBorrowing(final AgentContext pulse, final RaftNode ledger, final MessageStore cellar) {
-    this.pulse = pulse;
-    this.ledger = ledger;
-    this.cellar = cellar;
+  QuotaBorrowing(
+      final AgentContext context, final RaftNode raftNode, final MessageStore messageStore) {
+    this.context = context;
+    this.raftNode = raftNode;
+    this.messageStore = messageStore;
   }
 
   /** Only at the leader, which has applied all that others admitted before it. */
   private BorrowingAccounts ahead() {
     if (ahead == null) {
-      ahead = cellar.accounts.ahead();
+      ahead = messageStore.accounts.ahead();
     }
     return ahead;
   }
 
   boolean keeps(final String tenant) {
-    return !(ahead == null && cellar.accounts.none()) && ahead().of(tenant) != null;
+    return !(ahead == null && messageStore.accounts.none()) && ahead().of(tenant) != null;
   }
 
   /** Log time now: stamped on what is proposed in this turn. */
   long stampMs() {
-    return ahead().timeMs(pulse.nowMs());
+    return ahead().timeMs(context.nowMs());
   }
 
   /** In turn: it is this message's turn to borrow, after all that paid. */
@@ -88,14 +89,14 @@
       return waits(tenant);
     }
     // Lent only while nobody else is held up by it.
-    return underWay < LEND_IN_FLIGHT && ledger.course().owedMs() < LEND_OWED_MS
+    return underWay < MAX_IN_FLIGHT_TO_LEND && raftNode.course().owedMs() < MAX_DISK_LAG_TO_LEND_MS
         ? Decision.BORROWS
         : Decision.DENIES;
   }
 
   private Decision waits(final String tenant) {
     final ArrayDeque<Runnable> lane = lanes.get(tenant);
-    return lane == null || lane.size() < LEND_WAITING ? Decision.WAITS : Decision.DENIES;
+    return lane == null || lane.size() < MAX_WAITING_TO_BORROW ? Decision.WAITS : Decision.DENIES;
   }
 
   /** Looks again when it is this tenant's turn to borrow. */
@@ -103,14 +104,14 @@
     lanes.computeIfAbsent(tenant, key -> new ArrayDeque<>()).add(look);
     if (!turning) {
       turning = true;
-      pulse.post(this::turn);
+      context.post(this::turn);
     }
   }
 
   /** Tenants in turn, a message each; what arrived meanwhile and pays goes between two turns. */
   private void turn() {
     turning = false;
-    for (int left = LEND_TURN; left > 0 && !lanes.isEmpty(); left--) {
+    for (int left = MAX_BORROWS_PER_TURN; left > 0 && !lanes.isEmpty(); left--) {
       final String tenant = lanes.keySet().iterator().next();
       final ArrayDeque<Runnable> lane = lanes.remove(tenant);
       final Runnable look = lane.poll();
@@ -121,7 +122,7 @@
     }
     if (!lanes.isEmpty() && !turning) {
       turning = true;
-      pulse.post(this::turn);
+      context.post(this::turn);
     }
   }
 
@@ -155,12 +156,12 @@
    * Enters what has changed: terms of a new configuration, or that time has passed while somebody
    * owes.
    */
-  public void look(final Configuration charter) {
-    if (!ledger.leads()
-        || charter == null
+  public void look(final Configuration configuration) {
+    if (!raftNode.leads()
+        || configuration == null
         || ahead == null
-            && cellar.accounts.none()
-            && charter.tenants().stream().noneMatch(tenant -> tenant.borrowMax() > 0)) {
+            && messageStore.accounts.none()
+            && configuration.tenants().stream().noneMatch(tenant -> tenant.borrowMax() > 0)) {
       return;
     }
     final long stampMs = stampMs();
@@ -172,19 +173,19 @@
       owes |= before > 0;
       paidOff |= before > 0 && account.debt == 0;
     }
-    final List<BorrowingTerms> wanted = wanted(charter);
+    final List<BorrowingTerms> wanted = wanted(configuration);
     final BorrowingTerms.TermsChange change = new BorrowingTerms.TermsChange();
-    if (charter.version() >= ahead().version() && !inForce(wanted)) {
-      change.version = charter.version();
+    if (configuration.version() >= ahead().version() && !inForce(wanted)) {
+      change.version = configuration.version();
       change.terms = wanted;
-    } else if (!paidOff && !(owes && pulse.nowMs() - settledMs > SETTLE_MS)) {
+    } else if (!paidOff && !(owes && context.nowMs() - settledMs > DEBT_UPDATE_INTERVAL_MS)) {
       return;
     }
-    settledMs = pulse.nowMs();
+    settledMs = context.nowMs();
     final StoredMessage entry = new StoredMessage();
     entry.stampMs = stampMs;
     entry.change = change;
-    if (ledger.propose(MessageStore.bytes(entry), done -> {})) {
+    if (raftNode.propose(MessageStore.bytes(entry), done -> {})) {
       ahead().change(0, change, stampMs);
     }
   }
@@ -204,16 +205,16 @@
    * Whoever may borrow has an account, and whoever still owes keeps one, whatever the configuration
    * says.
    */
-  private List<BorrowingTerms> wanted(final Configuration charter) {
+  private List<BorrowingTerms> wanted(final Configuration configuration) {
     final List<BorrowingTerms> wanted = new ArrayList<>();
-    for (final Configuration.Tenant tenant : charter.tenants()) {
+    for (final Configuration.Tenant tenant : configuration.tenants()) {
       final BorrowingAccount account = ahead().of(tenant.name());
       if (tenant.borrowMax() > 0 || account != null && account.debt > 0) {
-        wanted.add(cellar.quotas.terms(tenant, pulse.nowMs()));
+        wanted.add(messageStore.rateLimiter.terms(tenant, context.nowMs()));
       }
     }
     for (final BorrowingAccount account : ahead().all()) {
-      if (account.debt > 0 && charter.tenant(account.terms.tenant) == null) {
+      if (account.debt > 0 && configuration.tenant(account.terms.tenant) == null) {
         final BorrowingTerms gone = new BorrowingTerms();
         gone.tenant = account.terms.tenant;
         wanted.add(gone);
--- a/src/main/java/yewjunction/store/TenantRateLimiter.java
+++ b/src/main/java/yewjunction/store/TenantRateLimiter.java
@@ -1,8 +1,8 @@
 package yewjunction.store;
 
-import static yewjunction.common.Limits.QUOTA_REPLAY_MS;
-import static yewjunction.common.Limits.QUOTA_SHARE;
-import static yewjunction.common.Limits.QUOTA_SPARE;
+import static yewjunction.limits.QuotaLimits.BUCKET_EXCESS_SHARE;
+import static yewjunction.limits.QuotaLimits.STARTUP_EXCESS_SHARE;
+import static yewjunction.limits.QuotaLimits.STARTUP_REPLAY_MS;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -16,7 +16,7 @@
   private final double excess;
   private final double slack;
   private final long startMs;
-  private Configuration charter;
+  private Configuration configuration;
 
   private static final class TokenBucket {
     double tokens;
@@ -32,8 +32,8 @@
     startMs = nowMs;
   }
 
-  void charter(final Configuration newCharter) {
-    charter = newCharter;
+  void charter(final Configuration newConfiguration) {
+    configuration = newConfiguration;
   }
 
   /**
@@ -42,16 +42,17 @@
    */
   private double depth(final Tenant tenant) {
     return tenant.burst()
-        + QUOTA_SHARE * (excess * (tenant.perSecond() * windowS + tenant.burst()) + slack);
+        + BUCKET_EXCESS_SHARE * (excess * (tenant.perSecond() * windowS + tenant.burst()) + slack);
   }
 
   /** What may pass once, whatever happened before a start or a change of the leader. */
   private double spare(final Tenant tenant) {
-    return QUOTA_SPARE * (excess * (tenant.perSecond() * windowS + tenant.burst()) + slack);
+    return STARTUP_EXCESS_SHARE
+        * (excess * (tenant.perSecond() * windowS + tenant.burst()) + slack);
   }
 
   private TokenBucket filled(final String tenantName, final long nowMs) {
-    final Tenant tenant = charter == null ? null : charter.tenant(tenantName);
+    final Tenant tenant = configuration == null ? null : configuration.tenant(tenantName);
     if (tenant == null) {
       return null;
     }
@@ -100,7 +101,7 @@
   void forget() {
     buckets.forEach(
         (name, bucket) -> {
-          final Tenant tenant = charter == null ? null : charter.tenant(name);
+          final Tenant tenant = configuration == null ? null : configuration.tenant(name);
           bucket.tokens = tenant == null ? 0 : Math.min(bucket.tokens, spare(tenant));
         });
   }
@@ -123,7 +124,8 @@
   /** A message that another leader admitted: it counts here too, for the day this vault leads. */
   void count(final String tenantName, final long nowMs) {
     // What the log brings back right after a start was counted before it.
-    final TokenBucket bucket = nowMs - startMs < QUOTA_REPLAY_MS ? null : filled(tenantName, nowMs);
+    final TokenBucket bucket =
+        nowMs - startMs < STARTUP_REPLAY_MS ? null : filled(tenantName, nowMs);
     if (bucket != null) {
       bucket.tokens = Math.max(0, bucket.tokens - 1);
     }
--- a/src/main/java/yewjunction/subscription/AddWinsSet.java
+++ b/src/main/java/yewjunction/subscription/AddWinsSet.java
@@ -19,7 +19,7 @@
  * merged as a whole state of its own.
  */
 public final class AddWinsSet {
-  private final Map<Long, ReplicaState> panels = new HashMap<>();
+  private final Map<Long, ReplicaState> states = new HashMap<>();
   private final Set<Long> touched = new HashSet<>();
   private Set<Long> liveReplicas = Set.of();
   private long newestReplica;
@@ -38,7 +38,7 @@
   }
 
   private ReplicaState panel(final long replica) {
-    return panels.computeIfAbsent(replica, key -> new ReplicaState());
+    return states.computeIfAbsent(replica, key -> new ReplicaState());
   }
 
   /** A new unique instance (self, n): raises w(self) and sets v(a, self). */
@@ -66,10 +66,10 @@
   }
 
   private void remove(final String topic, final String client, final long spared) {
-    panels.forEach(
-        (replica, panel) -> {
-          if (replica != spared && panel.instance(topic, client) > 0) {
-            panel.set(topic, client, 0);
+    states.forEach(
+        (replica, replicaState) -> {
+          if (replica != spared && replicaState.instance(topic, client) > 0) {
+            replicaState.set(topic, client, 0);
             touched.add(replica);
           }
         });
@@ -77,19 +77,19 @@
 
   /** v(a, s), 0 where there is none. */
   public long instance(final String topic, final String client, final long replica) {
-    final ReplicaState panel = panels.get(replica);
-    return panel == null ? 0 : panel.instance(topic, client);
+    final ReplicaState replicaState = states.get(replica);
+    return replicaState == null ? 0 : replicaState.instance(topic, client);
   }
 
   /** w(s). */
   public long observed(final long replica) {
-    final ReplicaState panel = panels.get(replica);
-    return panel == null ? 0 : panel.observed;
+    final ReplicaState replicaState = states.get(replica);
+    return replicaState == null ? 0 : replicaState.observed;
   }
 
   /** Whether another replica than this one has an active instance of the element. */
   public boolean elsewhere(final String topic, final String client) {
-    for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
+    for (final Map.Entry<Long, ReplicaState> one : states.entrySet()) {
       if (one.getKey() != self && one.getValue().instance(topic, client) > 0) {
         return true;
       }
@@ -99,19 +99,19 @@
 
   /** Whether some client of that replica has an active instance for the topic. */
   public boolean reaches(final String topic, final long replica) {
-    final ReplicaState panel = panels.get(replica);
-    return panel != null && panel.cells.containsKey(topic);
+    final ReplicaState replicaState = states.get(replica);
+    return replicaState != null && replicaState.cells.containsKey(topic);
   }
 
   /** Clients that subscribe and are there, each once, over all live replicas. */
   public int count(final String topic, final LongPredicate live) {
     final Set<String> there = new HashSet<>();
-    panels.forEach(
-        (replica, panel) -> {
-          final Map<String, Long> clients = panel.cells.get(topic);
+    states.forEach(
+        (replica, replicaState) -> {
+          final Map<String, Long> clients = replicaState.cells.get(topic);
           if (clients != null && live.test(replica)) {
             clients.keySet().stream()
-                .filter(client -> !panel.absent.contains(client))
+                .filter(client -> !replicaState.absent.contains(client))
                 .forEach(there::add);
           }
         });
@@ -157,15 +157,15 @@
 
   /** The whole state. */
   public byte[] state() {
-    return ReplicaStateCodec.pack(panels);
+    return ReplicaStateCodec.pack(states);
   }
 
   /** The whole states of some parts. */
   public byte[] state(final Collection<Long> replicas) {
     final Map<Long, ReplicaState> chosen = new LinkedHashMap<>();
     for (final long replica : replicas) {
-      if (panels.containsKey(replica)) {
-        chosen.put(replica, panels.get(replica));
+      if (states.containsKey(replica)) {
+        chosen.put(replica, states.get(replica));
       }
     }
     return ReplicaStateCodec.pack(chosen);
@@ -173,36 +173,39 @@
 
   /** The digest of a replica's part. */
   public long mark(final long replica) {
-    final ReplicaState panel = panels.get(replica);
-    return panel == null ? 0 : panel.mark();
+    final ReplicaState replicaState = states.get(replica);
+    return replicaState == null ? 0 : replicaState.mark();
   }
 
   public byte[] marks() {
     final Map<Long, Long> marks = new HashMap<>();
-    panels.forEach((replica, panel) -> marks.put(replica, panel.mark()));
+    states.forEach((replica, replicaState) -> marks.put(replica, replicaState.mark()));
     return ReplicaStateCodec.packMarks(marks);
   }
 
   /** Parts held here that differ from those digests, in any order, up to about so many cells. */
-  public List<Long> news(final byte[] theirMarks, final int mostCells, final Random luck) {
-    return newsOf(panels.keySet(), theirMarks, mostCells, luck);
+  public List<Long> news(final byte[] theirMarks, final int mostCells, final Random random) {
+    return newsOf(states.keySet(), theirMarks, mostCells, random);
   }
 
   /** The same, of some replicas. */
   public List<Long> newsOf(
-      final Collection<Long> of, final byte[] theirMarks, final int mostCells, final Random luck) {
+      final Collection<Long> of,
+      final byte[] theirMarks,
+      final int mostCells,
+      final Random random) {
     final Map<Long, Long> theirs = ReplicaStateCodec.unpackMarks(theirMarks);
     final List<Long> replicas = new ArrayList<>(of);
-    replicas.retainAll(panels.keySet());
-    Collections.shuffle(replicas, luck);
+    replicas.retainAll(states.keySet());
+    Collections.shuffle(replicas, random);
     final List<Long> news = new ArrayList<>();
     int cells = 0;
     for (final long replica : replicas) {
-      final ReplicaState panel = panels.get(replica);
+      final ReplicaState replicaState = states.get(replica);
       final Long theirMark = theirs.get(replica);
-      if (cells < mostCells && (theirMark == null || theirMark != panel.mark())) {
+      if (cells < mostCells && (theirMark == null || theirMark != replicaState.mark())) {
         news.add(replica);
-        cells += panel.size();
+        cells += replicaState.size();
       }
     }
     return news;
@@ -246,7 +249,7 @@
     if (newest >= newestReplica) {
       newestReplica = newest;
       liveReplicas = Set.copyOf(live);
-      panels.keySet().removeIf(this::retired);
+      states.keySet().removeIf(this::retired);
     }
   }
 }
--- a/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
+++ b/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
@@ -25,20 +25,20 @@
     void to(DataOutputStream out) throws IOException;
   }
 
-  static byte[] pack(final Map<Long, ReplicaState> panels) {
+  static byte[] pack(final Map<Long, ReplicaState> states) {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     final Deflater deflater = new Deflater(Deflater.BEST_SPEED);
     try (DataOutputStream out =
         new DataOutputStream(
             new BufferedOutputStream(new DeflaterOutputStream(bytes, deflater, 4096), 4096))) {
       final StringTable names = new StringTable();
-      number(out, panels.size());
-      for (final Map.Entry<Long, ReplicaState> one : panels.entrySet()) {
+      number(out, states.size());
+      for (final Map.Entry<Long, ReplicaState> one : states.entrySet()) {
         number(out, one.getKey());
         pack(out, names, one.getValue());
       }
-    } catch (final IOException defect) {
-      throw new UncheckedIOException(defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException(failure);
     } finally {
       deflater.end();
     }
@@ -46,11 +46,11 @@
   }
 
   private static void pack(
-      final DataOutputStream out, final StringTable names, final ReplicaState panel)
+      final DataOutputStream out, final StringTable names, final ReplicaState replicaState)
       throws IOException {
-    number(out, panel.observed);
-    number(out, panel.cells.size());
-    for (final Map.Entry<String, Map<String, Long>> topic : panel.cells.entrySet()) {
+    number(out, replicaState.observed);
+    number(out, replicaState.cells.size());
+    for (final Map.Entry<String, Map<String, Long>> topic : replicaState.cells.entrySet()) {
       names.write(out, topic.getKey());
       number(out, topic.getValue().size());
       for (final Map.Entry<String, Long> client : topic.getValue().entrySet()) {
@@ -58,39 +58,39 @@
         number(out, client.getValue());
       }
     }
-    number(out, panel.absenceNumber);
-    number(out, panel.absent.size());
-    for (final String client : panel.absent) {
+    number(out, replicaState.absenceNumber);
+    number(out, replicaState.absent.size());
+    for (final String client : replicaState.absent) {
       names.write(out, client);
     }
   }
 
   static Map<Long, ReplicaState> unpack(final byte[] packed) {
-    final Map<Long, ReplicaState> panels = new LinkedHashMap<>();
+    final Map<Long, ReplicaState> states = new LinkedHashMap<>();
     try (DataInputStream in =
         new DataInputStream(
             new BufferedInputStream(
                 new InflaterInputStream(new ByteArrayInputStream(packed)), 4096))) {
       final List<String> names = new ArrayList<>();
       for (long left = number(in); left > 0; left--) {
-        final ReplicaState panel = new ReplicaState();
-        panels.put(number(in), panel);
-        panel.observed = number(in);
+        final ReplicaState replicaState = new ReplicaState();
+        states.put(number(in), replicaState);
+        replicaState.observed = number(in);
         for (long topics = number(in); topics > 0; topics--) {
           final String topic = name(in, names);
           for (long clients = number(in); clients > 0; clients--) {
-            panel.set(topic, name(in, names), number(in));
+            replicaState.set(topic, name(in, names), number(in));
           }
         }
-        panel.absenceNumber = number(in);
+        replicaState.absenceNumber = number(in);
         for (long clients = number(in); clients > 0; clients--) {
-          panel.absent.add(name(in, names));
+          replicaState.absent.add(name(in, names));
         }
       }
-    } catch (final IOException defect) {
-      throw new UncheckedIOException(defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException(failure);
     }
-    return panels;
+    return states;
   }
 
   /** Digests: names with eight bytes each. */
@@ -111,8 +111,8 @@
       for (long left = number(in); left > 0; left--) {
         marks.put(number(in), in.readLong());
       }
-    } catch (final IOException defect) {
-      throw new UncheckedIOException(defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException(failure);
     }
     return marks;
   }
@@ -121,8 +121,8 @@
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       writing.to(out);
-    } catch (final IOException defect) {
-      throw new UncheckedIOException(defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException(failure);
     }
     return bytes.toByteArray();
   }
--- a/src/main/java/yewjunction/transport/ClientConnection.java
+++ b/src/main/java/yewjunction/transport/ClientConnection.java
@@ -25,6 +25,6 @@
 
   /** Makes an owner for each new line. */
   interface HandlerFactory {
-    Handler greet(ClientConnection line);
+    Handler greet(ClientConnection connection);
   }
 }
--- a/src/main/java/yewjunction/transport/EventLoopAgent.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -21,7 +21,7 @@
   private final CommandQueue<Runnable> commands = new CommandQueue<>();
   private final PriorityQueue<Timer> alarms = new PriorityQueue<>();
   private final ArrayDeque<Runnable> flushes = new ArrayDeque<>();
-  private final Random luck;
+  private final Random random;
   private long alarmCount;
   private volatile Thread ownerThread;
 
@@ -39,11 +39,11 @@
   }
 
   public EventLoopAgent(final long seed) {
-    luck = new Random(seed);
+    random = new Random(seed);
     try {
       selector = Selector.open();
-    } catch (final IOException defect) {
-      throw new UncheckedIOException(defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 
@@ -77,7 +77,7 @@
 
   @Override
   public Random luck() {
-    return luck;
+    return random;
   }
 
   @Override
@@ -130,12 +130,12 @@
   private static void guard(final Step turn) {
     try {
       turn.run();
-    } catch (final IOException | RuntimeException | StackOverflowError defect) {
+    } catch (final IOException | RuntimeException | StackOverflowError failure) {
       // One broken turn must not end the process: state is changed only after checks. What nests
       // too deep fails in
       // the same way, and whoever sent it must not be able to end node after node. Other errors end
       // the process.
-      LogEvent.TURN_DEFECT.warn(String.valueOf(defect.getMessage()), defect);
+      LogEvent.TURN_DEFECT.warn(String.valueOf(failure.getMessage()), failure);
     }
   }
 
--- a/src/main/java/yewjunction/transport/SocketAddresses.java
+++ b/src/main/java/yewjunction/transport/SocketAddresses.java
@@ -33,8 +33,8 @@
     }
     try {
       return InetAddress.getByAddress(bytes);
-    } catch (final UnknownHostException defect) {
-      throw new IllegalArgumentException(ip, defect);
+    } catch (final UnknownHostException failure) {
+      throw new IllegalArgumentException(ip, failure);
     }
   }
 
--- a/src/main/java/yewjunction/transport/TcpClientConnection.java
+++ b/src/main/java/yewjunction/transport/TcpClientConnection.java
@@ -1,7 +1,7 @@
 package yewjunction.transport;
 
-import static yewjunction.common.Limits.BACKLOG;
-import static yewjunction.common.Limits.CLIENT_BUFFER_BYTES;
+import static yewjunction.limits.TransportLimits.ACCEPT_BACKLOG;
+import static yewjunction.limits.TransportLimits.INITIAL_CLIENT_BUFFER_BYTES;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,10 +15,10 @@
 
 /** One client's connection: bytes in to its owner, bytes out gathered per turn. */
 public final class TcpClientConnection implements ClientConnection, EventLoopAgent.ReadyHandler {
-  private final EventLoopAgent loom;
+  private final EventLoopAgent agent;
   private final SocketChannel channel;
   private final SelectionKey key;
-  private final WriteBuffer outbox = new WriteBuffer(CLIENT_BUFFER_BYTES);
+  private final WriteBuffer outbox = new WriteBuffer(INITIAL_CLIENT_BUFFER_BYTES);
   private Handler owner;
   private byte[] input;
   private int filled;
@@ -26,35 +26,35 @@
   private boolean closed;
   private boolean closing;
 
-  private TcpClientConnection(final EventLoopAgent loom, final SocketChannel channel)
+  private TcpClientConnection(final EventLoopAgent agent, final SocketChannel channel)
       throws IOException {
-    this.loom = loom;
+    this.agent = agent;
     this.channel = channel;
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
+    key = channel.register(agent.selector(), SelectionKey.OP_READ, this);
   }
 
   public static void listen(
-      final EventLoopAgent loom, final InetSocketAddress own, final HandlerFactory greeter) {
+      final EventLoopAgent agent, final InetSocketAddress own, final HandlerFactory greeter) {
     try {
       final ServerSocketChannel server = ServerSocketChannel.open();
       server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      server.bind(own, BACKLOG);
+      server.bind(own, ACCEPT_BACKLOG);
       server.configureBlocking(false);
       server.register(
-          loom.selector(),
+          agent.selector(),
           SelectionKey.OP_ACCEPT,
           (EventLoopAgent.ReadyHandler)
               key -> {
                 SocketChannel channel;
                 while ((channel = server.accept()) != null) {
-                  final TcpClientConnection line = new TcpClientConnection(loom, channel);
+                  final TcpClientConnection line = new TcpClientConnection(agent, channel);
                   line.owner = greeter.greet(line);
                 }
               });
-    } catch (final IOException defect) {
-      throw new UncheckedIOException("cannot listen for clients on " + own, defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException("cannot listen for clients on " + own, failure);
     }
   }
 
@@ -67,14 +67,14 @@
       if (!closed && readyKey.isValid() && readyKey.isWritable()) {
         flush();
       }
-    } catch (final IOException defect) {
+    } catch (final IOException failure) {
       close();
     }
   }
 
   private void read() throws IOException {
     if (input == null) {
-      input = new byte[CLIENT_BUFFER_BYTES];
+      input = new byte[INITIAL_CLIENT_BUFFER_BYTES];
     } else if (filled == input.length) {
       input = Arrays.copyOf(input, input.length * 2);
     }
@@ -101,7 +101,7 @@
   public WriteBuffer out() {
     if (!flushing && !closed) {
       flushing = true;
-      loom.flushLater(this::flush);
+      agent.flushLater(this::flush);
     }
     return outbox;
   }
@@ -126,7 +126,7 @@
       if (key.interestOps() != wanted) {
         key.interestOps(wanted);
       }
-    } catch (final IOException defect) {
+    } catch (final IOException failure) {
       close();
     }
   }
--- a/src/main/java/yewjunction/transport/TcpPeerConnection.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -2,12 +2,12 @@
 
 import static yewjunction.common.ErrorCode.CONNECTION_GARBLED;
 import static yewjunction.common.ErrorCode.MESSAGE_UNKNOWN;
-import static yewjunction.common.Limits.DIAL_MS;
-import static yewjunction.common.Limits.LETTER_BYTES;
-import static yewjunction.common.Limits.LINK_BEAT_MS;
-import static yewjunction.common.Limits.LINK_BUFFER_BYTES;
-import static yewjunction.common.Limits.LINK_QUEUE_BYTES;
-import static yewjunction.common.Limits.LINK_SILENCE_MS;
+import static yewjunction.limits.TransportLimits.CONNECTION_HEARTBEAT_INTERVAL_MS;
+import static yewjunction.limits.TransportLimits.CONNECTION_TIMEOUT_MS;
+import static yewjunction.limits.TransportLimits.CONNECT_TIMEOUT_MS;
+import static yewjunction.limits.TransportLimits.INITIAL_PEER_BUFFER_BYTES;
+import static yewjunction.limits.TransportLimits.MAX_MESSAGE_BYTES;
+import static yewjunction.limits.TransportLimits.MAX_PEER_QUEUE_BYTES;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -23,12 +23,12 @@
 /** One peer link: frames of four bytes of length and a letter; length 0 is a beat. */
 final class TcpPeerConnection implements PeerConnection, EventLoopAgent.ReadyHandler {
   private final TcpPeerTransport owner;
-  private final EventLoopAgent loom;
+  private final EventLoopAgent agent;
   private final MessageCodec codec;
   private final SocketChannel channel;
   private final String dialledAddress;
-  private final WriteBuffer outbox = new WriteBuffer(LINK_BUFFER_BYTES);
-  private ByteBuffer input = ByteBuffer.allocate(LINK_BUFFER_BYTES);
+  private final WriteBuffer outbox = new WriteBuffer(INITIAL_PEER_BUFFER_BYTES);
+  private ByteBuffer input = ByteBuffer.allocate(INITIAL_PEER_BUFFER_BYTES);
   private SelectionKey key;
   private boolean connected;
   private boolean closed;
@@ -39,24 +39,24 @@
 
   TcpPeerConnection(
       final TcpPeerTransport owner,
-      final EventLoopAgent loom,
+      final EventLoopAgent agent,
       final MessageCodec codec,
       final SocketChannel channel,
       final String dialledAddress)
       throws IOException {
     this.owner = owner;
-    this.loom = loom;
+    this.agent = agent;
     this.codec = codec;
     this.channel = channel;
     this.dialledAddress = dialledAddress;
-    heardMs = loom.nowMs();
+    heardMs = agent.nowMs();
     spokeMs = heardMs;
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     if (dialledAddress == null) {
       connected = true;
       remote = SocketAddresses.text((InetSocketAddress) channel.getRemoteAddress());
-      key = channel.register(loom.selector(), SelectionKey.OP_READ, this);
+      key = channel.register(agent.selector(), SelectionKey.OP_READ, this);
     } else {
       remote = dialledAddress;
     }
@@ -66,9 +66,9 @@
     connected = channel.connect(SocketAddresses.parse(dialledAddress));
     key =
         channel.register(
-            loom.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-    loom.after(
-        DIAL_MS,
+            agent.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+    agent.after(
+        CONNECT_TIMEOUT_MS,
         () -> {
           if (!connected) {
             close();
@@ -81,16 +81,16 @@
   }
 
   @Override
-  public boolean send(final Object letter) {
+  public boolean send(final Object message) {
     if (closed) {
       return false;
     }
-    final byte[] bytes = codec.encode(letter);
+    final byte[] bytes = codec.encode(message);
     outbox.putInt(bytes.length);
     outbox.put(bytes, 0, bytes.length);
-    spokeMs = loom.nowMs();
+    spokeMs = agent.nowMs();
     // A peer that does not read is cut, never waited for.
-    if (outbox.size() > LINK_QUEUE_BYTES) {
+    if (outbox.size() > MAX_PEER_QUEUE_BYTES) {
       LogEvent.LINK_SLOW.warn(remote);
       close();
       return false;
@@ -102,7 +102,7 @@
   private void flushSoon() {
     if (!flushing) {
       flushing = true;
-      loom.flushLater(this::flush);
+      agent.flushLater(this::flush);
     }
   }
 
@@ -114,7 +114,7 @@
     try {
       final boolean done = outbox.write(channel);
       key.interestOps(done ? SelectionKey.OP_READ : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
-    } catch (final IOException defect) {
+    } catch (final IOException failure) {
       close();
     }
   }
@@ -125,7 +125,7 @@
       if (readyKey.isConnectable()) {
         channel.finishConnect();
         connected = true;
-        heardMs = loom.nowMs();
+        heardMs = agent.nowMs();
         key.interestOps(SelectionKey.OP_READ);
         flushSoon();
       }
@@ -135,10 +135,10 @@
       if (!closed && readyKey.isValid() && readyKey.isWritable()) {
         flush();
       }
-    } catch (final IOException defect) {
+    } catch (final IOException failure) {
       close();
-    } catch (final YewjunctionException defect) {
-      LogEvent.LINK_GARBLED.warn(remote + " " + defect.code() + " " + defect.getMessage());
+    } catch (final YewjunctionException failure) {
+      LogEvent.LINK_GARBLED.warn(remote + " " + failure.code() + " " + failure.getMessage());
       close();
     }
   }
@@ -149,12 +149,12 @@
       close();
       return;
     }
-    heardMs = loom.nowMs();
+    heardMs = agent.nowMs();
     input.flip();
     int needed = 0;
     while (!closed && input.remaining() >= 4) {
       final int length = input.getInt(input.position());
-      if (length < 0 || length > LETTER_BYTES) {
+      if (length < 0 || length > MAX_MESSAGE_BYTES) {
         throw new TransportException(CONNECTION_GARBLED, "length " + length);
       }
       if (input.remaining() < 4 + length) {
@@ -173,34 +173,34 @@
       input.flip();
       larger.put(input);
       input = larger;
-    } else if (input.position() == 0 && input.capacity() > 16 * LINK_BUFFER_BYTES) {
+    } else if (input.position() == 0 && input.capacity() > 16 * INITIAL_PEER_BUFFER_BYTES) {
       // A large letter came once; memory at its peak is dear, so the buffer shrinks again.
-      input = ByteBuffer.allocate(LINK_BUFFER_BYTES);
+      input = ByteBuffer.allocate(INITIAL_PEER_BUFFER_BYTES);
     }
   }
 
   private void take(final int start, final int length) {
-    final Object letter;
+    final Object message;
     try {
-      letter = codec.decode(input.array(), start, length);
-    } catch (final YewjunctionException defect) {
+      message = codec.decode(input.array(), start, length);
+    } catch (final YewjunctionException failure) {
       // A kind this release does not know is skipped, so that releases can mix.
-      if (defect.code() == MESSAGE_UNKNOWN) {
+      if (failure.code() == MESSAGE_UNKNOWN) {
         return;
       }
-      throw defect;
+      throw failure;
     }
-    owner.deliver(this, letter);
+    owner.deliver(this, message);
   }
 
   void beat(final long nowMs) {
     if (closed || !connected) {
       return;
     }
-    if (nowMs - heardMs > LINK_SILENCE_MS) {
+    if (nowMs - heardMs > CONNECTION_TIMEOUT_MS) {
       LogEvent.LINK_LOST.info(remote + " silent");
       close();
-    } else if (nowMs - spokeMs >= LINK_BEAT_MS) {
+    } else if (nowMs - spokeMs >= CONNECTION_HEARTBEAT_INTERVAL_MS) {
       outbox.putInt(0);
       spokeMs = nowMs;
       flushSoon();
--- a/src/main/java/yewjunction/transport/TcpPeerTransport.java
+++ b/src/main/java/yewjunction/transport/TcpPeerTransport.java
@@ -1,7 +1,7 @@
 package yewjunction.transport;
 
-import static yewjunction.common.Limits.BACKLOG;
-import static yewjunction.common.Limits.LINK_BEAT_MS;
+import static yewjunction.limits.TransportLimits.ACCEPT_BACKLOG;
+import static yewjunction.limits.TransportLimits.CONNECTION_HEARTBEAT_INTERVAL_MS;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -24,76 +24,76 @@
 
 /** All peer links of a process over TCP. */
 public class TcpPeerTransport implements PeerTransport {
-  private final EventLoopAgent loom;
+  private final EventLoopAgent agent;
   private final MessageCodec codec;
   private final InetSocketAddress own;
   private final Map<String, TcpPeerConnection> dialled = new HashMap<>();
-  private final Set<TcpPeerConnection> wires = new HashSet<>();
+  private final Set<TcpPeerConnection> connections = new HashSet<>();
   private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
   private final List<Consumer<PeerConnection>> closers = new ArrayList<>();
 
   public TcpPeerTransport(
-      final EventLoopAgent loom, final MessageCodec codec, final InetSocketAddress own) {
-    this.loom = loom;
+      final EventLoopAgent agent, final MessageCodec codec, final InetSocketAddress own) {
+    this.agent = agent;
     this.codec = codec;
     this.own = own;
     try {
       final ServerSocketChannel server = ServerSocketChannel.open();
       server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      server.bind(own, BACKLOG);
+      server.bind(own, ACCEPT_BACKLOG);
       server.configureBlocking(false);
       server.register(
-          loom.selector(),
+          agent.selector(),
           SelectionKey.OP_ACCEPT,
           (EventLoopAgent.ReadyHandler) key -> take(server));
-    } catch (final IOException defect) {
-      throw new UncheckedIOException("cannot listen for peers on " + own, defect);
+    } catch (final IOException failure) {
+      throw new UncheckedIOException("cannot listen for peers on " + own, failure);
     }
-    loom.every(LINK_BEAT_MS / 2, this::beat);
+    agent.every(CONNECTION_HEARTBEAT_INTERVAL_MS / 2, this::beat);
   }
 
   private void take(final ServerSocketChannel server) throws IOException {
     SocketChannel channel;
     while ((channel = server.accept()) != null) {
-      wires.add(new TcpPeerConnection(this, loom, codec, channel, null));
+      connections.add(new TcpPeerConnection(this, agent, codec, channel, null));
     }
   }
 
   private void beat() {
-    final long nowMs = loom.nowMs();
-    for (final TcpPeerConnection wire : new ArrayList<>(wires)) {
-      wire.beat(nowMs);
+    final long nowMs = agent.nowMs();
+    for (final TcpPeerConnection connection : new ArrayList<>(connections)) {
+      connection.beat(nowMs);
     }
   }
 
   @Override
   public PeerConnection dial(final String address) {
-    final TcpPeerConnection known = dialled.get(address);
-    if (known != null && known.open()) {
-      return known;
+    final TcpPeerConnection existing = dialled.get(address);
+    if (existing != null && existing.open()) {
+      return existing;
     }
-    TcpPeerConnection wire = null;
+    TcpPeerConnection connection = null;
     SocketChannel channel = null;
     try {
       channel = channel();
       // The own address as source: the platform's links belong to the machine's address.
       channel.bind(new InetSocketAddress(own.getAddress(), 0));
-      wire = new TcpPeerConnection(this, loom, codec, channel, address);
-      wires.add(wire);
-      dialled.put(address, wire);
-      wire.connect();
-    } catch (final IOException defect) {
-      if (wire == null) {
+      connection = new TcpPeerConnection(this, agent, codec, channel, address);
+      connections.add(connection);
+      dialled.put(address, connection);
+      connection.connect();
+    } catch (final IOException failure) {
+      if (connection == null) {
         // No descriptor is left, perhaps: a link that broke at once. Whoever dialled has more to do
         // in this turn.
         shut(channel);
         final PeerConnection lost = new FailedConnection(address);
-        loom.post(() -> closers.forEach(closer -> closer.accept(lost)));
+        agent.post(() -> closers.forEach(closer -> closer.accept(lost)));
         return lost;
       }
-      wire.close();
+      connection.close();
     }
-    return wire;
+    return connection;
   }
 
   private static void shut(final SocketChannel channel) {
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public boolean send(final Object letter) {
+    public boolean send(final Object message) {
       return false;
     }
 
@@ -141,7 +141,7 @@
 
   @Override
   public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-    handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
+    handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
   @Override
@@ -149,19 +149,19 @@
     closers.add(handler);
   }
 
-  void deliver(final TcpPeerConnection wire, final Object letter) {
-    final BiConsumer<PeerConnection, Object> handler = handlers.get(letter.getClass());
+  void deliver(final TcpPeerConnection connection, final Object message) {
+    final BiConsumer<PeerConnection, Object> handler = handlers.get(message.getClass());
     if (handler != null) {
-      handler.accept(wire, letter);
+      handler.accept(connection, message);
     }
   }
 
-  void gone(final TcpPeerConnection wire) {
-    wires.remove(wire);
-    if (wire.dialledAddress() != null) {
-      dialled.remove(wire.dialledAddress(), wire);
+  void gone(final TcpPeerConnection connection) {
+    connections.remove(connection);
+    if (connection.dialledAddress() != null) {
+      dialled.remove(connection.dialledAddress(), connection);
     }
     // Told on a later turn, so that nobody's table changes while it is being walked.
-    loom.post(() -> closers.forEach(closer -> closer.accept(wire)));
+    agent.post(() -> closers.forEach(closer -> closer.accept(connection)));
   }
 }
--- a/src/main/java/yewjunction/transport/UdpTransport.java
+++ b/src/main/java/yewjunction/transport/UdpTransport.java
@@ -18,19 +18,19 @@
   private final DatagramChannel channel;
   private final MessageCodec codec;
   private final ByteBuffer input = ByteBuffer.allocate(DATAGRAM_BYTES);
-  private BiConsumer<String, Object> handler = (from, letter) -> {};
+  private BiConsumer<String, Object> handler = (from, message) -> {};
 
   public UdpTransport(
-      final EventLoopAgent loom, final MessageCodec codec, final InetSocketAddress own) {
+      final EventLoopAgent agent, final MessageCodec codec, final InetSocketAddress own) {
     this.codec = codec;
     try {
       channel = DatagramChannel.open();
       channel.bind(own);
       channel.configureBlocking(false);
       channel.register(
-          loom.selector(), SelectionKey.OP_READ, (EventLoopAgent.ReadyHandler) key -> read());
-    } catch (final IOException defect) {
-      throw new UncheckedIOException("cannot listen for probes on " + own, defect);
+          agent.selector(), SelectionKey.OP_READ, (EventLoopAgent.ReadyHandler) key -> read());
+    } catch (final IOException failure) {
+      throw new UncheckedIOException("cannot listen for probes on " + own, failure);
     }
   }
 
@@ -38,9 +38,9 @@
     handler = newHandler;
   }
 
-  public void send(final String address, final Object letter) {
+  public void send(final String address, final Object message) {
     try {
-      channel.send(ByteBuffer.wrap(codec.encode(letter)), SocketAddresses.parse(address));
+      channel.send(ByteBuffer.wrap(codec.encode(message)), SocketAddresses.parse(address));
     } catch (final IOException ignored) {
       // A datagram may be lost anyway: the protocol above sends again.
     }
@@ -58,14 +58,14 @@
       if (from == null) {
         return;
       }
-      final Object letter;
+      final Object message;
       try {
-        letter = codec.decode(input.array(), 0, input.position());
+        message = codec.decode(input.array(), 0, input.position());
       } catch (final YewjunctionException ignored) {
         // Anyone may send a datagram: what cannot be read is dropped.
         continue;
       }
-      handler.accept(SocketAddresses.text(from), letter);
+      handler.accept(SocketAddresses.text(from), message);
     }
   }
 }
--- a/src/test/java/yewjunction/capacity/CapacityHarness.java
+++ b/src/test/java/yewjunction/capacity/CapacityHarness.java
@@ -20,7 +20,9 @@
    * bytes; a process's own tables, and what its roster keeps of each other one: both from runs of
    * this program.
    */
-  private static final long NODE_BYTES = 500_000, PAIR_BYTES = 300;
+  private static final long NODE_BYTES = 500_000;
+
+  private static final long PAIR_BYTES = 300;
 
   private CapacityHarness() {}
 
--- a/src/test/java/yewjunction/capacity/ControlTraffic.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -9,7 +9,9 @@
 /** What a fleet that only keeps itself together says and costs, for one number of nodes. */
 final class ControlTraffic {
   /** simulated ms; the news of a start ride on probes for up to a minute where nodes are many. */
-  private static final long SETTLE_MS = 60_000, WATCH_MS = 30_000;
+  private static final long SETTLE_MS = 60_000;
+
+  private static final long WATCH_MS = 30_000;
 
   /**
    * Layers whose letters are control; vault and herald letters of an idle fleet too: nobody
@@ -22,19 +24,19 @@
   /** False when the fleet did not settle: then there are no figures. */
   boolean measure(final int edgeCount, final int vaultCount, final int cruxCount) {
     final HollowFleet fleet = new HollowFleet(edgeCount, edgeCount, vaultCount, cruxCount);
-    fleet.world.runFor(1_500);
+    fleet.network.runFor(1_500);
     if (!fleet.configure(90, 60)
-        || !fleet.world.runUntil(() -> fleet.ready() == edgeCount, 60_000)) {
+        || !fleet.network.runUntil(() -> fleet.ready() == edgeCount, 60_000)) {
       return false;
     }
-    figures.put("start: ms until all edges are ready", (double) fleet.world.nowMs());
-    fleet.world.runFor(SETTLE_MS);
+    figures.put("start: ms until all edges are ready", (double) fleet.network.nowMs());
+    fleet.network.runFor(SETTLE_MS);
     fleet.meter.reset();
     final com.sun.management.ThreadMXBean threads =
         (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
     final long cpuBefore = threads.getCurrentThreadCpuTime();
     final long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
-    fleet.world.runFor(WATCH_MS);
+    fleet.network.runFor(WATCH_MS);
     final double nodeSeconds = (edgeCount + vaultCount + cruxCount) * WATCH_MS / 1_000.0;
     figures.put(
         "all: us of CPU a node and second, simulator and both ends of the codec included",
@@ -43,8 +45,8 @@
         "all: KB allocated a node and second",
         (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / nodeSeconds);
     role("edge", fleet, fleet.edges);
-    role("store", fleet, fleet.vaults);
-    role("control", fleet, fleet.cruxes);
+    role("store", fleet, fleet.stores);
+    role("control", fleet, fleet.controlNodes);
     if (fleet.ready() != edgeCount) {
       return false;
     }
@@ -87,12 +89,12 @@
   /** What one restarted edge makes all others hear. */
   private void restart(final HollowFleet fleet) {
     final String address = fleet.edges.get(fleet.edges.size() / 2);
-    fleet.world.host(address).kill();
-    fleet.world.runFor(50);
+    fleet.network.host(address).kill();
+    fleet.network.runFor(50);
     fleet.meter.reset();
     fleet.boot(address, NodeRole.EDGE, false);
-    fleet.world.runUntil(() -> fleet.edge(address).ready(), 20_000);
-    fleet.world.runFor(1_000);
+    fleet.network.runUntil(() -> fleet.edge(address).ready(), 20_000);
+    fleet.network.runFor(1_000);
     double bytes = 0;
     for (final String edge : fleet.edges) {
       bytes += edge.equals(address) ? 0 : fleet.meter.of(edge, "control.LeaseResponse")[3];
@@ -104,14 +106,14 @@
 
   /** What one change of the configuration costs, and how long until the last edge has it. */
   private void change(final HollowFleet fleet) {
-    fleet.world.runFor(3_000);
+    fleet.network.runFor(3_000);
     fleet.meter.reset();
-    final long startMs = fleet.world.nowMs();
+    final long startMs = fleet.network.nowMs();
     if (!fleet.configure(90, 60)) {
       throw new IllegalStateException("a second configuration was not taken");
     }
-    final long takenMs = fleet.world.nowMs();
-    fleet.world.runFor(1_000);
+    final long takenMs = fleet.network.nowMs();
+    fleet.network.runFor(1_000);
     double bytes = 0;
     for (final String edge : fleet.edges) {
       bytes += fleet.meter.of(edge, "control.LeaseResponse")[3];
--- a/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
+++ b/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
@@ -10,15 +10,18 @@
  * 60 counts and 250 changed subscriptions a second.
  */
 final class CrossZoneTraffic {
-  private static final int EDGES = 90, CLIENTS = 450, TOPICS = 600, SECONDS = 10;
+  private static final int EDGES = 90;
+  private static final int CLIENTS = 450;
+  private static final int TOPICS = 600;
+  private static final int SECONDS = 10;
 
   private CrossZoneTraffic() {}
 
   static Map<String, Double> measure(final int stores) {
     final HollowFleet fleet = new HollowFleet(stores, EDGES, stores, 5);
-    fleet.world.loss = 0;
-    fleet.world.runFor(1_500);
-    if (!fleet.configure(90, 60) || !fleet.world.runUntil(() -> fleet.ready() == EDGES, 30_000)) {
+    fleet.network.loss = 0;
+    fleet.network.runFor(1_500);
+    if (!fleet.configure(90, 60) || !fleet.network.runUntil(() -> fleet.ready() == EDGES, 30_000)) {
       return null;
     }
     final List<HollowClient> clients = new ArrayList<>();
@@ -29,11 +32,11 @@
       }
       clients.add(client);
     }
-    fleet.world.every(500, () -> clients.forEach(client -> client.say("PING\r\n")));
-    fleet.world.runFor(10_000);
+    fleet.network.every(500, () -> clients.forEach(client -> client.say("PING\r\n")));
+    fleet.network.runFor(10_000);
     fleet.meter.reset();
     final long[] number = new long[2];
-    fleet.world.every(
+    fleet.network.every(
         10,
         () -> {
           number[0]++;
@@ -49,7 +52,7 @@
                       + "\r\n");
         });
     // Clients drop a topic and take another one, 250 times a second.
-    fleet.world.every(
+    fleet.network.every(
         4,
         () -> {
           number[1]++;
@@ -62,13 +65,13 @@
                       + number[1] * 11 % TOPICS
                       + "\r\n");
         });
-    fleet.world.every(
+    fleet.network.every(
         16,
         () ->
             clients
                 .get((int) (number[0] * 13 % CLIENTS))
                 .say("WHO s0.t" + number[0] * 5 % TOPICS + "\r\n"));
-    fleet.world.runFor(SECONDS * 1_000);
+    fleet.network.runFor(SECONDS * 1_000);
     final Map<String, Double> figures = new TreeMap<>();
     double all = 0;
     for (final Map.Entry<String, long[]> row : fleet.meter.across.entrySet()) {
--- a/src/test/java/yewjunction/capacity/HollowClient.java
+++ b/src/test/java/yewjunction/capacity/HollowClient.java
@@ -29,7 +29,7 @@
   public WriteBuffer out() {
     if (!flushing) {
       flushing = true;
-      fleet.world.after(
+      fleet.network.after(
           0,
           () -> {
             flushing = false;
--- a/src/test/java/yewjunction/capacity/HollowFleet.java
+++ b/src/test/java/yewjunction/capacity/HollowFleet.java
@@ -24,11 +24,11 @@
 final class HollowFleet {
   private static final int PORT = 7000;
   private static final int ZONES = 5;
-  final SimulatedNetwork world;
+  final SimulatedNetwork network;
   final TrafficMeter meter = new TrafficMeter();
   final List<String> edges = new ArrayList<>();
-  final List<String> vaults = new ArrayList<>();
-  final List<String> cruxes = new ArrayList<>();
+  final List<String> stores = new ArrayList<>();
+  final List<String> controlNodes = new ArrayList<>();
   private final Map<String, Node> nodes = new TreeMap<>();
   private final List<String> seeds = new ArrayList<>();
   private final int lossesBorne;
@@ -36,25 +36,25 @@
   private long version;
 
   HollowFleet(final long seed, final int edgeCount, final int vaultCount, final int cruxCount) {
-    world = new SimulatedNetwork(seed);
-    world.meter = meter;
+    network = new SimulatedNetwork(seed);
+    network.meter = meter;
     lossesBorne = cruxCount >= 5 && vaultCount >= 5 ? 2 : 1;
     for (int i = 0; i < cruxCount; i++) {
-      cruxes.add(
+      controlNodes.add(
           "10." + zone(i) + ".1." + (1 + i / ZONES) + ":" + (PORT + Settings.CONTROL_PORT_OFFSET));
     }
     for (int i = 0; i < 3; i++) {
-      seeds.add(cruxes.get(i).replace(":" + (PORT + Settings.CONTROL_PORT_OFFSET), ":8024"));
+      seeds.add(controlNodes.get(i).replace(":" + (PORT + Settings.CONTROL_PORT_OFFSET), ":8024"));
     }
     for (int i = 0; i < vaultCount; i++) {
-      vaults.add("10." + zone(i) + ".2." + (1 + i / ZONES) + ":" + PORT);
+      stores.add("10." + zone(i) + ".2." + (1 + i / ZONES) + ":" + PORT);
     }
     for (int i = 0; i < edgeCount; i++) {
       edges.add(
           "10." + zone(i) + "." + (3 + i / ZONES / 250) + "." + (1 + i / ZONES % 250) + ":" + PORT);
     }
-    cruxes.forEach(address -> boot(address, NodeRole.CONTROL, true));
-    vaults.forEach(address -> boot(address, NodeRole.STORE, true));
+    controlNodes.forEach(address -> boot(address, NodeRole.CONTROL, true));
+    stores.forEach(address -> boot(address, NodeRole.STORE, true));
     edges.forEach(address -> boot(address, NodeRole.EDGE, true));
   }
 
@@ -63,7 +63,7 @@
   }
 
   void boot(final String address, final NodeRole role, final boolean founding) {
-    final SimulatedHost host = world.host(address);
+    final SimulatedHost host = network.host(address);
     final String ip = address.substring(0, address.indexOf(':'));
     final Settings settings =
         new Settings(
@@ -96,12 +96,12 @@
   /** How many edges may be sent clients. */
   long ready() {
     return edges.stream()
-        .filter(address -> world.host(address).up() && edge(address).ready())
+        .filter(address -> network.host(address).up() && edge(address).ready())
         .count();
   }
 
   String leadingVault() {
-    return vaults.stream()
+    return stores.stream()
         .filter(address -> ((StoreNode) nodes.get(address)).leads())
         .findFirst()
         .orElse("");
@@ -137,19 +137,19 @@
     json.append("]}");
     final boolean[] taken = new boolean[1];
     for (int attempt = 0; attempt < 60 && !taken[0]; attempt++) {
-      final String crux = cruxes.get(attempt % cruxes.size());
+      final String controlNode = controlNodes.get(attempt % controlNodes.size());
       final byte[] body = json.toString().getBytes(StandardCharsets.UTF_8);
-      world
-          .host(crux)
+      network
+          .host(controlNode)
           .post(
               () ->
-                  ((ControlNode) nodes.get(crux))
+                  ((ControlNode) nodes.get(controlNode))
                       .desk()
                       .take(
                           new OperatorApi.Request(
                               "POST", "/-/config/replace", String.valueOf(version), body),
-                          answer -> taken[0] |= answer.status() == 200));
-      world.runUntil(() -> taken[0], 300);
+                          response -> taken[0] |= response.status() == 200));
+      network.runUntil(() -> taken[0], 300);
     }
     version = taken[0] ? next : version;
     return taken[0];
--- a/src/test/java/yewjunction/capacity/MessageCost.java
+++ b/src/test/java/yewjunction/capacity/MessageCost.java
@@ -12,9 +12,13 @@
  */
 final class MessageCost {
   /** simulated ms. */
-  private static final long SETTLE_MS = 6_000, WATCH_MS = 8_000;
+  private static final long SETTLE_MS = 6_000;
 
-  private static final int VAULTS = 5, CRUXES = 3, BODY_BYTES = 100;
+  private static final long WATCH_MS = 8_000;
+
+  private static final int VAULTS = 5;
+  private static final int CRUXES = 3;
+  private static final int BODY_BYTES = 100;
   final Map<String, Double> figures = new TreeMap<>();
 
   /**
@@ -24,9 +28,10 @@
   boolean measure(final int perSecond, final int edgeCount, final int listeners) {
     final HollowFleet fleet =
         new HollowFleet(perSecond + edgeCount + listeners, edgeCount, VAULTS, CRUXES);
-    fleet.world.loss = 0;
-    fleet.world.runFor(1_500);
-    if (!fleet.configure(3, 3) || !fleet.world.runUntil(() -> fleet.ready() == edgeCount, 30_000)) {
+    fleet.network.loss = 0;
+    fleet.network.runFor(1_500);
+    if (!fleet.configure(3, 3)
+        || !fleet.network.runUntil(() -> fleet.ready() == edgeCount, 30_000)) {
       return false;
     }
     final List<HollowClient> readers = new ArrayList<>();
@@ -39,9 +44,9 @@
       }
       senders.add(new HollowClient(fleet, edge, "sender" + senders.size()));
     }
-    fleet.world.every(500, () -> readers.forEach(reader -> reader.say("PING\r\n")));
-    fleet.world.every(500, () -> senders.forEach(sender -> sender.say("PING\r\n")));
-    fleet.world.runFor(SETTLE_MS);
+    fleet.network.every(500, () -> readers.forEach(reader -> reader.say("PING\r\n")));
+    fleet.network.every(500, () -> senders.forEach(sender -> sender.say("PING\r\n")));
+    fleet.network.runFor(SETTLE_MS);
     fleet.meter.reset();
     final com.sun.management.ThreadMXBean threads =
         (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -50,7 +55,7 @@
     final long count = perSecond * WATCH_MS / 1_000;
     for (long i = 0; i < count; i++) {
       final long number = i + 1;
-      fleet.world.afterMicros(
+      fleet.network.afterMicros(
           1_000_000 * i / perSecond,
           () ->
               senders
@@ -64,7 +69,7 @@
                           + "x".repeat(BODY_BYTES)
                           + "\r\n"));
     }
-    fleet.world.runFor(WATCH_MS);
+    fleet.network.runFor(WATCH_MS);
     final String leader = fleet.leadingVault();
     final double seconds = WATCH_MS / 1_000.0;
     figures.put(
@@ -83,11 +88,11 @@
         "leader: bytes/s of offers taken",
         fleet.meter.of(leader, "store.AdmitRequest")[3] / seconds);
     double flow = 0;
-    for (final String vault : fleet.vaults) {
-      flow += fleet.meter.of(vault, "fanout.StreamBatch")[1];
+    for (final String store : fleet.stores) {
+      flow += fleet.meter.of(store, "fanout.StreamBatch")[1];
     }
     figures.put("homes: bytes/s of the streams to all edges", flow / seconds);
-    fleet.world.runFor(1_500);
+    fleet.network.runFor(1_500);
     final long acknowledged = senders.stream().mapToLong(sender -> sender.acknowledged).sum();
     final long delivered = readers.stream().mapToLong(reader -> reader.messages).sum();
     figures.put(
--- a/src/test/java/yewjunction/cli/DoctorTest.java
+++ b/src/test/java/yewjunction/cli/DoctorTest.java
@@ -59,7 +59,7 @@
       final boolean votes,
       final int version,
       final String peers,
-      final String vaults) {
+      final String stores) {
     return "{\"Nodename\":\"n\",\"Leads\":"
         + leads
         + ",\"Leader\":\""
@@ -71,7 +71,7 @@
         + ",\"Siblings\":["
         + peers
         + "],\"Vaults\":["
-        + vaults
+        + stores
         + "]}";
   }
 
@@ -155,11 +155,11 @@
             .replace(":3,", ":900,")
             .replace("OwedMs\":0", "OwedMs\":4000")
             .replace(":40", ":97");
-    final String vaults =
+    final String stores =
         "{\"Nodename\":\"v1\",\"Applied\":9,\"SeenMs\":10},{\"Nodename\":\"v2\",\"Applied\":9,\"SeenMs\":10},"
             + "{\"Nodename\":\"v3\",\"Applied\":9,\"SeenMs\":10}";
     final String page =
-        outlook(true, "a:1", true, 3, "", vaults)
+        outlook(true, "a:1", true, 3, "", stores)
             .replaceFirst("\"Applied\":9,", "\"Addr\":\"a:1\",\"Applied\":9,\"Wards\":[WARDS],")
             .replace(",\"b:1\",\"c:1\"", "");
     assertEquals(Set.of(), codes(settings(List.of(serve(200, page.replace("WARDS", well)))), null));
@@ -184,12 +184,12 @@
     final String peers =
         "{\"Nodename\":\"e1\",\"Duty\":\"tide\",\"Az\":\"z\",\"Addr\":\"1\",\"Up\":true,\"Suspect\":false,\"Ready\":false},"
             + "{\"Nodename\":\"e2\",\"Duty\":\"tide\",\"Az\":\"z\",\"Addr\":\"2\",\"Up\":true,\"Suspect\":true,\"Ready\":true}";
-    final String vaults =
+    final String stores =
         "{\"Nodename\":\"v1\",\"Applied\":9000,\"SeenMs\":10},{\"Nodename\":\"v2\",\"Applied\":20,\"SeenMs\":10},"
             + "{\"Nodename\":\"v3\",\"Applied\":9000,\"SeenMs\":60000}";
     final List<String> seeds = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      seeds.add(serve(200, outlook(i == 0, "a:1", true, 3, peers, i == 0 ? vaults : "")));
+      seeds.add(serve(200, outlook(i == 0, "a:1", true, 3, peers, i == 0 ? stores : "")));
     }
     assertEquals(
         Set.of(
@@ -206,10 +206,10 @@
     final String account =
         "{\"Tenant\":\"t\",\"Index\":7,\"BorrowMax\":50.0,\"RepayShare\":0.5,\"Tokens\":1.0,\"Debt\":3.0,"
             + "\"Borrowed\":9.0,\"Repaid\":6.0}";
-    final String vaults =
+    final String stores =
         "{\"Nodename\":\"v1\",\"Applied\":9,\"SeenMs\":10,\"Accounts\":[ONE]},"
             + "{\"Nodename\":\"v2\",\"Applied\":9,\"SeenMs\":10,\"Accounts\":[TWO]},{\"Nodename\":\"v3\",\"Applied\":9,\"SeenMs\":10}";
-    final String page = outlook(true, "a:1", true, 3, "", vaults).replace(",\"b:1\",\"c:1\"", "");
+    final String page = outlook(true, "a:1", true, 3, "", stores).replace(",\"b:1\",\"c:1\"", "");
     assertEquals(
         Set.of(),
         codes(
@@ -236,11 +236,11 @@
 
   @Test
   void breaksOfTheDeclaredOrderAreTold() throws IOException {
-    final String vaults =
+    final String stores =
         "{\"Nodename\":\"v1\",\"Applied\":9,\"SeenMs\":10},{\"Nodename\":\"v2\",\"Applied\":9,\"SeenMs\":10},"
             + "{\"Nodename\":\"v3\",\"Applied\":9,\"SeenMs\":10}";
     final String page =
-        outlook(true, "a:1", true, 3, "", vaults)
+        outlook(true, "a:1", true, 3, "", stores)
             .replace(",\"b:1\",\"c:1\"", "")
             .replaceFirst("\\{", "{\"Channels\":[CHANNELS],");
     final String gap = "{\"Topic\":\"s.t\",\"Nodename\":\"e1\",\"Breaks\":0,\"Gaps\":4}";
--- a/src/test/java/yewjunction/common/GoldenBytesTest.java
+++ b/src/test/java/yewjunction/common/GoldenBytesTest.java
@@ -7,11 +7,13 @@
 
 /** The comparison of bytes sees what it is there to see. */
 class GoldenBytesTest {
+  /** Two fields of one type. */
   static final class Original {
     long first = 5;
     long second = 6;
   }
 
+  /** The same two fields in the other order. */
   static final class WithFieldsSwapped {
     long second = 6;
     long first = 5;
--- a/src/test/java/yewjunction/common/PendingRequestsTest.java
+++ b/src/test/java/yewjunction/common/PendingRequestsTest.java
@@ -11,19 +11,20 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Responses count once, and only from whom they were asked. */
 class PendingRequestsTest {
   /** Any answers in any order: only what is open, of whom it was asked, and once. */
   @Test
   void onlyTheFirstAnswerOfWhomWasAskedCounts() {
     final Random random = new Random(3);
-    final PendingRequests<String, String> questions = new PendingRequests<>(5);
+    final PendingRequests<String, String> pendingRequests = new PendingRequests<>(5);
     final Map<Long, String> open = new HashMap<>();
     final List<Long> numbers = new ArrayList<>();
     int counted = 0;
     for (int turn = 0; turn < 20_000; turn++) {
       final String peer = "p" + random.nextInt(3);
       if (numbers.isEmpty() || random.nextInt(3) == 0) {
-        final long number = questions.ask(peer, "asked of " + peer);
+        final long number = pendingRequests.ask(peer, "asked of " + peer);
         assertNull(open.put(number, peer), "number given twice");
         numbers.add(number);
         continue;
@@ -32,27 +33,27 @@
       final long number =
           numbers.get(numbers.size() - 1 - random.nextInt(Math.min(12, numbers.size())));
       if (random.nextInt(8) == 0) {
-        questions.drop(number);
+        pendingRequests.drop(number);
         open.remove(number);
       } else {
         final boolean due = peer.equals(open.get(number));
-        assertEquals(due ? "asked of " + peer : null, questions.answered(number, peer));
+        assertEquals(due ? "asked of " + peer : null, pendingRequests.answered(number, peer));
         counted += due ? 1 : 0;
         open.remove(number, peer);
       }
-      assertEquals(open.isEmpty(), questions.none());
+      assertEquals(open.isEmpty(), pendingRequests.none());
     }
     assertTrue(counted > 1_000, "counted " + counted);
   }
 
   @Test
   void whatIsOverIsGivenUpTogether() {
-    final PendingRequests<String, Integer> questions = new PendingRequests<>(5);
-    final long first = questions.ask("p", 1);
-    final long second = questions.ask("p", 2);
-    assertEquals(List.of(1), questions.drop(about -> about < 2));
-    assertNull(questions.answered(first, "p"));
-    assertEquals(2, questions.answered(second, "p"));
+    final PendingRequests<String, Integer> pendingRequests = new PendingRequests<>(5);
+    final long first = pendingRequests.ask("p", 1);
+    final long second = pendingRequests.ask("p", 2);
+    assertEquals(List.of(1), pendingRequests.drop(about -> about < 2));
+    assertNull(pendingRequests.answered(first, "p"));
+    assertEquals(2, pendingRequests.answered(second, "p"));
   }
 
   /**
--- a/src/test/java/yewjunction/control/ConfigurationPatchesTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationPatchesTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Patches between random configurations lead to exactly the newer one. */
 class ConfigurationPatchesTest {
   /** A random configuration: what it means to whoever serves by it is in the two maps. */
   private static final class Draft {
@@ -94,10 +95,11 @@
     for (int round = 0; round < 200; round++) {
       draft.change(random);
       final Configuration next = draft.charter(random);
-      final ControlCommand deed = new ControlCommand(ControlCommand.CONFIG);
-      ConfigurationPatches.add(deed, core, next);
-      assertTrue(deed.patch != null && deed.patch.length() < next.json().length(), deed.patch);
-      edge = Configuration.of(edge.updated(Configuration.parse(deed.patch)));
+      final ControlCommand command = new ControlCommand(ControlCommand.CONFIG);
+      ConfigurationPatches.add(command, core, next);
+      assertTrue(
+          command.patch != null && command.patch.length() < next.json().length(), command.patch);
+      edge = Configuration.of(edge.updated(Configuration.parse(command.patch)));
       assertEquals(next.digest(), edge.digest());
       assertEquals(next.version(), edge.version());
       assertEquals(next.subs(), edge.subs());
@@ -119,9 +121,9 @@
     for (final String after :
         List.of(
             "{\"Ver\":2,\"Lims\":{\"Subs\":5},\"Later\":4}", "{\"Ver\":2,\"Lims\":{\"Subs\":5}}")) {
-      final ControlCommand deed = new ControlCommand(ControlCommand.CONFIG);
-      ConfigurationPatches.add(deed, before, Configuration.read(after));
-      assertNull(deed.patch, after);
+      final ControlCommand command = new ControlCommand(ControlCommand.CONFIG);
+      ConfigurationPatches.add(command, before, Configuration.read(after));
+      assertNull(command.patch, after);
     }
     final ControlCommand first = new ControlCommand(ControlCommand.CONFIG);
     ConfigurationPatches.add(first, null, before);
--- a/src/test/java/yewjunction/control/ConfigurationTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import yewjunction.common.YewjunctionException;
 
+/** Configurations that are good, and the code and path of each fault. */
 class ConfigurationTest {
   private static final String ROUTE =
       "{'Name':'r1','Host':'','Pfx':'a.','Type':'kept','TimeoutMs':1500,'LingerS':35.0,"
@@ -30,15 +31,15 @@
 
   @Test
   void theLongestPrefixWins() {
-    final Configuration charter =
+    final Configuration configuration =
         Configuration.read(
             json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
-    assertEquals("r1", charter.space("a.x").name());
-    assertEquals("r2", charter.space("a.b.x").name());
-    assertEquals(25_500, charter.space("a.b.x").keepMs());
-    assertNull(charter.space("b.x"));
-    assertEquals("t", charter.tenantOfKey("k").name());
-    assertEquals(5, charter.subs());
+    assertEquals("r1", configuration.space("a.x").name());
+    assertEquals("r2", configuration.space("a.b.x").name());
+    assertEquals(25_500, configuration.space("a.b.x").keepMs());
+    assertNull(configuration.space("b.x"));
+    assertEquals("t", configuration.tenantOfKey("k").name());
+    assertEquals(5, configuration.subs());
   }
 
   @Test
@@ -90,21 +91,21 @@
 
   @Test
   void borrowingIsReadAndItsErrorsNameThePath() {
-    final Configuration charter =
+    final Configuration configuration =
         Configuration.read(
             json(
                 ROUTE,
                 "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4,'BorrowMax':50},"
                     + "{'Name':'u','RatePerS':3,'BorrowMax':7,'RepayShare':1}, {'Name':'v','RatePerS':3}"));
-    assertEquals(50, charter.tenant("t").borrowMax());
-    assertEquals(500_000, charter.tenant("t").repayPpm());
-    assertEquals(1_000_000, charter.tenant("u").repayPpm());
-    assertEquals(0, charter.tenant("v").borrowMax());
-    final YewjunctionException defect =
+    assertEquals(50, configuration.tenant("t").borrowMax());
+    assertEquals(500_000, configuration.tenant("t").repayPpm());
+    assertEquals(1_000_000, configuration.tenant("u").repayPpm());
+    assertEquals(0, configuration.tenant("v").borrowMax());
+    final YewjunctionException failure =
         assertThrows(
             YewjunctionException.class,
             () -> Configuration.read(json(ROUTE, "{'Name':'t','RatePerS':3,'BorrowMax':-1}")));
-    assertTrue(defect.getMessage().startsWith("Tenants.t.BorrowMax:"), defect.getMessage());
+    assertTrue(failure.getMessage().startsWith("Tenants.t.BorrowMax:"), failure.getMessage());
     final YewjunctionException other =
         assertThrows(
             YewjunctionException.class,
@@ -117,13 +118,14 @@
   @Test
   void declaredOrderIsReadAndARouteThatOthersNameCannotGo() {
     final String late = OTHER.replace("}", ",'After':['r1']}");
-    final Configuration charter = Configuration.read(json(ROUTE + "," + late, ""));
-    assertTrue(charter.space("a.b.x").follows(charter.space("a.x")));
-    assertFalse(charter.space("a.x").follows(charter.space("a.b.x")));
+    final Configuration configuration = Configuration.read(json(ROUTE + "," + late, ""));
+    assertTrue(configuration.space("a.b.x").follows(configuration.space("a.x")));
+    assertFalse(configuration.space("a.x").follows(configuration.space("a.b.x")));
     final Config update = Configuration.parse("{\"Ver\":9,\"Del\":{\"Routes\":[\"r1\"]}}");
-    final YewjunctionException defect =
-        assertThrows(YewjunctionException.class, () -> Configuration.of(charter.updated(update)));
-    assertTrue(defect.getMessage().startsWith("Routes.r2.After:"), defect.getMessage());
+    final YewjunctionException failure =
+        assertThrows(
+            YewjunctionException.class, () -> Configuration.of(configuration.updated(update)));
+    assertTrue(failure.getMessage().startsWith("Routes.r2.After:"), failure.getMessage());
     // Each may name the other: one order across both.
     Configuration.read(
         json(ROUTE.replace("'Unknown'", "'After':['r2'],'Unknown'") + "," + late, ""));
@@ -131,14 +133,14 @@
 
   @Test
   void anUpdateReplacesAddsAndRemovesByName() {
-    final Configuration charter =
+    final Configuration configuration =
         Configuration.read(
             json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
     final String update =
         "{'Ver':9,'Upsert':{'Routes':[{'Name':'r1','Host':'','Pfx':'a.','TimeoutMs':7},"
             + "{'Name':'r3','Host':'','Pfx':'c.','TimeoutMs':8}]},'Del':{'Routes':['r2','never'],'Tenants':['t']}}";
     final Configuration updated =
-        Configuration.of(charter.updated(Configuration.parse(update.replace('\'', '"'))));
+        Configuration.of(configuration.updated(Configuration.parse(update.replace('\'', '"'))));
     assertEquals(9, updated.version());
     assertEquals(7, updated.space("a.b.x").timeoutMs());
     assertEquals(8, updated.space("c.").timeoutMs());
--- a/src/test/java/yewjunction/control/ControlSnapshotCost.java
+++ b/src/test/java/yewjunction/control/ControlSnapshotCost.java
@@ -11,7 +11,7 @@
   private ControlSnapshotCost() {}
 
   public static void main(final String[] words) {
-    final ControlStateMachine core =
+    final ControlStateMachine stateMachine =
         new ControlStateMachine(
             new ControlStateMachine.Listener() {
               @Override
@@ -26,22 +26,22 @@
               @Override
               public void leaderIs(final String identity, final boolean self) {}
             });
-    final Random luck = new Random(1);
+    final Random random = new Random(1);
     final int bytes = Integer.parseInt(words[0]);
     for (int i = 1; i <= 520; i++) {
-      final ControlCommand deed = new ControlCommand();
-      deed.kind = ControlCommand.CONFIG;
-      deed.base = i - 1;
-      deed.version = i;
-      deed.digest = Long.toHexString(luck.nextLong()).repeat(4);
-      deed.json = i < 520 ? "{}" : "\"route\":\"a.b\",".repeat(bytes / 14);
-      core.apply(i, ControlStateMachine.bytes(deed));
+      final ControlCommand command = new ControlCommand();
+      command.kind = ControlCommand.CONFIG;
+      command.base = i - 1;
+      command.version = i;
+      command.digest = Long.toHexString(random.nextLong()).repeat(4);
+      command.json = i < 520 ? "{}" : "\"route\":\"a.b\",".repeat(bytes / 14);
+      stateMachine.apply(i, ControlStateMachine.bytes(command));
     }
     final var threads = ManagementFactory.getThreadMXBean();
     for (int round = 0; round < 5; round++) {
       final long startNs = threads.getCurrentThreadCpuTime();
       final long wallNs = System.nanoTime();
-      final byte[] state = core.snapshot();
+      final byte[] state = stateMachine.snapshot();
       System.out.printf(
           "Core.snapshot of %d bytes: cpu %.1f ms, wall %.1f ms%n",
           state.length,
--- a/src/test/java/yewjunction/control/ControlStateFixture.java
+++ b/src/test/java/yewjunction/control/ControlStateFixture.java
@@ -86,30 +86,31 @@
   }
 
   /** Applies the whole history, the first command at the index given. */
-  public static void apply(final StateMachine machine, final long firstIndex) {
+  public static void apply(final StateMachine stateMachine, final long firstIndex) {
     long index = firstIndex;
     for (final byte[] command : commands()) {
-      machine.apply(index++, command);
+      stateMachine.apply(index++, command);
     }
   }
 
   /** Every fact that the history leaves, when its first command stood at index 1. */
-  public static void assertComplete(final StateMachine machine) {
-    final ControlStateMachine core = (ControlStateMachine) machine;
-    assertEquals(2, core.version());
-    assertEquals(String.format(JSON, 2), core.json());
-    assertEquals(2, core.current().version());
-    assertTrue(core.taken(1, "digest-1"));
-    assertTrue(core.taken(2, "digest-2"));
-    final ClusterState facts = core.facts();
-    assertEquals(7, facts.number());
-    assertEquals(2, facts.newestReplica());
-    assertEquals(Set.of(2L), facts.liveReplicas());
-    assertEquals(2, facts.replica("10.0.0.3:7000", 100));
-    assertEquals("10.0.0.3:7000", facts.addressOf(2));
-    assertEquals(List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z"), facts.vaults());
-    assertEquals(List.of("10.0.0.5:7000"), facts.vaultAddresses("zb", true));
-    assertTrue(facts.retiring("store-4").finished);
-    assertEquals(Set.of("10.0.0.4:7000"), facts.retiringAddresses());
+  public static void assertComplete(final StateMachine stateMachine) {
+    final ControlStateMachine controlStateMachine = (ControlStateMachine) stateMachine;
+    assertEquals(2, controlStateMachine.version());
+    assertEquals(String.format(JSON, 2), controlStateMachine.json());
+    assertEquals(2, controlStateMachine.current().version());
+    assertTrue(controlStateMachine.taken(1, "digest-1"));
+    assertTrue(controlStateMachine.taken(2, "digest-2"));
+    final ClusterState clusterState = controlStateMachine.facts();
+    assertEquals(7, clusterState.number());
+    assertEquals(2, clusterState.newestReplica());
+    assertEquals(Set.of(2L), clusterState.liveReplicas());
+    assertEquals(2, clusterState.replica("10.0.0.3:7000", 100));
+    assertEquals("10.0.0.3:7000", clusterState.addressOf(2));
+    assertEquals(
+        List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z"), clusterState.vaults());
+    assertEquals(List.of("10.0.0.5:7000"), clusterState.vaultAddresses("zb", true));
+    assertTrue(clusterState.retiring("store-4").finished);
+    assertEquals(Set.of("10.0.0.4:7000"), clusterState.retiringAddresses());
   }
 }
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -31,7 +31,7 @@
   private final Map<String, ControlNode> nodes = new TreeMap<>();
   private final List<ConfirmLeadershipRequest> asked = new ArrayList<>();
   private final List<LeaseResponse> leases = new ArrayList<>();
-  private SimulatedNetwork world;
+  private SimulatedNetwork network;
   private String leader;
   private String home;
   private PeerTransport edge;
@@ -47,8 +47,8 @@
   /** Three cruxes with a configuration, and an edge that may ask any of them. */
   @BeforeEach
   void begin() {
-    world = new SimulatedNetwork(3);
-    world.loss = 0;
+    network = new SimulatedNetwork(3);
+    network.loss = 0;
     final List<String> seeds = CRUXES.stream().map(ip -> ip + ":8024").toList();
     for (final String ip : CRUXES) {
       final Settings settings =
@@ -72,26 +72,26 @@
               0.1,
               20,
               64);
-      final SimulatedHost host = world.host(address(ip));
+      final SimulatedHost host = network.host(address(ip));
       nodes.put(
           address(ip),
           (ControlNode)
               SimulatedNodes.boot(host, settings, NodeRole.CONTROL, nodes.size() + 1).node());
       host.tampering =
-          letter -> {
-            if (letter instanceof ConfirmLeadershipRequest confirm) {
+          message -> {
+            if (message instanceof ConfirmLeadershipRequest request) {
               leader = host.address;
               final ConfirmLeadershipRequest copy = new ConfirmLeadershipRequest();
-              copy.number = confirm.number;
+              copy.number = request.number;
               asked.add(copy);
-              confirm.number = mute ? -1 : confirm.number;
+              request.number = mute ? -1 : request.number;
             }
           };
     }
     final byte[] body = ConfigurationTest.json("", "").getBytes(StandardCharsets.UTF_8);
     final List<Integer> taken = new ArrayList<>();
     assertTrue(
-        world.runUntil(
+        network.runUntil(
             () -> {
               nodes
                   .values()
@@ -100,39 +100,39 @@
                           node.desk()
                               .take(
                                   new OperatorApi.Request("POST", "/-/config/replace", "0", body),
-                                  answer -> taken.add(answer.status())));
+                                  response -> taken.add(response.status())));
               return taken.contains(200);
             },
             10_000));
-    edge = world.host("10.9.0.1:1").boot();
+    edge = network.host("10.9.0.1:1").boot();
     edge.on(
         LeaseResponse.class,
-        (link, lease) -> leases.addAll(lease.held ? List.of(lease) : List.of()));
-    stranger = world.host("10.9.0.2:1").boot();
+        (connection, response) -> leases.addAll(response.held ? List.of(response) : List.of()));
+    stranger = network.host("10.9.0.2:1").boot();
     // Whoever does not lead asks the leader.
-    world.runFor(1_000);
+    network.runFor(1_000);
     nodes.keySet().forEach(this::renew);
-    assertTrue(world.runUntil(() -> leader != null, 2_000));
+    assertTrue(network.runUntil(() -> leader != null, 2_000));
     home = nodes.keySet().stream().filter(one -> !one.equals(leader)).findFirst().orElseThrow();
-    world.runFor(1_000);
+    network.runFor(1_000);
     leases.clear();
     asked.clear();
   }
 
-  private PeerConnection renew(final String crux) {
-    final LeaseRequest renew = new LeaseRequest();
-    renew.version = 7;
-    renew.request = 99;
-    renew.who.address = "10.9.0.1:1";
-    final PeerConnection link = edge.dial(crux);
-    link.send(renew);
-    return link;
+  private PeerConnection renew(final String controlNode) {
+    final LeaseRequest request = new LeaseRequest();
+    request.version = 7;
+    request.request = 99;
+    request.process.address = "10.9.0.1:1";
+    final PeerConnection connection = edge.dial(controlNode);
+    connection.send(request);
+    return connection;
   }
 
   @Test
   void theLeadersWordGrantsWhatWasAsked() {
     renew(home);
-    assertTrue(world.runUntil(() -> !leases.isEmpty(), 200));
+    assertTrue(network.runUntil(() -> !leases.isEmpty(), 200));
     assertEquals(99, leases.get(0).request);
   }
 
@@ -141,12 +141,12 @@
   void aWordFromAnotherLinkGrantsNothing() {
     mute = true;
     renew(home);
-    assertTrue(world.runUntil(() -> !asked.isEmpty(), 200));
-    final ConfirmLeadershipResponse confirmed = new ConfirmLeadershipResponse();
-    confirmed.number = asked.get(0).number;
-    confirmed.held = true;
-    stranger.dial(home).send(confirmed);
-    world.runFor(200);
+    assertTrue(network.runUntil(() -> !asked.isEmpty(), 200));
+    final ConfirmLeadershipResponse response = new ConfirmLeadershipResponse();
+    response.number = asked.get(0).number;
+    response.held = true;
+    stranger.dial(home).send(response);
+    network.runFor(200);
     assertEquals(List.of(), leases);
   }
 
@@ -154,13 +154,13 @@
   void aWordThatNamesAnotherQuestionGrantsNothing() {
     mute = true;
     renew(home);
-    world.runFor(200);
+    network.runFor(200);
     assertEquals(1, asked.size());
     assertEquals(List.of(), leases);
     // The leader answers: the same edge's next question is served.
     mute = false;
-    world.runFor(200);
+    network.runFor(200);
     renew(home);
-    assertTrue(world.runUntil(() -> !leases.isEmpty(), 500));
+    assertTrue(network.runUntil(() -> !leases.isEmpty(), 500));
   }
 }
--- a/src/test/java/yewjunction/control/LeaseResponsesTest.java
+++ b/src/test/java/yewjunction/control/LeaseResponsesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.common.Limits.LEASE_MS;
+import static yewjunction.limits.LeaseLimits.LEASE_DURATION_MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -21,85 +21,85 @@
  */
 class LeaseResponsesTest {
   private final List<String> homes = new ArrayList<>(List.of("near:1", "far:1"));
-  private ScriptedTransport links;
-  private SimulatedNetwork world;
+  private ScriptedTransport transport;
+  private SimulatedNetwork network;
   private long lives;
-  private LeaseClient tenure;
+  private LeaseClient leaseClient;
 
   private static final class IgnoringListener implements LeaseClient.Listener {
     @Override
-    public void configChanged(final Configuration charter) {}
+    public void configChanged(final Configuration configuration) {}
 
     @Override
-    public void factsChanged(final ClusterState facts) {}
+    public void factsChanged(final ClusterState clusterState) {}
   }
 
   private ScriptedTransport.ScriptedConnection link(final String address) {
-    return links.dial(address);
+    return transport.dial(address);
   }
 
   /** A life of an edge, which has asked once and knows the configuration already. */
   private void begin(final boolean drawn) {
-    links = new ScriptedTransport();
-    world = new SimulatedNetwork(1);
-    final SimulatedHost host = world.host("edge:1");
+    transport = new ScriptedTransport();
+    network = new SimulatedNetwork(1);
+    final SimulatedHost host = network.host("edge:1");
     host.boot();
-    world.runFor(100_000);
-    tenure =
-        new LeaseClient(host, links, () -> homes, new IgnoringListener())
+    network.runFor(100_000);
+    leaseClient =
+        new LeaseClient(host, transport, () -> homes, new IgnoringListener())
             .named("edge:1", "edge", "zone", NodeRole.EDGE, drawn ? ++lives : 1);
-    tenure.start();
-    final LeaseResponse news = new LeaseResponse();
-    news.version = 7;
-    news.json = ConfigurationTest.json("", "");
-    links.answer("near:1", news);
-    assertFalse(tenure.held(), "news are no lease");
+    leaseClient.start();
+    final LeaseResponse response = new LeaseResponse();
+    response.version = 7;
+    response.json = ConfigurationTest.json("", "");
+    transport.answer("near:1", response);
+    assertFalse(leaseClient.held(), "news are no lease");
   }
 
-  private void grant(final String from, final LeaseRequest renew) {
-    final LeaseResponse lease = new LeaseResponse();
-    lease.held = true;
-    lease.version = 7;
-    lease.request = renew.request;
-    links.answer(from, lease);
+  private void grant(final String from, final LeaseRequest request) {
+    final LeaseResponse response = new LeaseResponse();
+    response.held = true;
+    response.version = 7;
+    response.request = request.request;
+    transport.answer(from, response);
   }
 
   @Test
   void itEndsSoLongAfterItsOwnQuestion() {
     begin(true);
     final LeaseRequest first = link("near:1").newest();
-    final long askedMs = world.nowMs();
-    world.runFor(300);
+    final long askedMs = network.nowMs();
+    network.runFor(300);
     assertTrue(link("far:1").size() + link("near:1").size() > 1, "a newer question is open");
     grant("near:1", first);
-    world.runFor(askedMs + LEASE_MS - 1 - world.nowMs());
-    assertTrue(tenure.held());
-    world.runFor(1);
-    assertFalse(tenure.held());
+    network.runFor(askedMs + LEASE_DURATION_MS - 1 - network.nowMs());
+    assertTrue(leaseClient.held());
+    network.runFor(1);
+    assertFalse(leaseClient.held());
   }
 
   @Test
   void anotherCruxsAnswerIsNone() {
     begin(true);
     grant("far:1", link("near:1").newest());
-    assertFalse(tenure.held());
+    assertFalse(leaseClient.held());
     grant("near:1", link("near:1").newest());
-    assertTrue(tenure.held());
+    assertTrue(leaseClient.held());
   }
 
   @Test
   void whoseAnswerCameIsAskedNext() {
     begin(true);
     final LeaseRequest first = link("near:1").newest();
-    world.runUntil(() -> link("far:1").size() > 0, 1_000);
+    network.runUntil(() -> link("far:1").size() > 0, 1_000);
     final int askedFar = link("far:1").size();
     final int askedNear = link("near:1").size();
     grant("near:1", first);
-    world.runUntil(
+    network.runUntil(
         () -> link("far:1").size() > askedFar || link("near:1").size() > askedNear, 1_000);
     assertEquals(askedFar, link("far:1").size(), "the other one has not answered yet");
     assertEquals(askedNear + 1, link("near:1").size());
-    world.runFor(2_000);
+    network.runFor(2_000);
     assertTrue(link("far:1").size() > askedFar, "asked again once this one is silent");
   }
 
@@ -113,7 +113,7 @@
     begin(drawn);
     assertEquals(1, link("near:1").size());
     grant("near:1", earlier);
-    return tenure.held();
+    return leaseClient.held();
   }
 
   @Test
--- a/src/test/java/yewjunction/control/StaleRegistration.java
+++ b/src/test/java/yewjunction/control/StaleRegistration.java
@@ -8,11 +8,11 @@
   private StaleRegistration() {}
 
   public static Object enlist(final String address, final long life) {
-    final RegisterRequest enlist = new RegisterRequest();
-    enlist.who.address = address;
-    enlist.who.node = "node-" + address;
-    enlist.who.duty = NodeRole.EDGE.wireName();
-    enlist.who.life = life;
-    return enlist;
+    final RegisterRequest request = new RegisterRequest();
+    request.process.address = address;
+    request.process.node = "node-" + address;
+    request.process.duty = NodeRole.EDGE.wireName();
+    request.process.life = life;
+    return request;
   }
 }
--- a/src/test/java/yewjunction/fanout/StreamResponsesTest.java
+++ b/src/test/java/yewjunction/fanout/StreamResponsesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.common.Limits.HOME_SILENCE_MS;
+import static yewjunction.limits.FanoutLimits.STREAM_TIMEOUT_MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -25,9 +25,9 @@
  * ends with it.
  */
 class StreamResponsesTest {
-  private final ScriptedTransport links = new ScriptedTransport();
+  private final ScriptedTransport transport = new ScriptedTransport();
   private final List<String> told = new ArrayList<>();
-  private SimulatedNetwork world;
+  private SimulatedNetwork network;
   private PeerConnection former;
 
   private final class RecordingListener implements StreamClient.Listener {
@@ -68,10 +68,10 @@
   }
 
   private void welcome(final PeerConnection on, final long start) {
-    final AttachResponse welcome = new AttachResponse();
-    welcome.accepted = true;
-    welcome.start = start;
-    links.answer(on, welcome);
+    final AttachResponse response = new AttachResponse();
+    response.accepted = true;
+    response.start = start;
+    transport.answer(on, response);
   }
 
   /**
@@ -79,43 +79,43 @@
    */
   @BeforeEach
   void begin() {
-    world = new SimulatedNetwork(1);
-    final SimulatedHost host = world.host("edge:1");
+    network = new SimulatedNetwork(1);
+    final SimulatedHost host = network.host("edge:1");
     host.boot();
-    final AddWinsSet weave = new AddWinsSet();
-    weave.self(1);
-    final StreamClient envoy =
+    final AddWinsSet subscriptions = new AddWinsSet();
+    subscriptions.self(1);
+    final StreamClient streamClient =
         new StreamClient(
             host,
-            links,
-            weave,
+            transport,
+            subscriptions,
             "edge",
             () -> List.of("vault:1"),
             new RecordingListener(),
             () -> {});
-    envoy.attach();
-    former = links.dial("vault:1");
+    streamClient.attach();
+    former = transport.dial("vault:1");
     welcome(former, 10);
     assertEquals(List.of("attached"), told);
-    world.runFor(2 * HOME_SILENCE_MS);
-    assertNotSame(former, links.dial("vault:1"));
-    assertTrue(links.dial("vault:1").newest() instanceof AttachRequest);
+    network.runFor(2 * STREAM_TIMEOUT_MS);
+    assertNotSame(former, transport.dial("vault:1"));
+    assertTrue(transport.dial("vault:1").newest() instanceof AttachRequest);
     told.clear();
   }
 
   private void allOfIt(final PeerConnection on) {
     welcome(on, 10);
-    final ReplayResponse taken = new ReplayResponse();
-    taken.request = 7;
-    links.answer(on, taken);
-    final StreamBatch flow = new StreamBatch();
-    flow.from = 10;
-    flow.upTo = 11;
-    flow.leader = "leader:1";
+    final ReplayResponse response = new ReplayResponse();
+    response.request = 7;
+    transport.answer(on, response);
+    final StreamBatch batch = new StreamBatch();
+    batch.from = 10;
+    batch.upTo = 11;
+    batch.leader = "leader:1";
     final StoredMessage message = new StoredMessage();
     message.topic = "s.x";
-    flow.messages.add(message);
-    links.answer(on, flow);
+    batch.messages.add(message);
+    transport.answer(on, batch);
   }
 
   @Test
@@ -127,16 +127,16 @@
   /** The fault planted: the same comes on the present home's link. */
   @Test
   void onThePresentLinkTheyCount() {
-    allOfIt(links.dial("vault:1"));
+    allOfIt(transport.dial("vault:1"));
     assertEquals(List.of("attached", "taken 7", "message s.x", "leader leader:1"), told);
   }
 
   @Test
   void nothingIsTakenBeforeTheHomeHasSaidYes() {
-    final ReplayResponse taken = new ReplayResponse();
-    taken.request = 7;
-    links.answer(links.dial("vault:1"), taken);
-    links.answer(links.dial("vault:1"), new StreamBatch());
+    final ReplayResponse response = new ReplayResponse();
+    response.request = 7;
+    transport.answer(transport.dial("vault:1"), response);
+    transport.answer(transport.dial("vault:1"), new StreamBatch());
     assertEquals(List.of(), told);
   }
 }
--- a/src/test/java/yewjunction/fanout/SwappedMessages.java
+++ b/src/test/java/yewjunction/fanout/SwappedMessages.java
@@ -12,13 +12,13 @@
    * Swaps the first neighbours of which the earlier begins with one text and the later with the
    * other.
    */
-  public static boolean swap(final Object letter, final String earlier, final String later) {
-    if (letter instanceof StreamBatch flow) {
-      flow.messages = new ArrayList<>(flow.messages);
-      for (int at = 1; at < flow.messages.size(); at++) {
-        if (flow.messages.get(at - 1).topic.startsWith(earlier)
-            && flow.messages.get(at).topic.startsWith(later)) {
-          Collections.swap(flow.messages, at - 1, at);
+  public static boolean swap(final Object message, final String earlier, final String later) {
+    if (message instanceof StreamBatch batch) {
+      batch.messages = new ArrayList<>(batch.messages);
+      for (int at = 1; at < batch.messages.size(); at++) {
+        if (batch.messages.get(at - 1).topic.startsWith(earlier)
+            && batch.messages.get(at).topic.startsWith(later)) {
+          Collections.swap(batch.messages, at - 1, at);
           return true;
         }
       }
--- a/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
+++ b/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
@@ -23,11 +23,12 @@
  */
 class AdmitResponsesTest {
   private static final Route SPACE = new Route("orders", "", "s.", 1_500, 35_000, true, Set.of());
-  private static final String RETRIED = "REFUSE PUB s.x 5 RETRY\r\n", ACKED = "ACK s.x 5\r\n";
+  private static final String RETRIED = "REFUSE PUB s.x 5 RETRY\r\n";
+  private static final String ACKED = "ACK s.x 5\r\n";
   private final WriteBuffer told = new WriteBuffer(64);
-  private ScriptedTransport links;
-  private PublishForwarder shipping;
-  private SimulatedNetwork world;
+  private ScriptedTransport transport;
+  private PublishForwarder publishForwarder;
+  private SimulatedNetwork network;
   private long lives;
 
   private final class Written implements ClientConnection {
@@ -59,23 +60,23 @@
 
   /** A life of an edge that has a message of a client on its way to the first leader. */
   private AdmitRequest begin(final boolean drawn) {
-    links = new ScriptedTransport();
-    world = new SimulatedNetwork(1);
-    final SimulatedHost host = world.host("edge:1");
+    transport = new ScriptedTransport();
+    network = new SimulatedNetwork(1);
+    final SimulatedHost host = network.host("edge:1");
     host.boot();
-    shipping = new PublishForwarder(host, links, drawn ? ++lives : 1);
-    shipping.leaderIs("one:1");
-    final ClientSession berth = new ClientSession(null, new Written(), 0);
-    berth.client = "c";
-    shipping.ship(berth, "s.x", 5, true, "", SPACE, new byte[0]);
-    return links.dial("one:1").newest();
+    publishForwarder = new PublishForwarder(host, transport, drawn ? ++lives : 1);
+    publishForwarder.leaderIs("one:1");
+    final ClientSession session = new ClientSession(null, new Written(), 0);
+    session.client = "c";
+    publishForwarder.ship(session, "s.x", 5, true, "", SPACE, new byte[0]);
+    return transport.dial("one:1").newest();
   }
 
   private String afterVerdict(final String from, final AdmitRequest on, final int what) {
-    final AdmitResponse verdict = new AdmitResponse();
-    verdict.request = on.request;
-    verdict.what = what;
-    links.answer(from, verdict);
+    final AdmitResponse response = new AdmitResponse();
+    response.request = on.request;
+    response.what = what;
+    transport.answer(from, response);
     return new String(told.take(), StandardCharsets.US_ASCII);
   }
 
@@ -84,11 +85,11 @@
    * again.
    */
   private AdmitRequest offeredThrice() {
-    shipping.leaderIs("two:1");
-    assertEquals(1, links.dial("two:1").size());
-    shipping.leaderIs("one:1");
-    assertEquals(2, links.dial("one:1").size());
-    return links.dial("one:1").newest();
+    publishForwarder.leaderIs("two:1");
+    assertEquals(1, transport.dial("two:1").size());
+    publishForwarder.leaderIs("one:1");
+    assertEquals(2, transport.dial("one:1").size());
+    return transport.dial("one:1").newest();
   }
 
   @Test
@@ -131,9 +132,9 @@
     offeredThrice();
     assertEquals("", afterVerdict("one:1", first, ELSEWHERE));
     // Taken back it would be offered again after a pause.
-    world.runFor(2_000);
-    assertEquals(2, links.dial("one:1").size());
-    assertEquals(1, shipping.depth());
+    network.runFor(2_000);
+    assertEquals(2, transport.dial("one:1").size());
+    assertEquals(1, publishForwarder.depth());
   }
 
   private String afterVerdictOnAnEarlierLife(final boolean drawn) {
--- a/src/test/java/yewjunction/gateway/CommandParserTest.java
+++ b/src/test/java/yewjunction/gateway/CommandParserTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Client commands in pieces of any size, well formed and malformed. */
 class CommandParserTest {
   private static byte[] bytes(final String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -22,26 +23,26 @@
     final String stream =
         "HELLO c k\r\nSUB t.1 17\r\nPUB t.1 4 20\r\nabcdefghijklmnopqrst\r\nPING\r\nWHO -\r\n";
     final List<String> expected = List.of("HELLO", "SUB", "PUB", "PING", "WHO");
-    final Random luck = new Random(3);
+    final Random random = new Random(3);
     for (int attempt = 0; attempt < 300; attempt++) {
       final List<String> read = new ArrayList<>();
       byte[] unread = new byte[0];
       int sent = 0;
       while (sent < stream.length()) {
-        final int next = Math.min(stream.length(), sent + 1 + luck.nextInt(30));
+        final int next = Math.min(stream.length(), sent + 1 + random.nextInt(30));
         final byte[] all =
             bytes(new String(unread, StandardCharsets.ISO_8859_1) + stream.substring(sent, next));
         sent = next;
         int at = 0;
-        final CommandParser words = new CommandParser();
-        while (at < all.length && words.wrap(all, at, all.length) == CommandParser.GOOD) {
-          read.add(words.text(0));
-          if (words.is("PUB")) {
+        final CommandParser parser = new CommandParser();
+        while (at < all.length && parser.wrap(all, at, all.length) == CommandParser.GOOD) {
+          read.add(parser.text(0));
+          if (parser.is("PUB")) {
             assertEquals(
-                "abcdefghijklmnopqrst", new String(words.bodyBytes(), StandardCharsets.US_ASCII));
-            assertEquals(4, words.number(2));
+                "abcdefghijklmnopqrst", new String(parser.bodyBytes(), StandardCharsets.US_ASCII));
+            assertEquals(4, parser.number(2));
           }
-          at = words.end();
+          at = parser.end();
         }
         unread = Arrays.copyOfRange(all, at, all.length);
       }
@@ -73,15 +74,15 @@
   void aBareLineEndLosesTheStreamAndABodyOverTheLimitIsTooBig() {
     assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("PING\n"), 0, 5));
     final byte[] large = bytes("PUB t 1 16385\r\n" + "x".repeat(16_385) + "\r\n");
-    final CommandParser words = new CommandParser();
-    assertEquals(CommandParser.TOO_BIG, words.wrap(large, 0, large.length));
-    assertEquals(large.length, words.end());
+    final CommandParser parser = new CommandParser();
+    assertEquals(CommandParser.TOO_BIG, parser.wrap(large, 0, large.length));
+    assertEquals(large.length, parser.end());
     assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
   }
 
   @Test
   void noBytesBreakTheReader() {
-    final Random luck = new Random(5);
+    final Random random = new Random(5);
     final String[] pieces = {
       "PUB ",
       "SUB ",
@@ -98,17 +99,17 @@
     };
     for (int attempt = 0; attempt < 20_000; attempt++) {
       final StringBuilder text = new StringBuilder();
-      for (int i = luck.nextInt(9); i >= 0; i--) {
-        text.append(pieces[luck.nextInt(pieces.length)]);
+      for (int i = random.nextInt(9); i >= 0; i--) {
+        text.append(pieces[random.nextInt(pieces.length)]);
       }
       final byte[] bytes = bytes(text.toString());
-      final CommandParser words = new CommandParser();
-      final int state = words.wrap(bytes, 0, bytes.length);
+      final CommandParser parser = new CommandParser();
+      final int state = parser.wrap(bytes, 0, bytes.length);
       assertTrue(
           state == CommandParser.MORE
               || state == CommandParser.LOST
               || state == CommandParser.TOO_BIG
-              || words.end() > 0 && words.end() <= bytes.length);
+              || parser.end() > 0 && parser.end() <= bytes.length);
     }
   }
 }
--- a/src/test/java/yewjunction/gateway/FilterTest.java
+++ b/src/test/java/yewjunction/gateway/FilterTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import yewjunction.common.YewjunctionException;
 
+/** Patterns of filters against a plain comparison, and those that are refused. */
 class FilterTest {
   @ParameterizedTest
   @CsvSource(
@@ -63,14 +64,14 @@
    */
   @Test
   void itAgreesWithTryingEachPattern() {
-    final Random luck = new Random(5);
+    final Random random = new Random(5);
     for (int round = 0; round < 20_000; round++) {
       final List<String> patterns = new ArrayList<>();
-      for (int left = 1 + luck.nextInt(12); left > 0; left--) {
-        final String word = word(luck);
-        patterns.add(word.isEmpty() || luck.nextBoolean() ? word + "*" : word);
+      for (int left = 1 + random.nextInt(12); left > 0; left--) {
+        final String word = word(random);
+        patterns.add(word.isEmpty() || random.nextBoolean() ? word + "*" : word);
       }
-      final String key = word(luck);
+      final String key = word(random);
       final boolean wanted =
           patterns.stream()
               .anyMatch(
@@ -86,10 +87,10 @@
     }
   }
 
-  private static String word(final Random luck) {
+  private static String word(final Random random) {
     final StringBuilder word = new StringBuilder();
-    for (int left = luck.nextInt(5); left > 0; left--) {
-      word.append("abc".charAt(luck.nextInt(3)));
+    for (int left = random.nextInt(5); left > 0; left--) {
+      word.append("abc".charAt(random.nextInt(3)));
     }
     return word.toString();
   }
--- a/src/test/java/yewjunction/gateway/OrderingGuardTest.java
+++ b/src/test/java/yewjunction/gateway/OrderingGuardTest.java
@@ -10,6 +10,7 @@
 import yewjunction.control.Configuration.Route;
 import yewjunction.store.StoredMessage;
 
+/** What the guard stops before it is written, and that it never accuses wrongly. */
 class OrderingGuardTest {
   private static final Route ORDERS = new Route("orders", "", "o.", 1_000, 35_000, false, Set.of());
   private static final Route DISPATCHES =
--- a/src/test/java/yewjunction/maintenance/MaintenanceWindowsTest.java
+++ b/src/test/java/yewjunction/maintenance/MaintenanceWindowsTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Calendars, recurrences and time zones, and calendars that cannot be read. */
 class MaintenanceWindowsTest {
   @TempDir Path folder;
 
--- a/src/test/java/yewjunction/membership/LateResponsesTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -18,20 +18,22 @@
 
 /** A dead peer is missed, whatever answers to other questions still come in. */
 class LateResponsesTest {
-  private static final String ASKER = "a1:7", DEAD = "a2:7", OTHER = "a3:7";
+  private static final String ASKER = "a1:7";
+  private static final String DEAD = "a2:7";
+  private static final String OTHER = "a3:7";
   private final List<Ping> probes = new ArrayList<>();
   private final List<PingRequest> detours = new ArrayList<>();
-  private SimulatedNetwork world;
-  private MembershipList roster;
+  private SimulatedNetwork network;
+  private MembershipList membership;
   private long lives;
 
   private static Member peer(final String address) {
-    final Member peer = new Member();
-    peer.life = 1;
-    peer.address = address;
-    peer.zone = "zone";
-    peer.duty = NodeRole.STORE.wireName();
-    return peer;
+    final Member member = new Member();
+    member.life = 1;
+    member.address = address;
+    member.zone = "zone";
+    member.duty = NodeRole.STORE.wireName();
+    return member;
   }
 
   private static <T extends MembershipMessage> T by(final String address, final T letter) {
@@ -40,40 +42,40 @@
   }
 
   private static Ack echo(final String address, final long number) {
-    final Ack echo = by(address, new Ack());
-    echo.number = number;
-    return echo;
+    final Ack ack = by(address, new Ack());
+    ack.number = number;
+    return ack;
   }
 
   /** A life of the asker, which has just heard from the others. */
   private void boot(final boolean drawn, final String... others) {
-    final SimulatedHost host = world.host(ASKER);
+    final SimulatedHost host = network.host(ASKER);
     host.boot();
     final Member self = peer(ASKER);
     self.life = drawn ? ++lives : 1;
     probes.clear();
     detours.clear();
-    roster =
+    membership =
         new MembershipList(
             host,
             self,
-            (address, letter) -> {
-              if (letter instanceof Ping probe && address.equals(DEAD)) {
-                probes.add(probe);
-              } else if (letter instanceof Ping probe) {
-                world.after(5, () -> roster.take(address, echo(address, probe.number)));
-              } else if (letter instanceof PingRequest detour) {
-                detours.add(detour);
+            (address, message) -> {
+              if (message instanceof Ping ping && address.equals(DEAD)) {
+                probes.add(ping);
+              } else if (message instanceof Ping ping) {
+                network.after(5, () -> membership.take(address, echo(address, ping.number)));
+              } else if (message instanceof PingRequest pingRequest) {
+                detours.add(pingRequest);
               }
             });
-    roster.start(List.of());
+    membership.start(List.of());
     for (final String other : others) {
-      roster.take(other, by(other, new Ack()));
+      membership.take(other, by(other, new Ack()));
     }
   }
 
   private boolean missed() {
-    return roster.at(DEAD) == null || !roster.at(DEAD).up();
+    return membership.at(DEAD) == null || !membership.at(DEAD).up();
   }
 
   /**
@@ -81,18 +83,19 @@
    * one probes.
    */
   private boolean missedInTheSecondLife(final long seed, final boolean drawn) {
-    world = new SimulatedNetwork(seed);
+    network = new SimulatedNetwork(seed);
     boot(drawn, DEAD);
-    world.every(
-        1, () -> List.copyOf(probes).forEach(probe -> roster.take(DEAD, echo(DEAD, probe.number))));
-    world.runFor(20_000);
+    network.every(
+        1,
+        () -> List.copyOf(probes).forEach(ping -> membership.take(DEAD, echo(DEAD, ping.number))));
+    network.runFor(20_000);
     assertTrue(probes.size() > 15 && !missed(), probes.size() + " probes");
-    final List<Long> firstLife = probes.stream().map(probe -> probe.number).toList();
-    world.host(ASKER).kill();
+    final List<Long> firstLife = probes.stream().map(ping -> ping.number).toList();
+    network.host(ASKER).kill();
     final SimulatedNetwork second = new SimulatedNetwork(seed + 1_000);
-    world = second;
+    network = second;
     boot(drawn, DEAD);
-    second.every(100, () -> firstLife.forEach(number -> roster.take(DEAD, echo(DEAD, number))));
+    second.every(100, () -> firstLife.forEach(number -> membership.take(DEAD, echo(DEAD, number))));
     second.runFor(10_000);
     return missed();
   }
@@ -111,14 +114,14 @@
 
   /** All that the dead peer is asked another one answers in time, under that name. */
   private boolean missedWhileAnotherAnswers(final long seed, final String name) {
-    world = new SimulatedNetwork(seed);
+    network = new SimulatedNetwork(seed);
     boot(true, DEAD, OTHER);
-    world.every(
+    network.every(
         20,
         () -> {
-          probes.forEach(probe -> roster.take(OTHER, echo(name, probe.number)));
+          probes.forEach(ping -> membership.take(OTHER, echo(name, ping.number)));
         });
-    world.runFor(20_000);
+    network.runFor(20_000);
     return missed();
   }
 
@@ -136,13 +139,17 @@
 
   @Test
   void aSecondOpinionCountsOnlyFromWhomItWasAsked() {
-    world = new SimulatedNetwork(7);
+    network = new SimulatedNetwork(7);
     boot(true, DEAD, OTHER);
-    world.every(
-        20, () -> detours.forEach(detour -> roster.take(OTHER, echo(OTHER, detour.number))));
-    world.runFor(15_000);
+    network.every(
+        20,
+        () ->
+            detours.forEach(
+                pingRequest -> membership.take(OTHER, echo(OTHER, pingRequest.number))));
+    network.runFor(15_000);
     assertFalse(missed());
     assertTrue(detours.size() > 3, detours.size() + " detours");
-    assertEquals(detours.size(), detours.stream().map(detour -> detour.number).distinct().count());
+    assertEquals(
+        detours.size(), detours.stream().map(pingRequest -> pingRequest.number).distinct().count());
   }
 }
--- a/src/test/java/yewjunction/membership/MembershipSimulationTest.java
+++ b/src/test/java/yewjunction/membership/MembershipSimulationTest.java
@@ -15,11 +15,11 @@
 class MembershipSimulationTest {
   private final Map<String, MembershipList> rosters = new TreeMap<>();
   private final List<String> explained = new ArrayList<>();
-  private SimulatedNetwork world;
+  private SimulatedNetwork network;
   private long lives;
 
   private void boot(final String address) {
-    final SimulatedHost host = world.host(address);
+    final SimulatedHost host = network.host(address);
     host.boot();
     final Member self = new Member();
     self.address = address;
@@ -27,54 +27,55 @@
     self.zone = "zone" + address.charAt(1);
     self.duty = NodeRole.EDGE.wireName();
     self.life = ++lives;
-    final MembershipList roster = new MembershipList(host, self, host::datagram);
-    roster.planned(
-        peer -> {
-          explained.add(peer.node);
+    final MembershipList membership = new MembershipList(host, self, host::datagram);
+    membership.planned(
+        member -> {
+          explained.add(member.node);
           return "work";
         });
-    host.onDatagram(roster::take);
-    rosters.put(address, roster);
-    roster.start(List.of("a1:7", "a2:7"));
+    host.onDatagram(membership::take);
+    rosters.put(address, membership);
+    membership.start(List.of("a1:7", "a2:7"));
   }
 
   private void begin(final long seed) {
-    world = new SimulatedNetwork(seed);
+    network = new SimulatedNetwork(seed);
     for (final String address :
         List.of("a1:7", "b1:7", "c1:7", "a2:7", "b2:7", "c2:7", "d2:7", "e2:7")) {
       boot(address);
     }
-    world.runFor(12_000);
-    rosters.forEach((address, roster) -> assertEquals(7, roster.up(NodeRole.EDGE).size(), address));
+    network.runFor(12_000);
+    rosters.forEach(
+        (address, membership) -> assertEquals(7, membership.up(NodeRole.EDGE).size(), address));
   }
 
   private boolean allSee(final String address, final boolean up) {
     return rosters.entrySet().stream()
-        .filter(one -> !one.getKey().equals(address) && world.host(one.getKey()).up())
+        .filter(one -> !one.getKey().equals(address) && network.host(one.getKey()).up())
         .allMatch(
             one ->
                 one.getValue().up(NodeRole.EDGE).stream()
-                        .anyMatch(peer -> peer.address.equals(address))
+                        .anyMatch(member -> member.address.equals(address))
                     == up);
   }
 
   @Test
   void aDeadPeerIsMissedByAllAndItsRestartIsSeen() {
     begin(1);
-    world.host("b1:7").powerOff();
-    assertTrue(world.runUntil(() -> allSee("b1:7", false), 15_000));
+    network.host("b1:7").powerOff();
+    assertTrue(network.runUntil(() -> allSee("b1:7", false), 15_000));
     assertTrue(explained.contains("node-b1:7"));
     boot("b1:7");
-    assertTrue(world.runUntil(() -> allSee("b1:7", true), 10_000));
+    assertTrue(network.runUntil(() -> allSee("b1:7", true), 10_000));
     assertEquals(lives, rosters.get("a2:7").at("b1:7").life);
   }
 
   @Test
   void aCutBetweenTwoRemovesNobodyWhileOthersReachBoth() {
     begin(2);
-    world.cut("c2:7", "d2:7");
+    network.cut("c2:7", "d2:7");
     for (int second = 0; second < 60; second++) {
-      world.runFor(1_000);
+      network.runFor(1_000);
       assertTrue(allSee("c2:7", true) && allSee("d2:7", true), "second " + second);
     }
   }
@@ -87,9 +88,9 @@
     for (int seed = 1; seed <= worlds; seed++) {
       rosters.clear();
       begin(seed);
-      world.loss = 0.15;
+      network.loss = 0.15;
       for (int second = 0; second < 120; second++) {
-        world.runFor(1_000);
+        network.runFor(1_000);
         wrong += rosters.keySet().stream().allMatch(address -> allSee(address, true)) ? 0 : 1;
       }
     }
@@ -103,9 +104,9 @@
     begin(4);
     explained.clear();
     rosters.get("c2:7").leave();
-    world.runFor(30);
-    world.host("c2:7").kill();
-    assertTrue(world.runUntil(() -> allSee("c2:7", false), 12_000));
+    network.runFor(30);
+    network.host("c2:7").kill();
+    assertTrue(network.runUntil(() -> allSee("c2:7", false), 12_000));
     assertEquals(List.of(), explained);
   }
 }
--- a/src/test/java/yewjunction/membership/MembershipWireFormatTest.java
+++ b/src/test/java/yewjunction/membership/MembershipWireFormatTest.java
@@ -10,17 +10,17 @@
 /** The bytes of every membership datagram are those of release 0.1.0. */
 class MembershipWireFormatTest {
   private static Member peer(final int salt) {
-    final Member peer = new Member();
-    peer.address = "10.0.0." + salt + ":7000";
-    peer.node = "node-" + salt;
-    peer.zone = "zone-" + salt;
-    peer.duty = "vault";
-    peer.front = "10.0.0." + salt + ":80";
-    peer.life = 1_000L + salt;
-    peer.ready = true;
-    peer.number = 2_000L + salt;
-    peer.standing = Member.SUSPECT;
-    return peer;
+    final Member member = new Member();
+    member.address = "10.0.0." + salt + ":7000";
+    member.node = "node-" + salt;
+    member.zone = "zone-" + salt;
+    member.duty = "vault";
+    member.front = "10.0.0." + salt + ":80";
+    member.life = 1_000L + salt;
+    member.ready = true;
+    member.number = 2_000L + salt;
+    member.standing = Member.SUSPECT;
+    return member;
   }
 
   private static <T extends MembershipMessages.MembershipMessage> T headed(
@@ -33,19 +33,21 @@
   @Test
   void datagramsKeepTheirBytes() {
     final Map<String, Object> messages = new LinkedHashMap<>();
-    final MembershipMessages.Ping probe = headed(new MembershipMessages.Ping(), 1);
-    probe.number = 11;
-    messages.put("30", probe);
-    final MembershipMessages.Ack echo = headed(new MembershipMessages.Ack(), 4);
-    echo.number = 12;
-    messages.put("31", echo);
-    final MembershipMessages.PingRequest detour = headed(new MembershipMessages.PingRequest(), 7);
-    detour.number = 13;
-    detour.target = "10.0.0.9:7000";
-    messages.put("32", detour);
-    final MembershipMessages.SyncRequest hail = headed(new MembershipMessages.SyncRequest(), 10);
-    hail.digest = 14;
-    messages.put("33", hail);
+    final MembershipMessages.Ping ping = headed(new MembershipMessages.Ping(), 1);
+    ping.number = 11;
+    messages.put("30", ping);
+    final MembershipMessages.Ack ack = headed(new MembershipMessages.Ack(), 4);
+    ack.number = 12;
+    messages.put("31", ack);
+    final MembershipMessages.PingRequest pingRequest =
+        headed(new MembershipMessages.PingRequest(), 7);
+    pingRequest.number = 13;
+    pingRequest.target = "10.0.0.9:7000";
+    messages.put("32", pingRequest);
+    final MembershipMessages.SyncRequest syncRequest =
+        headed(new MembershipMessages.SyncRequest(), 10);
+    syncRequest.digest = 14;
+    messages.put("33", syncRequest);
     messages.put("34", headed(new MembershipMessages.SyncResponse(), 13));
     final MessageCodec codec = new MessageCodec();
     MembershipMessages.know(codec);
--- a/src/test/java/yewjunction/raft/LogReader.java
+++ b/src/test/java/yewjunction/raft/LogReader.java
@@ -15,12 +15,12 @@
    */
   public static void gather(
       final Disk disk, final String name, final long upTo, final Map<Long, byte[]> entries) {
-    final RaftStorage archive =
+    final RaftStorage storage =
         new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> {}, name));
-    for (long index = archive.log.baseIndex() + 1;
-        index <= Math.min(upTo, archive.log.lastIndex());
+    for (long index = storage.log.baseIndex() + 1;
+        index <= Math.min(upTo, storage.log.lastIndex());
         index++) {
-      final LogEntry entry = archive.log.get(index);
+      final LogEntry entry = storage.log.get(index);
       if (entry.kind == LogEntry.DATA) {
         final byte[] known = entries.putIfAbsent(index, entry.data);
         if (known != null) {
@@ -38,9 +38,9 @@
   }
 
   /** Plants a fault: a member that asks to be brought up to date is not understood. */
-  public static void drownJoins(final Object letter) {
-    if (letter instanceof RaftMessages.JoinRequest join) {
-      join.group = -1;
+  public static void drownJoins(final Object message) {
+    if (message instanceof RaftMessages.JoinRequest request) {
+      request.group = -1;
     }
   }
 
--- a/src/test/java/yewjunction/raft/LogRecordTest.java
+++ b/src/test/java/yewjunction/raft/LogRecordTest.java
@@ -14,6 +14,7 @@
 import yewjunction.common.YewjunctionException;
 import yewjunction.simulation.SimulatedDisk;
 
+/** Records on disk under torn tails, damage and rewrites. */
 class LogRecordTest {
   private static byte[] file(final int count, final boolean synced) {
     final ByteArrayOutputStream file = new ByteArrayOutputStream();
@@ -37,10 +38,10 @@
 
   @Test
   void aBadRecordBeforeOnesWrittenAfterItsSyncIsDamage() {
-    final Random luck = new Random(1);
+    final Random random = new Random(1);
     for (int attempt = 0; attempt < 200; attempt++) {
       final byte[] bytes = file(6, true);
-      bytes[luck.nextInt(bytes.length / 6 * 4)] ^= 1 << luck.nextInt(8);
+      bytes[random.nextInt(bytes.length / 6 * 4)] ^= 1 << random.nextInt(8);
       assertTrue(LogRecord.read(bytes).damaged(), "attempt " + attempt);
     }
   }
@@ -62,17 +63,17 @@
     final byte[] bytes = file(6, true);
     disk.replace("x", bytes);
     disk.damage("x", 20);
-    final AppendOnlyFile shelf =
+    final AppendOnlyFile file =
         new AppendOnlyFile(disk, (blocking, afterwards) -> blocking.run(), "x");
     assertEquals(
-        ErrorCode.STORAGE_DAMAGED, assertThrows(YewjunctionException.class, shelf::open).code());
+        ErrorCode.STORAGE_DAMAGED, assertThrows(YewjunctionException.class, file::open).code());
   }
 
   @Test
   void aRewriteStandsForAllBeforeItAndKeepsWhatComesAfter() {
     final SimulatedDisk disk = new SimulatedDisk();
     final java.util.ArrayDeque<Runnable> work = new java.util.ArrayDeque<>();
-    final AppendOnlyFile shelf =
+    final AppendOnlyFile file =
         new AppendOnlyFile(
             disk,
             (blocking, afterwards) ->
@@ -82,12 +83,12 @@
                       afterwards.run();
                     }),
             "x");
-    shelf.open();
+    file.open();
     final int[] synced = new int[1];
-    shelf.append(1, new byte[] {1}, () -> synced[0]++);
-    shelf.append(1, new byte[] {2}, () -> synced[0]++);
-    shelf.rewrite(java.util.List.of(new LogRecord.Content(1, new byte[] {9})), () -> synced[0]++);
-    shelf.append(1, new byte[] {3}, () -> synced[0]++);
+    file.append(1, new byte[] {1}, () -> synced[0]++);
+    file.append(1, new byte[] {2}, () -> synced[0]++);
+    file.rewrite(java.util.List.of(new LogRecord.Content(1, new byte[] {9})), () -> synced[0]++);
+    file.append(1, new byte[] {3}, () -> synced[0]++);
     while (!work.isEmpty()) {
       work.poll().run();
     }
--- a/src/test/java/yewjunction/raft/ModelCheckTest.java
+++ b/src/test/java/yewjunction/raft/ModelCheckTest.java
@@ -20,8 +20,11 @@
  * docs/control/model.md.
  */
 class ModelCheckTest {
-  private static final int THREADS = 4, LENGTH = 400, WALKS = 50;
-  private static final long MOST_MS = 600_000, PLENTY = 100_000_000;
+  private static final int THREADS = 4;
+  private static final int LENGTH = 400;
+  private static final int WALKS = 50;
+  private static final long MOST_MS = 600_000;
+  private static final long PLENTY = 100_000_000;
   private static final PrintStream OUT = System.out;
 
   @BeforeAll
@@ -156,7 +159,7 @@
         1,
         new ModelWorld(setup, ModelFault.NONE)
             .run(schedule).hosts.stream()
-                .filter(host -> host.up() && host.ledger.leadsTerm())
+                .filter(host -> host.up() && host.raftNode.leadsTerm())
                 .count());
   }
 }
--- a/src/test/java/yewjunction/raft/ModelDigest.java
+++ b/src/test/java/yewjunction/raft/ModelDigest.java
@@ -45,7 +45,7 @@
       hash = mix(hash, value(host.disk.durable()));
       hash = mix(hash, host.disk.owes() ? value(host.disk.read("")) : 0);
       if (host.up()) {
-        hash = mix(hash, value(host.ledger));
+        hash = mix(hash, value(host.raftNode));
         hash = mix(hash, value(host.works));
         final List<ModelHost.Timer> timers = new ArrayList<>(host.timers);
         timers.sort(
@@ -56,9 +56,9 @@
         }
       }
     }
-    for (final ModelTransport.Connection wire : world.wires) {
-      hash = mix(hash, link(wire.dialler));
-      hash = mix(mix(hash, link(wire.taker)), wire.whole ? 1 : 2);
+    for (final ModelTransport.Connection connection : world.wires) {
+      hash = mix(hash, link(connection.dialler));
+      hash = mix(mix(hash, link(connection.taker)), connection.whole ? 1 : 2);
     }
     hash = mix(hash, value(world.monitor.history));
     hash = mix(mix(hash, value(world.monitor.leaders)), value(world.monitor.newest()));
@@ -69,7 +69,7 @@
     long hash =
         mix(
             mix(end.owner.number, end.far().owner.number),
-            (end == end.wire.dialler ? 1 : 2) + (end.open ? 0 : 4));
+            (end == end.connection.dialler ? 1 : 2) + (end.open ? 0 : 4));
     for (final byte[] letter : end.inbound) {
       hash = mix(hash, value(letter));
     }
@@ -154,8 +154,8 @@
       for (final Field field : FIELDS.computeIfAbsent(object.getClass(), ModelDigest::readable)) {
         hash = mix(hash, field(field, object));
       }
-    } catch (final IllegalAccessException defect) {
-      throw new IllegalStateException(defect);
+    } catch (final IllegalAccessException failure) {
+      throw new IllegalStateException(failure);
     }
     return hash;
   }
--- a/src/test/java/yewjunction/raft/ModelDisk.java
+++ b/src/test/java/yewjunction/raft/ModelDisk.java
@@ -8,7 +8,11 @@
 /** One ledger file: what would outlast a loss of power, and what was only written. */
 final class ModelDisk implements Disk {
   /** What becomes of bytes that were written and not synced, and of the write under way. */
-  static final int LOST = 0, TORN = 1, WHOLE = 2, HOLED = 3;
+  static final int LOST = 0;
+
+  static final int TORN = 1;
+  static final int WHOLE = 2;
+  static final int HOLED = 3;
 
   private byte[] synced;
   private final List<byte[]> written = new ArrayList<>();
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -25,7 +25,7 @@
   final int number;
   final String address;
   ModelDisk disk;
-  RaftNode ledger;
+  RaftNode raftNode;
   ModelTransport post;
   RecordingStateMachine tale;
 
@@ -91,7 +91,7 @@
   }
 
   boolean up() {
-    return ledger != null;
+    return raftNode != null;
   }
 
   void boot(final boolean founder) {
@@ -100,21 +100,21 @@
     }
     post = new ModelTransport(this);
     tale = new RecordingStateMachine();
-    ledger = new RaftNode(7, this, post, disk, this::work, "ledger", tale);
-    ledger.listen();
-    ledger
+    raftNode = new RaftNode(7, this, post, disk, this::work, "ledger", tale);
+    raftNode.listen();
+    raftNode
         .electorate()
         .seat(new VoterPlacement(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
-    if (ledger.identity() == null) {
+    if (raftNode.identity() == null) {
       final boolean oldName =
           founder || world.fault == ModelFault.OLD_NAME_AFTER_WIPE && number < world.setup.voters();
-      ledger.name(address + "#" + (oldName ? "f" : "d" + drawn++));
+      raftNode.name(address + "#" + (oldName ? "f" : "d" + drawn++));
       if (founder) {
-        ledger.found(world.setup.founders());
+        raftNode.found(world.setup.founders());
       }
     }
-    ledger.start();
-    ledger.membership().keep(this::peers, () -> true);
+    raftNode.start();
+    raftNode.membership().keep(this::peers, () -> true);
     leaving = false;
     runCommands();
   }
@@ -129,7 +129,7 @@
    */
   void leave() {
     leaving = true;
-    ledger.membership().leave(() -> {});
+    raftNode.membership().leave(() -> {});
     runCommands();
   }
 
@@ -168,8 +168,8 @@
     } else {
       disk.stopped(fate);
     }
-    ledger.stop();
-    ledger = null;
+    raftNode.stop();
+    raftNode = null;
     post.died();
     timers.clear();
     works.clear();
--- a/src/test/java/yewjunction/raft/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -24,6 +24,7 @@
 
   private long newestTerm;
 
+  /** An entry that some member has applied. */
   record Committed(long term, int kind, long value, long inTerm) {}
 
   ModelMonitor(final ModelWorld world) {
@@ -61,43 +62,43 @@
     if (!host.up()) {
       return;
     }
-    final RaftNode ledger = host.ledger;
+    final RaftNode raftNode = host.raftNode;
     // Applied index, restored index, term led.
     final long[] last = seen.computeIfAbsent(host, key -> new long[3]);
     if (host.tale.restoredTo > last[1]) {
       last[1] = host.tale.restoredTo;
       host.tale.told.forEach((index, value) -> same(host, index, history.get(index), value));
     }
-    if (ledger.leadsTerm()) {
-      if (ledger.archive.term >= newestTerm) {
-        newestTerm = ledger.archive.term;
-        newestVoters = ledger.voters();
+    if (raftNode.leadsTerm()) {
+      if (raftNode.storage.term >= newestTerm) {
+        newestTerm = raftNode.storage.term;
+        newestVoters = raftNode.voters();
       }
     }
     boolean news = false;
-    for (long index = Math.max(last[0], ledger.log.baseIndex()) + 1;
-        index <= ledger.applied();
+    for (long index = Math.max(last[0], raftNode.log.baseIndex()) + 1;
+        index <= raftNode.applied();
         index++) {
-      news |= applied(host, index, ledger.log.get(index));
+      news |= applied(host, index, raftNode.log.get(index));
     }
-    last[0] = ledger.applied();
-    if (ledger.leadsTerm() && last[2] != ledger.archive.term) {
-      last[2] = ledger.archive.term;
-      final String known = leaders.putIfAbsent(ledger.archive.term, ledger.identity());
-      if (known != null && !known.equals(ledger.identity())) {
+    last[0] = raftNode.applied();
+    if (raftNode.leadsTerm() && last[2] != raftNode.storage.term) {
+      last[2] = raftNode.storage.term;
+      final String known = leaders.putIfAbsent(raftNode.storage.term, raftNode.identity());
+      if (known != null && !known.equals(raftNode.identity())) {
         violated(
             "one leader a term: "
                 + known
                 + " and "
-                + ledger.identity()
+                + raftNode.identity()
                 + " in term "
-                + ledger.archive.term);
+                + raftNode.storage.term);
       }
       complete(host);
     }
     if (news) {
       world.hosts.stream()
-          .filter(other -> other.up() && other.ledger.leadsTerm())
+          .filter(other -> other.up() && other.raftNode.leadsTerm())
           .forEach(this::complete);
     }
   }
@@ -126,9 +127,9 @@
   private boolean applied(final ModelHost host, final long index, final LogEntry entry) {
     final Committed known = history.get(index);
     if (known == null) {
-      final long inTerm = host.ledger.archive.term;
+      final long inTerm = host.raftNode.storage.term;
       history.put(index, new Committed(entry.term, entry.kind, valueOf(entry), inTerm));
-      durable(host.ledger, index, entry.term);
+      durable(host.raftNode, index, entry.term);
       return true;
     }
     if (known.term != entry.term || known.kind != entry.kind || known.value != valueOf(entry)) {
@@ -149,17 +150,17 @@
 
   /** Whoever leads holds all that earlier terms committed. */
   private void complete(final ModelHost host) {
-    final RaftNode ledger = host.ledger;
+    final RaftNode raftNode = host.raftNode;
     history.forEach(
         (index, committed) -> {
           final boolean held =
-              index <= ledger.log.baseIndex() || ledger.log.termAt(index) == committed.term;
-          if (committed.inTerm < ledger.archive.term && !held) {
+              index <= raftNode.log.baseIndex() || raftNode.log.termAt(index) == committed.term;
+          if (committed.inTerm < raftNode.storage.term && !held) {
             violated(
                 "nothing committed is lost: "
                     + host.address
                     + " leads term "
-                    + ledger.archive.term
+                    + raftNode.storage.term
                     + " without "
                     + index
                     + " "
@@ -171,15 +172,15 @@
   /**
    * What is committed lies on a majority of the voters' disks as a loss of power would leave them.
    */
-  private void durable(final RaftNode ledger, final long index, final long term) {
-    final List<String> voters = ledger.voters();
+  private void durable(final RaftNode raftNode, final long index, final long term) {
+    final List<String> voters = raftNode.voters();
     int held = 0;
     for (final String voter : voters) {
-      final RaftStorage archive = onDisk(world.at(RaftNode.address(voter)));
+      final RaftStorage storage = onDisk(world.at(RaftNode.address(voter)));
       // A disk that was lost after it had taken the entry counts as one of the losses that are
       // borne.
       held +=
-          diskGone(voter) || voter.equals(archive.identity) && holds(archive, index, term) ? 1 : 0;
+          diskGone(voter) || voter.equals(storage.identity) && holds(storage, index, term) ? 1 : 0;
     }
     if (held * 2 <= voters.size()) {
       violated(
@@ -194,8 +195,8 @@
     }
   }
 
-  private static boolean holds(final RaftStorage archive, final long index, final long term) {
-    return archive.log.baseIndex() >= index || archive.log.termAt(index) == term;
+  private static boolean holds(final RaftStorage storage, final long index, final long term) {
+    return storage.log.baseIndex() >= index || storage.log.termAt(index) == term;
   }
 
   private static RaftStorage onDisk(final ModelHost host) {
@@ -212,7 +213,7 @@
     // log.
     for (final ModelHost host : world.hosts) {
       if (host.up()
-          && host.ledger.applied() >= index
+          && host.raftNode.applied() >= index
           && !Long.valueOf(value).equals(host.tale.told.get(index))) {
         broken.add(
             "acknowledged is applied: "
@@ -229,10 +230,10 @@
 
   /** A yes is a fact only when no later leader had had anything committed before the question. */
   void confirms(final ModelHost host) {
-    final long term = host.ledger.archive.term;
+    final long term = host.raftNode.storage.term;
     final boolean deposed =
         history.values().stream().anyMatch(committed -> committed.inTerm > term);
-    host.ledger.confirm(
+    host.raftNode.confirm(
         yes -> {
           if (yes && deposed) {
             broken.add(
@@ -256,52 +257,52 @@
     return Math.max(seats, disks) <= world.setup.tolerates();
   }
 
-  private boolean whole(final RaftStorage archive, final ModelHost host) {
+  private boolean whole(final RaftStorage storage, final ModelHost host) {
     return host.wipes == 0
         || history.isEmpty()
-        || holds(archive, history.lastKey(), history.lastEntry().getValue().term);
+        || holds(storage, history.lastKey(), history.lastEntry().getValue().term);
   }
 
   /**
    * It votes by all disks that know any voters, and holds what was committed if it ever lost that.
    */
   private boolean good(final ModelHost host) {
-    final RaftStorage archive = onDisk(host);
-    if (archive.identity == null) {
+    final RaftStorage storage = onDisk(host);
+    if (storage.identity == null) {
       return false;
     }
-    boolean votes = newestVoters.isEmpty() || newestVoters.contains(archive.identity);
+    boolean votes = newestVoters.isEmpty() || newestVoters.contains(storage.identity);
     for (final ModelHost other : world.hosts) {
       final RaftLog log = onDisk(other).log;
       final List<String> voters = log.votersAt(log.lastIndex());
-      votes &= voters.isEmpty() || voters.contains(archive.identity);
+      votes &= voters.isEmpty() || voters.contains(storage.identity);
       // One that is being voted out is lost already, whatever the disks say yet.
       votes &=
           !other.up()
-              || other.ledger.voters().isEmpty()
-              || other.ledger.voters().contains(archive.identity);
+              || other.raftNode.voters().isEmpty()
+              || other.raftNode.voters().contains(storage.identity);
     }
-    return votes && whole(archive, host);
+    return votes && whole(storage, host);
   }
 
   boolean seatsFilled() {
     final ModelHost leader =
-        world.hosts.stream().filter(host -> host.ledger.leads()).findFirst().orElse(null);
+        world.hosts.stream().filter(host -> host.raftNode.leads()).findFirst().orElse(null);
     return leader != null
-        && leader.ledger.voters().size() == world.setup.seats()
-        && leader.ledger.voters().stream()
-            .allMatch(voter -> voter.equals(world.at(RaftNode.address(voter)).ledger.identity()));
+        && leader.raftNode.voters().size() == world.setup.seats()
+        && leader.raftNode.voters().stream()
+            .allMatch(voter -> voter.equals(world.at(RaftNode.address(voter)).raftNode.identity()));
   }
 
   List<String> standing() {
     return world.hosts.stream()
         .filter(ModelHost::up)
-        .map(host -> host.ledger)
+        .map(host -> host.raftNode)
         .map(
             one ->
                 one.identity()
                     + " term "
-                    + one.archive.term
+                    + one.storage.term
                     + " last "
                     + one.log.lastIndex()
                     + "/"
--- a/src/test/java/yewjunction/raft/ModelRecovery.java
+++ b/src/test/java/yewjunction/raft/ModelRecovery.java
@@ -32,8 +32,8 @@
   /** What is under way by now arrives; answers to it do not. */
   private boolean deliver() {
     boolean any = false;
-    for (final ModelTransport.Connection wire : List.copyOf(world.wires)) {
-      for (final ModelTransport.End end : List.of(wire.taker, wire.dialler)) {
+    for (final ModelTransport.Connection connection : List.copyOf(world.wires)) {
+      for (final ModelTransport.End end : List.of(connection.taker, connection.dialler)) {
         for (int count = end.inbound.size(); count > 0 && !end.inbound.isEmpty(); count--) {
           end.deliver();
           world.monitor.look(end.owner);
@@ -73,7 +73,7 @@
         return false;
       }
       if (atMs % PROPOSE_MS == 0) {
-        world.hosts.stream().filter(host -> host.ledger.leads()).forEach(world::propose);
+        world.hosts.stream().filter(host -> host.raftNode.leads()).forEach(world::propose);
       }
       tick();
     }
--- a/src/test/java/yewjunction/raft/ModelStep.java
+++ b/src/test/java/yewjunction/raft/ModelStep.java
@@ -5,20 +5,20 @@
 
 /** One choice of the scheduler in sixteen bits, and as text. A schedule is a string of them. */
 final class ModelStep {
-  static final int TIMER = 0,
-      DISK = 1,
-      DELIVER = 2,
-      REPLY = 3,
-      BREAK = 4,
-      CRASH = 5,
-      BOOT = 6,
-      WIPE = 7,
-      FREEZE = 8,
-      PROPOSE = 9,
-      CONFIRM = 10,
-      HAND = 11,
-      DRAIN = 12,
-      LEAVE = 13;
+  static final int TIMER = 0;
+  static final int DISK = 1;
+  static final int DELIVER = 2;
+  static final int REPLY = 3;
+  static final int BREAK = 4;
+  static final int CRASH = 5;
+  static final int BOOT = 6;
+  static final int WIPE = 7;
+  static final int FREEZE = 8;
+  static final int PROPOSE = 9;
+  static final int CONFIRM = 10;
+  static final int HAND = 11;
+  static final int DRAIN = 12;
+  static final int LEAVE = 13;
   private static final String LETTERS = "tsdrxkbwfpch*l";
 
   private ModelStep() {}
--- a/src/test/java/yewjunction/raft/ModelThreads.java
+++ b/src/test/java/yewjunction/raft/ModelThreads.java
@@ -16,15 +16,15 @@
     final List<Thread> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       final Thread thread = new Thread(work, "model-" + i);
-      thread.setUncaughtExceptionHandler((where, defect) -> failure.set(defect));
+      thread.setUncaughtExceptionHandler((where, thrown) -> failure.set(thrown));
       thread.start();
       all.add(thread);
     }
     for (final Thread thread : all) {
       try {
         thread.join();
-      } catch (final InterruptedException defect) {
-        throw new IllegalStateException(defect);
+      } catch (final InterruptedException thrown) {
+        throw new IllegalStateException(thrown);
       }
     }
     if (failure.get() != null) {
--- a/src/test/java/yewjunction/raft/ModelTransport.java
+++ b/src/test/java/yewjunction/raft/ModelTransport.java
@@ -64,7 +64,7 @@
 
   /** One side of a link. */
   static final class End implements PeerConnection {
-    final Connection wire;
+    final Connection connection;
     final ModelHost owner;
     private final String remote;
 
@@ -73,24 +73,24 @@
 
     boolean open = true;
 
-    End(final Connection wire, final ModelHost owner, final String remote) {
-      this.wire = wire;
+    End(final Connection connection, final ModelHost owner, final String remote) {
+      this.connection = connection;
       this.owner = owner;
       this.remote = remote;
     }
 
     End far() {
-      return this == wire.dialler ? wire.taker : wire.dialler;
+      return this == connection.dialler ? connection.taker : connection.dialler;
     }
 
     @Override
-    public boolean send(final Object letter) {
+    public boolean send(final Object message) {
       if (!open) {
         return false;
       }
       owner.world.sent++;
-      if (wire.whole) {
-        far().inbound.add(CODECS.get().encode(letter));
+      if (connection.whole) {
+        far().inbound.add(CODECS.get().encode(message));
       }
       return true;
     }
@@ -100,7 +100,7 @@
       final byte[] bytes = inbound.poll();
       if (bytes == CLOSE) {
         open = false;
-        if (owner.world.fault != ModelFault.CLOSE_UNTOLD || owner != wire.dialler.owner) {
+        if (owner.world.fault != ModelFault.CLOSE_UNTOLD || owner != connection.dialler.owner) {
           owner.post.closers.forEach(closer -> closer.accept(this));
         } else {
           // Planted: still thought to be open, and nothing sent on it arrives.
@@ -128,26 +128,28 @@
     }
   }
 
-  private void take(final End end, final Object letter) {
+  private void take(final End end, final Object message) {
     if (host.world.fault == ModelFault.ROUND_MADE_UP
-        && letter instanceof RaftMessages.AppendEntriesResponse answer) {
-      answer.round += 1;
+        && message instanceof RaftMessages.AppendEntriesResponse response) {
+      response.round += 1;
     }
-    handlers.get(letter.getClass()).accept(end, letter);
+    handlers.get(message.getClass()).accept(end, message);
   }
 
   /** The process is gone: what it sent may still arrive, what is on its way to it does not. */
   void died() {
-    for (final Connection wire : host.world.wires) {
+    for (final Connection connection : host.world.wires) {
       final End own =
-          wire.dialler.owner == host ? wire.dialler : wire.taker.owner == host ? wire.taker : null;
+          connection.dialler.owner == host
+              ? connection.dialler
+              : connection.taker.owner == host ? connection.taker : null;
       if (own != null && own.open) {
         own.open = false;
         own.inbound.clear();
-        if (wire.whole) {
+        if (connection.whole) {
           own.far().inbound.add(CLOSE);
         }
-        wire.whole = false;
+        connection.whole = false;
       }
     }
     host.world.wires.removeIf(Connection::over);
@@ -155,27 +157,27 @@
 
   @Override
   public PeerConnection dial(final String address) {
-    for (final Connection wire : host.world.wires) {
-      if (wire.dialler.owner == host
-          && wire.dialler.open
-          && wire.taker.owner.address.equals(address)) {
-        return wire.dialler;
+    for (final Connection connection : host.world.wires) {
+      if (connection.dialler.owner == host
+          && connection.dialler.open
+          && connection.taker.owner.address.equals(address)) {
+        return connection.dialler;
       }
     }
     final ModelHost target = host.world.at(address);
-    final Connection wire = new Connection(host, target);
-    host.world.wires.add(wire);
+    final Connection connection = new Connection(host, target);
+    host.world.wires.add(connection);
     if (!target.up()) {
-      wire.whole = false;
-      wire.taker.open = false;
-      wire.dialler.inbound.add(CLOSE);
+      connection.whole = false;
+      connection.taker.open = false;
+      connection.dialler.inbound.add(CLOSE);
     }
-    return wire.dialler;
+    return connection.dialler;
   }
 
   @Override
   public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-    handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
+    handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
   @Override
--- a/src/test/java/yewjunction/raft/ModelWalks.java
+++ b/src/test/java/yewjunction/raft/ModelWalks.java
@@ -48,10 +48,10 @@
 
   /** What the walk of that seed breaks; null for nothing. */
   ModelFinding walk(final long seed) {
-    final Random luck = new Random((seed + setup.name().hashCode()) * 0x9E3779B97F4A7C15L);
+    final Random random = new Random((seed + setup.name().hashCode()) * 0x9E3779B97F4A7C15L);
     final int[] weights = WEIGHTS.clone();
     for (int kind = 0; kind < weights.length; kind++) {
-      weights[kind] *= new int[] {1, 4, 16}[luck.nextInt(3)];
+      weights[kind] *= new int[] {1, 4, 16}[random.nextInt(3)];
     }
     final StringBuilder schedule = new StringBuilder();
     boolean afterwards = false;
@@ -61,12 +61,13 @@
       int away = -1;
       boolean calm = false;
       for (int at = 0; at < length; at++) {
-        if (luck.nextInt(40) == 0) {
+        if (random.nextInt(40) == 0) {
           // For a stretch nothing reaches or leaves one of them.
-          away = luck.nextInt(3 * world.hosts.size());
+          away = random.nextInt(3 * world.hosts.size());
         }
-        calm ^= luck.nextInt(calm ? 60 : 20) == 0;
-        final char step = choose(world.enabled(), calm ? calmly(world, luck) : weights, away, luck);
+        calm ^= random.nextInt(calm ? 60 : 20) == 0;
+        final char step =
+            choose(world.enabled(), calm ? calmly(world, random) : weights, away, random);
         schedule.append(step);
         steps++;
         world.apply(step);
@@ -82,22 +83,24 @@
   }
 
   /** Letters and disks first; then a clock, mostly that of whoever leads. */
-  private static int[] calmly(final ModelWorld world, final Random luck) {
+  private static int[] calmly(final ModelWorld world, final Random random) {
     final int[] weights = new int[WEIGHTS.length];
     final boolean idle =
         world.wires.stream()
-            .allMatch(wire -> wire.taker.inbound.isEmpty() && wire.dialler.inbound.isEmpty());
+            .allMatch(
+                connection ->
+                    connection.taker.inbound.isEmpty() && connection.dialler.inbound.isEmpty());
     weights[ModelStep.DISK] = 100;
     weights[ModelStep.DELIVER] = 100;
     weights[ModelStep.REPLY] = 100;
-    weights[ModelStep.TIMER] = idle ? 50 : 1 + luck.nextInt(4);
+    weights[ModelStep.TIMER] = idle ? 50 : 1 + random.nextInt(4);
     weights[ModelStep.BOOT] = 10;
     weights[ModelStep.PROPOSE] = 10;
     return weights;
   }
 
   private static char choose(
-      final String enabled, final int[] weights, final int away, final Random luck) {
+      final String enabled, final int[] weights, final int away, final Random random) {
     final int[] sums = new int[enabled.length()];
     int sum = 0;
     for (int at = 0; at < sums.length; at++) {
@@ -110,12 +113,12 @@
           held ? 0 : weights[kind] / (kind == ModelStep.CRASH && ModelStep.which(step) > 0 ? 3 : 1);
       sums[at] = sum;
     }
-    final int drawn = luck.nextInt(Math.max(1, sum));
+    final int drawn = random.nextInt(Math.max(1, sum));
     for (int at = 0; at < sums.length; at++) {
       if (drawn < sums[at]) {
         return enabled.charAt(at);
       }
     }
-    return enabled.charAt(luck.nextInt(enabled.length()));
+    return enabled.charAt(random.nextInt(enabled.length()));
   }
 }
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -55,17 +55,17 @@
   /** All that may happen next. */
   String enabled() {
     final StringBuilder steps = new StringBuilder();
-    for (final ModelTransport.Connection wire : wires) {
-      final int from = wire.dialler.owner.number;
-      final int to = wire.taker.owner.number;
-      if (!wire.taker.inbound.isEmpty()) {
-        steps.append(of(ModelStep.DELIVER, from, to, place(wire)));
+    for (final ModelTransport.Connection connection : wires) {
+      final int from = connection.dialler.owner.number;
+      final int to = connection.taker.owner.number;
+      if (!connection.taker.inbound.isEmpty()) {
+        steps.append(of(ModelStep.DELIVER, from, to, place(connection)));
       }
-      if (!wire.dialler.inbound.isEmpty()) {
-        steps.append(of(ModelStep.REPLY, to, from, place(wire)));
+      if (!connection.dialler.inbound.isEmpty()) {
+        steps.append(of(ModelStep.REPLY, to, from, place(connection)));
       }
-      if (wire.whole && budget.allows(ModelStep.BREAK)) {
-        steps.append(of(ModelStep.BREAK, from, to, place(wire)));
+      if (connection.whole && budget.allows(ModelStep.BREAK)) {
+        steps.append(of(ModelStep.BREAK, from, to, place(connection)));
       }
     }
     for (final ModelHost host : hosts) {
@@ -87,10 +87,10 @@
           steps.append(of(ModelStep.CRASH, host.number, 0, fate));
         }
       }
-      final boolean leads = host.ledger.leads();
-      bounded(steps, ModelStep.PROPOSE, host, leads && !host.ledger.electorate().handing());
+      final boolean leads = host.raftNode.leads();
+      bounded(steps, ModelStep.PROPOSE, host, leads && !host.raftNode.electorate().handing());
       bounded(steps, ModelStep.CONFIRM, host, leads);
-      bounded(steps, ModelStep.HAND, host, leads && !host.ledger.electorate().handing());
+      bounded(steps, ModelStep.HAND, host, leads && !host.raftNode.electorate().handing());
       bounded(steps, ModelStep.LEAVE, host, !host.leaving);
     }
     return steps.toString();
@@ -107,14 +107,15 @@
    * Which of several links between the same two, dialled by the same one: an end may not know yet
    * that it is dead.
    */
-  private int place(final ModelTransport.Connection wire) {
+  private int place(final ModelTransport.Connection connection) {
     int place = 0;
     for (final ModelTransport.Connection other : wires) {
-      if (other == wire) {
+      if (other == connection) {
         return place;
       }
       place +=
-          other.dialler.owner == wire.dialler.owner && other.taker.owner == wire.taker.owner
+          other.dialler.owner == connection.dialler.owner
+                  && other.taker.owner == connection.taker.owner
               ? 1
               : 0;
     }
@@ -123,11 +124,11 @@
 
   private ModelTransport.Connection wire(final int dialler, final int taker, final int place) {
     int at = 0;
-    for (final ModelTransport.Connection wire : wires) {
-      if (wire.dialler.owner.number == dialler
-          && wire.taker.owner.number == taker
+    for (final ModelTransport.Connection connection : wires) {
+      if (connection.dialler.owner.number == dialler
+          && connection.taker.owner.number == taker
           && at++ == place) {
-        return wire;
+        return connection;
       }
     }
     throw new IllegalArgumentException("no link " + dialler + " to " + taker);
@@ -148,8 +149,8 @@
     } catch (final IllegalStateException
         | IndexOutOfBoundsException
         | NullPointerException
-        | YewjunctionException defect) {
-      throw new ModelViolation("the code's own invariant: " + what + ": " + defect);
+        | YewjunctionException failure) {
+      throw new ModelViolation("the code's own invariant: " + what + ": " + failure);
     }
   }
 
@@ -199,7 +200,7 @@
       case ModelStep.PROPOSE -> propose(host);
       case ModelStep.CONFIRM -> monitor.confirms(host);
       case ModelStep.HAND -> {
-        host.ledger.electorate().handOver(() -> {});
+        host.raftNode.electorate().handOver(() -> {});
         host.runCommands();
       }
       case ModelStep.LEAVE -> host.leave();
@@ -216,14 +217,14 @@
   void propose(final ModelHost host) {
     final long value = ++proposed;
     final long[] index = new long[1];
-    if (host.ledger.propose(
+    if (host.raftNode.propose(
         ByteBuffer.allocate(8).putLong(value).array(),
         done -> {
           if (done) {
             monitor.acknowledged(index[0], value);
           }
         })) {
-      index[0] = host.ledger.log.lastIndex();
+      index[0] = host.raftNode.log.lastIndex();
     }
     host.runCommands();
   }
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -27,7 +27,7 @@
 
   final Set<Long> acknowledged = new HashSet<>();
   private final Map<Long, String> leaders = new HashMap<>();
-  SimulatedNetwork world;
+  SimulatedNetwork network;
 
   /** Addresses that are to hold no vote. */
   final Map<String, Boolean> leaving = new TreeMap<>();
@@ -41,7 +41,7 @@
   int ballast;
 
   /** Plants a fault in letters that are taken. */
-  Consumer<Object> tampering = letter -> {};
+  Consumer<Object> tampering = message -> {};
 
   /** No proposals for the while. */
   boolean quiet;
@@ -76,9 +76,9 @@
       // As the vaults' state does, it differs from one moment to the next without any entry:
       // stamped at both ends.
       final ByteBuffer bytes = ByteBuffer.allocate(20 + 16 * told.size() + ballast);
-      bytes.putLong(world.nowMs()).putInt(told.size());
+      bytes.putLong(network.nowMs()).putInt(told.size());
       told.forEach((index, value) -> bytes.putLong(index).putLong(value));
-      return bytes.putLong(bytes.limit() - 8, world.nowMs()).array();
+      return bytes.putLong(bytes.limit() - 8, network.nowMs()).array();
     }
 
     @Override
@@ -95,21 +95,21 @@
   }
 
   void boot(final String address, final boolean founder) {
-    final SimulatedHost host = world.host(address);
+    final SimulatedHost host = network.host(address);
     final SimulatedTransport post = host.boot();
     host.tampering = tampering;
     final RecordingStateMachine tale = new RecordingStateMachine();
-    final RaftNode ledger = new RaftNode(7, host, post, host.disk, host.clerk(), "ledger", tale);
-    ledger.listen();
-    ledger.electorate().seat(new VoterPlacement(3, leaving::keySet, one -> one.substring(0, 1)));
-    if (ledger.identity() == null) {
-      ledger.name(address + "#" + (founder ? "founder" : "drawn" + drawn++));
+    final RaftNode raftNode = new RaftNode(7, host, post, host.disk, host.clerk(), "ledger", tale);
+    raftNode.listen();
+    raftNode.electorate().seat(new VoterPlacement(3, leaving::keySet, one -> one.substring(0, 1)));
+    if (raftNode.identity() == null) {
+      raftNode.name(address + "#" + (founder ? "founder" : "drawn" + drawn++));
       if (founder) {
-        ledger.found(addresses.stream().map(one -> one + "#founder").toList());
+        raftNode.found(addresses.stream().map(one -> one + "#founder").toList());
       }
     }
-    ledger.start();
-    ledger
+    raftNode.start();
+    raftNode
         .membership()
         .keep(
             () ->
@@ -117,21 +117,23 @@
                     .filter(one -> !one.equals(address) && !forgotten.contains(one))
                     .toList(),
             () -> true);
-    ledgers.put(address, ledger);
+    ledgers.put(address, raftNode);
     tales.put(address, tale);
   }
 
   void begin(final long seed) {
-    world = new SimulatedNetwork(seed);
+    network = new SimulatedNetwork(seed);
     addresses.forEach(address -> boot(address, true));
-    world.every(
+    network.every(
         7,
         () -> {
           final List<String> all = List.copyOf(ledgers.keySet());
-          final RaftNode ledger = ledgers.get(all.get(world.luck.nextInt(all.size())));
-          if (!quiet && world.host(RaftNode.address(ledger.identity())).up() && ledger.leads()) {
+          final RaftNode raftNode = ledgers.get(all.get(network.random.nextInt(all.size())));
+          if (!quiet
+              && network.host(RaftNode.address(raftNode.identity())).up()
+              && raftNode.leads()) {
             final long value = ++proposed;
-            ledger.propose(
+            raftNode.propose(
                 ByteBuffer.allocate(8).putLong(value).array(),
                 done -> {
                   if (done) {
@@ -140,11 +142,11 @@
                 });
           }
           for (final RaftNode one : ledgers.values()) {
-            if (one.leadsTerm() && world.host(RaftNode.address(one.identity())).up()) {
-              final String known = leaders.putIfAbsent(one.archive.term, one.identity());
+            if (one.leadsTerm() && network.host(RaftNode.address(one.identity())).up()) {
+              final String known = leaders.putIfAbsent(one.storage.term, one.identity());
               assertTrue(
                   known == null || known.equals(one.identity()),
-                  "two leaders in term " + one.archive.term);
+                  "two leaders in term " + one.storage.term);
             }
           }
         });
@@ -153,36 +155,36 @@
   /** Members without a vote, in zones with a voter and without one; served for a while. */
   void beginWithSpares(final long seed) {
     begin(seed);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     SPARES.forEach(spare -> boot(spare, false));
-    world.runFor(3_000);
+    network.runFor(3_000);
   }
 
   RaftNode leader() {
     return ledgers.values().stream()
-        .filter(one -> world.host(RaftNode.address(one.identity())).up() && one.leads())
+        .filter(one -> network.host(RaftNode.address(one.identity())).up() && one.leads())
         .findFirst()
         .orElse(null);
   }
 
   void checkAll() {
-    world.join();
-    world.loss = 0;
+    network.join();
+    network.loss = 0;
     for (final String address : addresses) {
-      if (!world.host(address).up()) {
+      if (!network.host(address).up()) {
         boot(address, false);
       }
     }
     final long before = acknowledged.size();
     assertTrue(
-        world.runUntil(() -> acknowledged.size() > before + 20, 20_000),
+        network.runUntil(() -> acknowledged.size() > before + 20, 20_000),
         "no progress when all is well again "
             + ledgers.values().stream()
                 .map(
                     one ->
                         one.identity()
                             + " term "
-                            + one.archive.term
+                            + one.storage.term
                             + " last "
                             + one.log.lastIndex()
                             + "/"
@@ -196,10 +198,10 @@
                             + " voters "
                             + one.voters())
                 .toList());
-    world.runFor(2_000);
+    network.runFor(2_000);
     // The load goes on: what is acknowledged this very moment is told to the others within a beat.
     final Set<Long> owed = Set.copyOf(acknowledged);
-    world.runFor(100);
+    network.runFor(100);
     for (final String address : addresses) {
       assertTrue(
           tales.get(address).told.values().containsAll(owed),
