--- a/src/test/java/yewjunction/raft/RaftSimulationTest.java
+++ b/src/test/java/yewjunction/raft/RaftSimulationTest.java
@@ -21,35 +21,35 @@
       })
   void nothingAcknowledgedIsLostUnderOneLossAtATime(final long seed) {
     begin(seed);
-    world.loss = 0.02;
+    network.loss = 0.02;
     for (int round = 0; round < 12; round++) {
-      world.runFor(500 + world.luck.nextInt(3_000));
-      final String victim = addresses.get(world.luck.nextInt(3));
-      final String other = addresses.get(world.luck.nextInt(3));
-      switch (world.luck.nextInt(6)) {
-        case 0 -> world.host(victim).kill();
-        case 1 -> world.host(victim).powerOff();
+      network.runFor(500 + network.random.nextInt(3_000));
+      final String victim = addresses.get(network.random.nextInt(3));
+      final String other = addresses.get(network.random.nextInt(3));
+      switch (network.random.nextInt(6)) {
+        case 0 -> network.host(victim).kill();
+        case 1 -> network.host(victim).powerOff();
         case 2 -> {
           // A lost disk counts as a loss until the machine has caught up.
-          world.host(victim).powerOff();
-          world.host(victim).wipe();
+          network.host(victim).powerOff();
+          network.host(victim).wipe();
         }
         case 3 -> {
           if (!victim.equals(other)) {
-            world.cut(victim, other);
+            network.cut(victim, other);
           }
         }
         case 4 -> ledgers.get(victim).electorate().handOver(() -> {});
-        default -> addresses.forEach(address -> world.host(address).powerOff());
+        default -> addresses.forEach(address -> network.host(address).powerOff());
       }
-      world.runFor(200 + world.luck.nextInt(2_000));
-      world.join();
+      network.runFor(200 + network.random.nextInt(2_000));
+      network.join();
       for (final String address : addresses) {
-        if (!world.host(address).up()) {
+        if (!network.host(address).up()) {
           boot(address, false);
         }
       }
-      world.runFor(6_000);
+      network.runFor(6_000);
     }
     checkAll();
     assertTrue(acknowledged.size() > 1_000, "only " + acknowledged.size());
@@ -58,85 +58,85 @@
   @Test
   void aWipedMemberNeverVotesUnderItsOldName() {
     begin(42);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     final String victim = RaftNode.address(leader().identity());
     // The leader loses its disk while one other loses power: one disk alone holds the newest
     // entries for sure.
-    final SimulatedHost wiped = world.host(victim);
+    final SimulatedHost wiped = network.host(victim);
     wiped.powerOff();
     wiped.wipe();
     final String other =
         addresses.stream().filter(one -> !one.equals(victim)).findFirst().orElseThrow();
-    world.host(other).powerOff();
+    network.host(other).powerOff();
     boot(victim, false);
     final long before = acknowledged.size();
-    world.runFor(5_000);
+    network.runFor(5_000);
     // The wiped one and one old member are no majority of the old voters.
     assertEquals(before, acknowledged.size());
     boot(other, false);
-    assertTrue(world.runUntil(() -> acknowledged.size() > before + 50, 10_000));
+    assertTrue(network.runUntil(() -> acknowledged.size() > before + 50, 10_000));
     checkAll();
   }
 
   @Test
   void aHandOverLeavesNoGapOfAnElection() {
     begin(5);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-    world.loss = 0;
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
+    network.loss = 0;
     final RaftNode old = leader();
-    final long startMs = world.nowMs();
+    final long startMs = network.nowMs();
     old.electorate().handOver(() -> {});
-    assertTrue(world.runUntil(() -> leader() != null && leader() != old, 2_000));
-    assertTrue(world.nowMs() - startMs < 150, "took " + (world.nowMs() - startMs) + " ms");
+    assertTrue(network.runUntil(() -> leader() != null && leader() != old, 2_000));
+    assertTrue(network.nowMs() - startMs < 150, "took " + (network.nowMs() - startMs) + " ms");
   }
 
   @Test
   void aKilledLeaderIsReplacedWithoutFullPatience() {
     begin(11);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-    world.loss = 0;
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
+    network.loss = 0;
     final RaftNode old = leader();
-    final long startMs = world.nowMs();
-    world.host(RaftNode.address(old.identity())).kill();
-    assertTrue(world.runUntil(() -> leader() != null, 5_000));
-    assertTrue(world.nowMs() - startMs < 450, "took " + (world.nowMs() - startMs) + " ms");
+    final long startMs = network.nowMs();
+    network.host(RaftNode.address(old.identity())).kill();
+    assertTrue(network.runUntil(() -> leader() != null, 5_000));
+    assertTrue(network.nowMs() - startMs < 450, "took " + (network.nowMs() - startMs) + " ms");
   }
 
   @Test
   void aLeaderWhoseOwnLinksAreBadHandsOver() {
     begin(12);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-    world.loss = 0;
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
+    network.loss = 0;
     final String slow = RaftNode.address(leader().identity());
     // Every piece to or from this machine takes far longer than a beat.
-    world.drag(slow, 150);
+    network.drag(slow, 150);
     assertTrue(
-        world.runUntil(
+        network.runUntil(
             () -> leader() != null && !RaftNode.address(leader().identity()).equals(slow), 10_000));
     final String next = leader().identity();
-    world.runFor(8_000);
+    network.runFor(8_000);
     assertEquals(next, leader().identity());
   }
 
   @Test
   void aLongLedgerIsRewrittenAndStillOpens() {
     begin(9);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 20, 10_000));
+    assertTrue(network.runUntil(() -> acknowledged.size() > 20, 10_000));
     final byte[] large = new byte[300_000];
     for (int i = 0; i < 60; i++) {
-      world.runUntil(() -> leader() != null, 5_000);
+      network.runUntil(() -> leader() != null, 5_000);
       large[7] = (byte) i;
       ByteBuffer.wrap(large).putLong(1_000_000 + i);
       leader().propose(large.clone(), done -> {});
-      world.runFor(100);
+      network.runFor(100);
     }
-    world.runFor(2_000);
-    final int length = world.host("a:1").disk.read("ledger").length;
+    network.runFor(2_000);
+    final int length = network.host("a:1").disk.read("ledger").length;
     assertTrue(length < 14 << 20, "file of " + length);
     final List<Long> before = new ArrayList<>(tales.get("a:1").told.values());
-    world.host("a:1").kill();
+    network.host("a:1").kill();
     boot("a:1", false);
-    world.runFor(3_000);
+    network.runFor(3_000);
     assertTrue(tales.get("a:1").told.values().containsAll(before));
     assertNotNull(leader());
     checkAll();
--- a/src/test/java/yewjunction/raft/RaftWireFormatTest.java
+++ b/src/test/java/yewjunction/raft/RaftWireFormatTest.java
@@ -29,49 +29,49 @@
 
   static Map<String, Object> messages() {
     final Map<String, Object> messages = new LinkedHashMap<>();
-    final RaftMessages.VoteRequest ask = headed(new RaftMessages.VoteRequest(), 1);
-    ask.pre = true;
-    ask.handedOver = false;
-    ask.lastIndex = 501;
-    ask.lastTerm = 12;
-    messages.put("10", ask);
+    final RaftMessages.VoteRequest voteRequest = headed(new RaftMessages.VoteRequest(), 1);
+    voteRequest.pre = true;
+    voteRequest.handedOver = false;
+    voteRequest.lastIndex = 501;
+    voteRequest.lastTerm = 12;
+    messages.put("10", voteRequest);
     final RaftMessages.VoteResponse askAnswer = headed(new RaftMessages.VoteResponse(), 2);
     askAnswer.pre = true;
     askAnswer.granted = false;
     messages.put("11", askAnswer);
-    final RaftMessages.AppendEntriesRequest append =
+    final RaftMessages.AppendEntriesRequest appendRequest =
         headed(new RaftMessages.AppendEntriesRequest(), 3);
-    append.prevIndex = 100;
-    append.prevTerm = 6;
-    append.commit = 99;
-    append.round = 41;
-    append.quiet = true;
-    append.entries = entries();
-    append.relay = "10.0.0.9:7000#zz";
-    messages.put("12", append);
+    appendRequest.prevIndex = 100;
+    appendRequest.prevTerm = 6;
+    appendRequest.commit = 99;
+    appendRequest.round = 41;
+    appendRequest.quiet = true;
+    appendRequest.entries = entries();
+    appendRequest.relay = "10.0.0.9:7000#zz";
+    messages.put("12", appendRequest);
     final RaftMessages.AppendEntriesResponse appendAnswer =
         headed(new RaftMessages.AppendEntriesResponse(), 4);
     appendAnswer.accepted = true;
     appendAnswer.match = 777;
     appendAnswer.round = 42;
     messages.put("13", appendAnswer);
-    final RaftMessages.InstallSnapshotRequest image =
+    final RaftMessages.InstallSnapshotRequest snapshotRequest =
         headed(new RaftMessages.InstallSnapshotRequest(), 5);
-    image.lastIndex = 1000;
-    image.lastTerm = 13;
-    image.voters = List.of("a:1#x", "b:2#y", "c:3#z");
-    image.offset = 64;
-    image.length = 4096;
-    image.piece = new byte[] {9, 8, 7};
-    image.number = 21;
-    image.attempt = 3;
-    messages.put("14", image);
+    snapshotRequest.lastIndex = 1000;
+    snapshotRequest.lastTerm = 13;
+    snapshotRequest.voters = List.of("a:1#x", "b:2#y", "c:3#z");
+    snapshotRequest.offset = 64;
+    snapshotRequest.length = 4096;
+    snapshotRequest.piece = new byte[] {9, 8, 7};
+    snapshotRequest.number = 21;
+    snapshotRequest.attempt = 3;
+    messages.put("14", snapshotRequest);
     messages.put("15", headed(new RaftMessages.TimeoutNowRequest(), 6));
-    final RaftMessages.JoinRequest join = headed(new RaftMessages.JoinRequest(), 7);
-    join.wantsVote = true;
-    join.passedOn = true;
-    join.leaves = false;
-    messages.put("16", join);
+    final RaftMessages.JoinRequest joinRequest = headed(new RaftMessages.JoinRequest(), 7);
+    joinRequest.wantsVote = true;
+    joinRequest.passedOn = true;
+    joinRequest.leaves = false;
+    messages.put("16", joinRequest);
     final RaftMessages.InstallSnapshotResponse imageAnswer =
         headed(new RaftMessages.InstallSnapshotResponse(), 8);
     imageAnswer.lastIndex = 1001;
@@ -79,15 +79,15 @@
     imageAnswer.number = 22;
     imageAnswer.attempt = 4;
     messages.put("17", imageAnswer);
-    final RaftMessages.FetchRequest fetch = headed(new RaftMessages.FetchRequest(), 9);
-    fetch.next = 104;
-    fetch.lastTerm = 9;
-    messages.put("18", fetch);
-    final RaftMessages.FetchResponse fetched = headed(new RaftMessages.FetchResponse(), 10);
-    fetched.prevIndex = 100;
-    fetched.prevTerm = 6;
-    fetched.entries = entries();
-    messages.put("19", fetched);
+    final RaftMessages.FetchRequest fetchRequest = headed(new RaftMessages.FetchRequest(), 9);
+    fetchRequest.next = 104;
+    fetchRequest.lastTerm = 9;
+    messages.put("18", fetchRequest);
+    final RaftMessages.FetchResponse fetchResponse = headed(new RaftMessages.FetchResponse(), 10);
+    fetchResponse.prevIndex = 100;
+    fetchResponse.prevTerm = 6;
+    fetchResponse.entries = entries();
+    messages.put("19", fetchResponse);
     return messages;
   }
 
--- a/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
+++ b/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
@@ -25,7 +25,7 @@
 
   private RaftNode lead(final String address) {
     assertTrue(
-        world.runUntil(
+        network.runUntil(
             () -> {
               if (leader() != null && !RaftNode.address(leader().identity()).equals(address)) {
                 leader().electorate().handOver(() -> {});
@@ -43,41 +43,41 @@
    */
   private RaftNode again(final long seed) {
     begin(seed);
-    world.loss = 0;
+    network.loss = 0;
     final RaftNode first = lead("a:1");
-    world.host("a:1").tampering =
-        letter -> {
-          if (letter instanceof AppendEntriesResponse answer) {
-            answers.add(answer);
+    network.host("a:1").tampering =
+        message -> {
+          if (message instanceof AppendEntriesResponse response) {
+            answers.add(response);
           }
         };
     List.of("b:1", "c:1")
         .forEach(
             address ->
-                world.host(address).tampering =
-                    letter -> {
-                      if (letter instanceof AppendEntriesRequest append && append.round > 0) {
-                        appends.put(address, append);
+                network.host(address).tampering =
+                    message -> {
+                      if (message instanceof AppendEntriesRequest request && request.round > 0) {
+                        appends.put(address, request);
                       }
                     });
-    world.runFor(1_000);
-    world.host("a:1").tampering = letter -> {};
-    List.of("b:1", "c:1").forEach(address -> world.host(address).tampering = letter -> {});
+    network.runFor(1_000);
+    network.host("a:1").tampering = message -> {};
+    List.of("b:1", "c:1").forEach(address -> network.host(address).tampering = message -> {});
     assertTrue(answers.size() > 5 && appends.size() == 2);
     lead("b:1");
     assertEquals(first, lead("a:1"));
-    world.runFor(1_000);
-    assertNotEquals(answers.get(0).term, first.archive.term);
+    network.runFor(1_000);
+    assertNotEquals(answers.get(0).term, first.storage.term);
     return first;
   }
 
   private void late(final RaftNode leader, final String from, final long round) {
-    final AppendEntriesResponse answer = new AppendEntriesResponse();
-    answer.from = ledgers.get(from).identity();
-    answer.term = leader.archive.term;
-    answer.accepted = true;
-    answer.round = round;
-    leader.leading.answered(answer);
+    final AppendEntriesResponse response = new AppendEntriesResponse();
+    response.from = ledgers.get(from).identity();
+    response.term = leader.storage.term;
+    response.accepted = true;
+    response.round = round;
+    leader.leaderState.answered(response);
   }
 
   /**
@@ -86,11 +86,11 @@
    */
   private List<Boolean> saidAfterLateAnswers(final RaftNode leader, final long ahead) {
     final List<Boolean> said = new ArrayList<>();
-    world.cut("a:1", "b:1");
-    world.cut("a:1", "c:1");
+    network.cut("a:1", "b:1");
+    network.cut("a:1", "c:1");
     leader.confirm(said::add);
-    for (final AppendEntriesResponse answer : answers) {
-      late(leader, RaftNode.address(answer.from), answer.round + ahead);
+    for (final AppendEntriesResponse response : answers) {
+      late(leader, RaftNode.address(response.from), response.round + ahead);
     }
     return List.copyOf(said);
   }
@@ -118,24 +118,24 @@
   void aRoundIsRepeatedInItsOwnTermOnly(final long seed) {
     final RaftNode leader = again(seed);
     final List<AppendEntriesResponse> told = new ArrayList<>();
-    world.host("a:1").tampering =
-        letter -> {
-          if (letter instanceof AppendEntriesResponse answer) {
-            told.add(answer);
+    network.host("a:1").tampering =
+        message -> {
+          if (message instanceof AppendEntriesResponse response) {
+            told.add(response);
           }
         };
     final AppendEntriesRequest old = appends.get("c:1");
     old.from = leader.identity();
     old.to = 0;
-    ledgers.get("c:1").following.append(ledgers.get("c:1").post.dial("a:1"), old);
-    world.runFor(50);
+    ledgers.get("c:1").followerState.append(ledgers.get("c:1").transport.dial("a:1"), old);
+    network.runFor(50);
     final List<AppendEntriesResponse> refusals =
-        told.stream().filter(answer -> !answer.accepted).toList();
+        told.stream().filter(response -> !response.accepted).toList();
     assertFalse(refusals.isEmpty());
     refusals.forEach(
-        answer -> {
-          assertEquals(leader.archive.term, answer.term);
-          assertEquals(0, answer.round);
+        response -> {
+          assertEquals(leader.storage.term, response.term);
+          assertEquals(0, response.round);
         });
   }
 }
--- a/src/test/java/yewjunction/raft/SnapshotChunksTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotChunksTest.java
@@ -18,12 +18,12 @@
   private boolean twoOfOneIndex() {
     beginNarrow(9, 3 << 20, 0);
     quiet = true;
-    world.runFor(1_000);
+    network.runFor(1_000);
     boot("d:1", false);
-    world.runFor(8_000);
+    network.runFor(8_000);
     final long numbers = snapshots;
-    leader().leading.images.drop();
-    final boolean whole = world.runUntil(() -> ledgers.get("d:1").applied() > 0, 60_000);
+    leader().leaderState.snapshotTransfer.drop();
+    final boolean whole = network.runUntil(() -> ledgers.get("d:1").applied() > 0, 60_000);
     assertEquals(numbers + 1, snapshots);
     return whole;
   }
@@ -38,12 +38,12 @@
     // As it was: only the index tells them apart.
     final long[] number = new long[1];
     tampering =
-        letter -> {
-          if (letter instanceof RaftMessages.InstallSnapshotRequest image) {
-            number[0] = Math.max(number[0], image.number);
-            image.number = 1;
-          } else if (letter instanceof RaftMessages.InstallSnapshotResponse answer) {
-            answer.number = number[0];
+        message -> {
+          if (message instanceof RaftMessages.InstallSnapshotRequest request) {
+            number[0] = Math.max(number[0], request.number);
+            request.number = 1;
+          } else if (message instanceof RaftMessages.InstallSnapshotResponse response) {
+            response.number = number[0];
           }
         };
     assertTrue(
@@ -55,23 +55,23 @@
   @Test
   void whatLiesBehindTheSnapshotStaysWithWhoeverHasIt() {
     begin(10);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     final RaftNode follower =
         ledgers.values().stream().filter(one -> !one.leadsTerm()).findFirst().orElseThrow();
-    assertTrue(world.runUntil(() -> follower.log.lastIndex() > follower.commit() + 1, 10_000));
+    assertTrue(network.runUntil(() -> follower.log.lastIndex() > follower.commit() + 1, 10_000));
     final long last = follower.log.lastIndex();
-    final RaftMessages.InstallSnapshotRequest image = new RaftMessages.InstallSnapshotRequest();
-    image.from = leader().identity();
-    image.term = leader().archive.term;
-    image.lastIndex = follower.commit() + 1;
-    image.lastTerm = follower.log.termAt(image.lastIndex);
-    image.number = 1;
+    final RaftMessages.InstallSnapshotRequest request = new RaftMessages.InstallSnapshotRequest();
+    request.from = leader().identity();
+    request.term = leader().storage.term;
+    request.lastIndex = follower.commit() + 1;
+    request.lastTerm = follower.log.termAt(request.lastIndex);
+    request.number = 1;
     // All of it in one piece: to be installed, were the entries not here.
-    image.piece = tales.get(RaftNode.address(leader().identity())).snapshot();
-    image.length = image.piece.length;
-    follower.following.image(follower.post.dial(RaftNode.address(image.from)), image);
+    request.piece = tales.get(RaftNode.address(leader().identity())).snapshot();
+    request.length = request.piece.length;
+    follower.followerState.image(follower.transport.dial(RaftNode.address(request.from)), request);
     assertEquals(
         last, follower.log.lastIndex(), "entries that may have been acknowledged are gone");
-    assertEquals(image.lastIndex, follower.commit());
+    assertEquals(request.lastIndex, follower.commit());
   }
 }
--- a/src/test/java/yewjunction/raft/SnapshotSimulation.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulation.java
@@ -13,13 +13,13 @@
 
   void beginNarrow(final long seed, final int stateBytes, final long fileBytes) {
     begin(seed);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
-    while (world.host("a:1").disk.read("ledger").length < fileBytes) {
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
+    while (network.host("a:1").disk.read("ledger").length < fileBytes) {
       propose(20_000);
-      world.runFor(20);
+      network.runFor(20);
     }
     ballast = stateBytes;
-    addresses.forEach(address -> world.narrow(address, NARROW));
+    addresses.forEach(address -> network.narrow(address, NARROW));
   }
 
   void propose(final int bytes) {
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -1,6 +1,6 @@
 package yewjunction.raft;
 
-import static yewjunction.common.ControlLimits.CATCH_UP_BYTES;
+import static yewjunction.limits.StorageLimits.MAX_CATCH_UP_TAIL_BYTES;
 
 import io.protostuff.LinkedBuffer;
 import io.protostuff.ProtostuffIOUtil;
@@ -42,8 +42,8 @@
   public static void main(final String[] words) throws Exception {
     final int messages = Integer.parseInt(words[0]);
     final int bodyBytes = Integer.parseInt(words[1]);
-    final SimulatedNetwork world = new SimulatedNetwork(1);
-    final AgentContext pulse = world.host("10.1.1.1:7000");
+    final SimulatedNetwork network = new SimulatedNetwork(1);
+    final AgentContext context = network.host("10.1.1.1:7000");
     final Settings settings =
         new Settings(
             "n",
@@ -65,9 +65,9 @@
             0.1,
             20,
             260);
-    final MessageStore cellar =
+    final MessageStore messageStore =
         new MessageStore(
-            pulse,
+            context,
             new MessageStore.Listener() {
               @Override
               public boolean admittedHere(final StoredMessage message) {
@@ -82,74 +82,75 @@
             },
             settings);
     final byte[][] snapshot = new byte[1][];
-    final StateMachine machine =
+    final StateMachine stateMachine =
         new StateMachine() {
           @Override
           public void apply(final long index, final byte[] data) {
-            cellar.apply(index, data);
+            messageStore.apply(index, data);
           }
 
           @Override
           public byte[] snapshot() {
             try {
-              snapshot[0] = timed("Cellar.snapshot", cellar::snapshot);
+              snapshot[0] = timed("Cellar.snapshot", messageStore::snapshot);
               return snapshot[0];
-            } catch (final Exception defect) {
-              throw new IllegalStateException(defect);
+            } catch (final Exception failure) {
+              throw new IllegalStateException(failure);
             }
           }
 
           @Override
           public void restore(final long index, final byte[] state) {
-            cellar.restore(index, state);
+            messageStore.restore(index, state);
           }
         };
-    final Random luck = new Random(1);
+    final Random random = new Random(1);
     for (int i = 1; i <= messages; i++) {
       final StoredMessage message = new StoredMessage();
       message.topic = "topic-" + i % 400;
       message.client = "client-" + i % 300;
       message.number = i;
       message.body = new byte[bodyBytes];
-      luck.nextBytes(message.body);
+      random.nextBytes(message.body);
       message.tenant("tenant-" + i % 20);
-      cellar.apply(i, ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512)));
+      messageStore.apply(
+          i, ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512)));
     }
     for (int round = 0; round < 5; round++) {
       // The disk's own time is another thread's: left out.
-      final RaftNode ledger =
+      final RaftNode raftNode =
           new RaftNode(
               1,
-              pulse,
+              context,
               null,
               new InMemoryDisk(),
               (blocking, afterwards) -> afterwards.run(),
               "x" + round,
-              machine);
-      ledger.name("a:1#x");
+              stateMachine);
+      raftNode.name("a:1#x");
       // Founding writes the state as a rewrite does: a snapshot and a whole file.
       timed(
           "turn in all",
           () -> {
-            ledger.found(List.of("a:1#x"));
+            raftNode.found(List.of("a:1#x"));
             return null;
           });
       System.out.println("snapshot bytes " + snapshot[0].length);
       // What is kept at most for a member that catches up is written again with it.
-      for (int i = 1; i <= CATCH_UP_BYTES / (bodyBytes + 60); i++) {
-        ledger.archive.append(
+      for (int i = 1; i <= MAX_CATCH_UP_TAIL_BYTES / (bodyBytes + 60); i++) {
+        raftNode.storage.append(
             List.of(new LogEntry(i, 1, LogEntry.DATA, new byte[bodyBytes + 60])), () -> {});
       }
       timed(
-          "kept tail of " + ledger.log.lastIndex(),
+          "kept tail of " + raftNode.log.lastIndex(),
           () -> {
-            ledger.archive.rewrite(0, new byte[0], () -> {});
+            raftNode.storage.rewrite(0, new byte[0], () -> {});
             return null;
           });
       timed(
           "Cellar.restore",
           () -> {
-            cellar.restore(messages, snapshot[0]);
+            messageStore.restore(messages, snapshot[0]);
             return null;
           });
     }
--- a/src/test/java/yewjunction/raft/StoredDataFixture.java
+++ b/src/test/java/yewjunction/raft/StoredDataFixture.java
@@ -41,31 +41,34 @@
   }
 
   private static void write(
-      final Path folder, final String name, final StateMachine machine, final List<byte[]> commands)
+      final Path folder,
+      final String name,
+      final StateMachine stateMachine,
+      final List<byte[]> commands)
       throws IOException {
-    final RaftStorage archive = open(folder, name);
-    archive.saveIdentity(IDENTITY, () -> {});
-    archive.saveVote(3, "10.0.0.5:7000#y", () -> {});
-    archive.log.reset(0, 0, FIRST_VOTERS);
-    archive.rewrite(0, machine.snapshot(), () -> {});
+    final RaftStorage storage = open(folder, name);
+    storage.saveIdentity(IDENTITY, () -> {});
+    storage.saveVote(3, "10.0.0.5:7000#y", () -> {});
+    storage.log.reset(0, 0, FIRST_VOTERS);
+    storage.rewrite(0, stateMachine.snapshot(), () -> {});
     long index = 0;
     final int inSnapshot = commands.size() / 2;
     for (final byte[] command : commands.subList(0, inSnapshot)) {
-      archive.append(List.of(new LogEntry(++index, 3, LogEntry.DATA, command)), () -> {});
-      machine.apply(index, command);
+      storage.append(List.of(new LogEntry(++index, 3, LogEntry.DATA, command)), () -> {});
+      stateMachine.apply(index, command);
     }
-    archive.saveVote(4, IDENTITY, () -> {});
-    archive.append(List.of(new LogEntry(index + 1, 3, LogEntry.DATA, new byte[] {1})), () -> {});
-    archive.cutFrom(index + 1);
-    archive.log.dropTo(index - 1);
-    archive.rewrite(index, machine.snapshot(), () -> {});
+    storage.saveVote(4, IDENTITY, () -> {});
+    storage.append(List.of(new LogEntry(index + 1, 3, LogEntry.DATA, new byte[] {1})), () -> {});
+    storage.cutFrom(index + 1);
+    storage.log.dropTo(index - 1);
+    storage.rewrite(index, stateMachine.snapshot(), () -> {});
     for (final byte[] command : commands.subList(inSnapshot, commands.size())) {
-      archive.append(List.of(new LogEntry(++index, 4, LogEntry.DATA, command)), () -> {});
+      storage.append(List.of(new LogEntry(++index, 4, LogEntry.DATA, command)), () -> {});
     }
-    archive.append(
+    storage.append(
         List.of(new LogEntry(++index, 4, LogEntry.VOTERS, RaftStorage.votersData(LAST_VOTERS))),
         () -> {});
-    archive.append(List.of(new LogEntry(++index, 5, LogEntry.NOTHING, new byte[0])), () -> {});
+    storage.append(List.of(new LogEntry(++index, 5, LogEntry.NOTHING, new byte[0])), () -> {});
     final Path file = folder.resolve(name);
     final long length = Files.size(file);
     final byte[] torn = LogRecord.wrapBody(3, new byte[] {1, 2, 3}, length);
--- a/src/test/java/yewjunction/raft/StoredDataTest.java
+++ b/src/test/java/yewjunction/raft/StoredDataTest.java
@@ -21,7 +21,7 @@
   private void opens(
       final String node,
       final String name,
-      final StateMachine machine,
+      final StateMachine stateMachine,
       final List<byte[]> commands,
       final Consumer<StateMachine> complete)
       throws IOException {
@@ -32,14 +32,14 @@
     assertFalse(health.damaged());
     assertEquals(written - StoredDataFixture.TORN_BYTES, health.goodBytes());
 
-    final RaftStorage archive = StoredDataFixture.open(folder, name);
+    final RaftStorage storage = StoredDataFixture.open(folder, name);
     assertEquals(written - StoredDataFixture.TORN_BYTES, Files.size(file));
-    assertEquals(StoredDataFixture.IDENTITY, archive.identity);
-    assertEquals(4, archive.term);
-    assertEquals(StoredDataFixture.IDENTITY, archive.votedFor);
+    assertEquals(StoredDataFixture.IDENTITY, storage.identity);
+    assertEquals(4, storage.term);
+    assertEquals(StoredDataFixture.IDENTITY, storage.votedFor);
     final int inSnapshot = commands.size() / 2;
-    final RaftLog log = archive.log;
-    assertEquals(inSnapshot, archive.stateIndex());
+    final RaftLog log = storage.log;
+    assertEquals(inSnapshot, storage.stateIndex());
     assertEquals(inSnapshot - 1, log.baseIndex());
     assertEquals(3, log.termAt(log.baseIndex()));
     assertEquals(commands.size() + 2, log.lastIndex());
@@ -49,15 +49,15 @@
     assertEquals(LogEntry.VOTERS, log.get(commands.size() + 1).kind);
     assertEquals(LogEntry.NOTHING, log.get(commands.size() + 2).kind);
 
-    machine.restore(archive.stateIndex(), archive.takeState());
+    stateMachine.restore(storage.stateIndex(), storage.takeState());
     for (int index = inSnapshot + 1; index <= commands.size(); index++) {
       final LogEntry entry = log.get(index);
       assertEquals(LogEntry.DATA, entry.kind);
       assertEquals(4, entry.term);
       assertArrayEquals(commands.get(index - 1), entry.data);
-      machine.apply(index, entry.data);
+      stateMachine.apply(index, entry.data);
     }
-    complete.accept(machine);
+    complete.accept(stateMachine);
   }
 
   @Test
--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -15,11 +15,11 @@
 class VoterPlacementSimulationTest extends RaftSimulation {
   private void beginWith(final long seed, final String... spares) {
     begin(seed);
-    assertTrue(world.runUntil(() -> acknowledged.size() > 50, 10_000));
+    assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     for (final String spare : spares) {
       boot(spare, false);
     }
-    world.runFor(2_000);
+    network.runFor(2_000);
   }
 
   private List<String> voters() {
@@ -31,7 +31,7 @@
   private void awaitProgress(final long more, final long withinMs) {
     final long before = acknowledged.size();
     assertTrue(
-        world.runUntil(() -> acknowledged.size() > before + more, withinMs),
+        network.runUntil(() -> acknowledged.size() > before + more, withinMs),
         "stuck, voters " + voters());
   }
 
@@ -49,23 +49,23 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aMachineReplacedAtAnotherAddressIsBackInItsSeatBeforeTheNextLoss(final long seed) {
     beginWith(seed);
-    world.loss = 0.02;
+    network.loss = 0.02;
     final String gone = addresses.get((int) (seed % 3));
-    world.host(gone).powerOff();
-    world.runFor(1_000);
+    network.host(gone).powerOff();
+    network.runFor(1_000);
     // Empty, and nobody told the others that it stands for the one that went.
     boot("d:9", false);
     assertTrue(
-        world.runUntil(() -> voters().contains("d:9") && voters().size() == 3, 4_000),
+        network.runUntil(() -> voters().contains("d:9") && voters().size() == 3, 4_000),
         "voters " + voters());
     // Committed and told: well within the time for which a machine that came back still counts as
     // lost.
-    world.runFor(500);
+    network.runFor(500);
     // From now on any other single machine may go, whether with its disk or without.
     final String next = addresses.get((int) ((seed + 1) % 3));
-    world.host(next).powerOff();
+    network.host(next).powerOff();
     if (seed % 2 == 0) {
-      world.host(next).wipe();
+      network.host(next).wipe();
     }
     awaitProgress(50, 5_000);
     final String last = addresses.get((int) ((seed + 2) % 3));
@@ -84,17 +84,17 @@
             .filter(one -> !one.equals(RaftNode.address(leader().identity())))
             .findFirst()
             .orElseThrow();
-    ledgers.keySet().forEach(other -> world.cut(away, other));
-    assertTrue(world.runUntil(() -> voters().contains("d:1"), 5_000));
+    ledgers.keySet().forEach(other -> network.cut(away, other));
+    assertTrue(network.runUntil(() -> voters().contains("d:1"), 5_000));
     // Long enough for the leader to forget it altogether.
-    world.runFor(25_000);
-    world.join();
-    world.runFor(6_000);
+    network.runFor(25_000);
+    network.join();
+    network.runFor(6_000);
     assertEquals(voters().size(), 3);
     assertTrue(!voters().contains(away));
     // The load goes on: what is acknowledged this very moment reaches it within a beat.
     final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
-    world.runFor(100);
+    network.runFor(100);
     assertTrue(tales.get(away).told.values().containsAll(owed), "it was not brought up to date");
     assertTrue(
         !ledgers.get(away).voters().contains(ledgers.get(away).identity()),
@@ -105,18 +105,18 @@
   void aVoterWhoseDiskStallsGivesItsSeatToASpareAndALeaderHandsOverFirst() {
     beginWith(8, "d:1");
     final String stalled = RaftNode.address(leader().identity());
-    world.host(stalled).syncMicros = 60_000_000;
+    network.host(stalled).syncMicros = 60_000_000;
     assertTrue(
-        world.runUntil(
+        network.runUntil(
             () -> leader() != null && !RaftNode.address(leader().identity()).equals(stalled),
             4_000));
     assertTrue(
-        world.runUntil(() -> !voters().contains(stalled) && voters().contains("d:1"), 8_000),
+        network.runUntil(() -> !voters().contains(stalled) && voters().contains("d:1"), 8_000),
         "voters " + voters());
     // From here on somebody leads all the time, and what is offered is acknowledged.
     final long offeredBefore = proposed;
     final long before = acknowledged.size();
-    world.runFor(3_000);
+    network.runFor(3_000);
     final long offered = proposed - offeredBefore;
     assertTrue(
         offered > 80 && acknowledged.size() - before >= offered - 5,
@@ -127,7 +127,7 @@
   void aLeavingMachineHandsItsSeatOnBeforeItGoes() {
     beginWith(9, "d:1");
     leaving.put("b:1", true);
-    assertTrue(world.runUntil(() -> voters().size() == 4, 5_000), "voters " + voters());
+    assertTrue(network.runUntil(() -> voters().size() == 4, 5_000), "voters " + voters());
     assertTrue(voters().contains("d:1"));
   }
 
@@ -136,10 +136,10 @@
    */
   private boolean replacedAsPlanned(final long seed, final boolean leads) {
     beginWith(seed);
-    world.loss = 0.02;
+    network.loss = 0.02;
     // The new machine first, then the old one's orderly stop.
     boot("d:9", false);
-    world.runFor(2_000);
+    network.runFor(2_000);
     final String gone =
         leads
             ? RaftNode.address(leader().identity())
@@ -154,10 +154,10 @@
         .leave(
             () -> {
               ended[0] = true;
-              world.host(gone).powerOff();
+              network.host(gone).powerOff();
             });
-    world.runUntil(() -> ended[0], 3_000);
-    world.host(gone).wipe();
+    network.runUntil(() -> ended[0], 3_000);
+    network.host(gone).wipe();
     return leader() != null
         && voters()
             .equals(
@@ -174,11 +174,11 @@
     // At once: its successor may have been there for long, so the next loss may come now, with its
     // disk.
     final String next = voters().get((int) (seed % 3));
-    world.host(next).powerOff();
-    world.host(next).wipe();
+    network.host(next).powerOff();
+    network.host(next).wipe();
     awaitProgress(50, 5_000);
     final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
-    world.runFor(100);
+    network.runFor(100);
     assertTrue(
         tales.get(RaftNode.address(leader().identity())).told.values().containsAll(owed),
         "an acknowledged entry is gone");
@@ -194,9 +194,9 @@
     for (long seed = 1; seed <= 4; seed++) {
       final VoterPlacementSimulationTest one = new VoterPlacementSimulationTest();
       one.tampering =
-          letter -> {
-            if (letter instanceof RaftMessages.JoinRequest join) {
-              join.leaves = null;
+          message -> {
+            if (message instanceof RaftMessages.JoinRequest request) {
+              request.leaves = null;
             }
           };
       late += one.replacedAsPlanned(seed, false) ? 0 : 1;
@@ -214,7 +214,7 @@
             .orElseThrow();
     final boolean[] ended = new boolean[1];
     ledgers.get(gone).membership().leave(() -> ended[0] = true);
-    world.runFor(1);
+    network.runFor(1);
     assertTrue(ended[0], "it waits for nothing");
     assertEquals(addresses, voters());
   }
@@ -225,12 +225,13 @@
     forgotten.addAll(addresses);
     beginWith(1, "d:9");
     final String gone = RaftNode.address(leader().identity());
-    world.host(gone).powerOff();
+    network.host(gone).powerOff();
     assertTrue(
-        !world.runUntil(() -> voters().contains("d:9"), 6_000), "the planted fault does not show");
+        !network.runUntil(() -> voters().contains("d:9"), 6_000),
+        "the planted fault does not show");
     forgotten.clear();
     assertTrue(
-        world.runUntil(() -> voters().contains("d:9") && !voters().contains(gone), 4_000),
+        network.runUntil(() -> voters().contains("d:9") && !voters().contains(gone), 4_000),
         "voters " + voters());
   }
 
@@ -242,17 +243,17 @@
   @ValueSource(ints = {1_450, 1_500, 1_550, 1_600, 1_650, 1_700, 1_750, 1_800, 1_850, 1_900})
   void nobodyIsVotedOutByAChangeThatCanNeverBeCommitted(final int awayMs) {
     beginWith(awayMs, "d:1");
-    world.loss = 0;
+    network.loss = 0;
     final List<String> others =
         addresses.stream()
             .filter(one -> !one.equals(RaftNode.address(leader().identity())))
             .toList();
-    ledgers.keySet().forEach(other -> world.cut(others.get(0), other));
-    world.runFor(awayMs);
-    world.host(others.get(1)).powerOff();
-    world.host(others.get(1)).wipe();
-    world.runFor(100);
-    world.join();
+    ledgers.keySet().forEach(other -> network.cut(others.get(0), other));
+    network.runFor(awayMs);
+    network.host(others.get(1)).powerOff();
+    network.host(others.get(1)).wipe();
+    network.runFor(100);
+    network.join();
     awaitProgress(50, 12_000);
     assertTrue(
         tales.get(RaftNode.address(leader().identity())).told.values().containsAll(acknowledged),
@@ -262,21 +263,21 @@
   @Test
   void aMemberThatLagsSaysForHowLong() {
     beginWith(3, "d:1");
-    world.loss = 0;
-    world.runFor(1_000);
+    network.loss = 0;
+    network.runFor(1_000);
     assertTrue(ledgers.get("d:1").membership().behindMs() < 100, "behind while all is well");
     // It hears how far the others are, but not the entries.
-    world.host("d:1").tampering =
-        letter -> {
-          if (letter instanceof RaftMessages.AppendEntriesRequest append) {
-            append.entries.clear();
-            append.relay = null;
-          } else if (letter instanceof RaftMessages.FetchResponse fetched) {
-            fetched.entries.clear();
+    network.host("d:1").tampering =
+        message -> {
+          if (message instanceof RaftMessages.AppendEntriesRequest request) {
+            request.entries.clear();
+            request.relay = null;
+          } else if (message instanceof RaftMessages.FetchResponse response) {
+            response.entries.clear();
           }
         };
-    assertTrue(world.runUntil(() -> ledgers.get("d:1").membership().behindMs() > 1_000, 3_000));
-    world.host("d:1").tampering = letter -> {};
-    assertTrue(world.runUntil(() -> ledgers.get("d:1").membership().behindMs() == 0, 3_000));
+    assertTrue(network.runUntil(() -> ledgers.get("d:1").membership().behindMs() > 1_000, 3_000));
+    network.host("d:1").tampering = message -> {};
+    assertTrue(network.runUntil(() -> ledgers.get("d:1").membership().behindMs() == 0, 3_000));
   }
 }
--- a/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
@@ -12,11 +12,11 @@
 /** Members without a vote learn from their zone, whoever of it fails. */
 class ZoneRelaySimulationTest extends RaftSimulation {
   private String relay(final String address) {
-    return leader().leading.standings.get(ledgers.get(address).identity()).relay;
+    return leader().leaderState.progressByMember.get(ledgers.get(address).identity()).relay;
   }
 
   private void allLearn(final String when) {
-    world.runFor(1_500);
+    network.runFor(1_500);
     final long known = acknowledged.size();
     for (final String spare : SPARES) {
       final long learnt =
@@ -29,7 +29,7 @@
   void theLeaderServesOneInEachZone() {
     beginWithSpares(1);
     assertTrue(
-        world.runUntil(() -> "d:1".equals(relay("d:2")), 2_000), "served by " + relay("d:2"));
+        network.runUntil(() -> "d:1".equals(relay("d:2")), 2_000), "served by " + relay("d:2"));
     assertEquals("a:1", relay("a:2"));
     assertEquals("a:1", relay("a:3"));
     assertEquals("b:1", relay("b:2"));
@@ -47,20 +47,20 @@
   void whoeverServesAZoneMayGo() {
     beginWithSpares(2);
     final String served = RaftNode.address(leader().identity()).equals("a:1") ? "b:1" : "a:1";
-    world.host(served).powerOff();
+    network.host(served).powerOff();
     allLearn("without " + served);
     boot(served, false);
-    world.host("d:1").kill();
+    network.host("d:1").kill();
     boot("d:1", false);
     assertTrue(
-        world.runUntil(() -> "d:1".equals(relay("d:2")), 6_000), "served by " + relay("d:2"));
+        network.runUntil(() -> "d:1".equals(relay("d:2")), 6_000), "served by " + relay("d:2"));
     allLearn("all are back");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 26, 74, 77, 98, 104, 105, 108})
   void oneHistoryWhoeverFails(final long seed) {
-    history(seed, letter -> {});
+    history(seed, message -> {});
   }
 
   /**
@@ -75,13 +75,13 @@
         new ZoneRelaySimulationTest()
             .history(
                 seed,
-                letter -> {
-                  if (letter instanceof RaftMessages.FetchResponse fetched) {
-                    fetched.term = 0;
+                message -> {
+                  if (message instanceof RaftMessages.FetchResponse response) {
+                    response.term = 0;
                   }
                 });
-      } catch (final IllegalStateException defect) {
-        caught += defect.getMessage().startsWith("cut at") ? 1 : 0;
+      } catch (final IllegalStateException failure) {
+        caught += failure.getMessage().startsWith("cut at") ? 1 : 0;
       }
     }
     assertTrue(caught > 0, "the planted fault showed in no world");
@@ -90,30 +90,30 @@
   private void history(final long seed, final java.util.function.Consumer<Object> chosenTampering) {
     tampering = chosenTampering;
     beginWithSpares(seed);
-    world.loss = 0.03;
+    network.loss = 0.03;
     final List<String> all = List.copyOf(ledgers.keySet());
     for (int round = 0; round < 12; round++) {
-      final String victim = all.get(world.luck.nextInt(all.size()));
-      switch (world.luck.nextInt(4)) {
-        case 0 -> world.host(victim).kill();
-        case 1 -> world.host(victim).powerOff();
+      final String victim = all.get(network.random.nextInt(all.size()));
+      switch (network.random.nextInt(4)) {
+        case 0 -> network.host(victim).kill();
+        case 1 -> network.host(victim).powerOff();
         case 2 -> {
-          world.host(victim).powerOff();
-          world.host(victim).wipe();
+          network.host(victim).powerOff();
+          network.host(victim).wipe();
         }
-        default -> all.forEach(other -> world.cut(victim, other));
+        default -> all.forEach(other -> network.cut(victim, other));
       }
-      world.runFor(300 + world.luck.nextInt(2_500));
-      world.join();
+      network.runFor(300 + network.random.nextInt(2_500));
+      network.join();
       for (final String address : all) {
-        if (!world.host(address).up()) {
+        if (!network.host(address).up()) {
           boot(address, false);
         }
       }
-      world.runFor(2_500);
+      network.runFor(2_500);
     }
-    world.loss = 0;
-    world.runFor(6_000);
+    network.loss = 0;
+    network.runFor(6_000);
     assertTrue(leader() != null, "nobody leads");
     for (final String address : all) {
       final long learnt =
--- a/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -26,7 +26,7 @@
     beginWithSpares(1);
     final RaftNode spare = ledgers.get("b:2");
     final String former = leader().identity();
-    final long term = spare.archive.term;
+    final long term = spare.storage.term;
     final long prevIndex = spare.log.lastIndex();
     final long prevTerm = spare.log.lastTerm();
     assertNotNull(spare.leader());
@@ -44,7 +44,7 @@
     late.prevIndex = prevIndex;
     late.prevTerm = prevTerm;
     late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NOTHING, new byte[0]));
-    spare.following.append(spare.post.dial("a:1"), late);
+    spare.followerState.append(spare.transport.dial("a:1"), late);
     return spare.log.termAt(prevIndex + 1) - term;
   }
 
@@ -67,23 +67,23 @@
   @MethodSource("worlds")
   void oneHistoryUnderKillsAndCuts(final long seed) {
     beginWithSpares(seed);
-    world.loss = 0.03;
+    network.loss = 0.03;
     final List<String> all = List.copyOf(ledgers.keySet());
     for (int round = 0; round < 12; round++) {
-      final String victim = all.get(world.luck.nextInt(all.size()));
-      if (world.luck.nextInt(4) < 3) {
-        world.host(victim).kill();
+      final String victim = all.get(network.random.nextInt(all.size()));
+      if (network.random.nextInt(4) < 3) {
+        network.host(victim).kill();
       } else {
-        all.forEach(other -> world.cut(victim, other));
+        all.forEach(other -> network.cut(victim, other));
       }
-      world.runFor(300 + world.luck.nextInt(2_500));
-      world.join();
+      network.runFor(300 + network.random.nextInt(2_500));
+      network.join();
       all.stream()
-          .filter(address -> !world.host(address).up())
+          .filter(address -> !network.host(address).up())
           .forEach(address -> boot(address, false));
-      world.runFor(2_500);
+      network.runFor(2_500);
     }
-    world.runFor(6_000);
+    network.runFor(6_000);
     assertTrue(acknowledged.size() > 500, "acknowledged " + acknowledged.size());
   }
 }
--- a/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
+++ b/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
@@ -22,7 +22,7 @@
 class BlockingTaskExecutorTest {
   private final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
   private final BlockingQueue<Integer> codes = new LinkedBlockingQueue<>();
-  private final AgentContext pulse =
+  private final AgentContext context =
       new AgentContext() {
         @Override
         public long nowMs() {
@@ -53,18 +53,18 @@
    * The invariant: work that was given is answered, or the process ends; it is never silently
    * forgotten.
    */
-  private boolean answeredOrEnded(final TaskExecutor clerk) throws InterruptedException {
-    clerk.work(BlockingTaskExecutorTest::fail, () -> {});
+  private boolean answeredOrEnded(final TaskExecutor executor) throws InterruptedException {
+    executor.work(BlockingTaskExecutorTest::fail, () -> {});
     // The one thread takes things in order: once this is answered, the one before has had its turn.
-    clerk.work(() -> {}, () -> codes.add(-1));
-    final Runnable answer = posted.poll(10, TimeUnit.SECONDS);
-    assertTrue(answer != null, "the next work was not answered");
+    executor.work(() -> {}, () -> codes.add(-1));
+    final Runnable response = posted.poll(10, TimeUnit.SECONDS);
+    assertTrue(response != null, "the next work was not answered");
     return posted.poll(200, TimeUnit.MILLISECONDS) != null || !codes.isEmpty();
   }
 
   @Test
   void anErrorEndsTheProcess() throws InterruptedException {
-    assertTrue(answeredOrEnded(new BlockingTaskExecutor(pulse, codes::add)));
+    assertTrue(answeredOrEnded(new BlockingTaskExecutor(context, codes::add)));
     assertEquals(ExitCode.DISK_FAILED, codes.poll());
   }
 
@@ -75,7 +75,7 @@
         Executors.newSingleThreadExecutor(
             task -> {
               final Thread thread = new Thread(task);
-              thread.setUncaughtExceptionHandler((dead, defect) -> {});
+              thread.setUncaughtExceptionHandler((dead, failure) -> {});
               return thread;
             });
     assertEquals(
@@ -86,17 +86,17 @@
                     () -> {
                       try {
                         blocking.run();
-                      } catch (final RuntimeException defect) {
+                      } catch (final RuntimeException failure) {
                         codes.add(ExitCode.DISK_FAILED);
                       }
-                      pulse.post(afterwards);
+                      context.post(afterwards);
                     })));
     pool.shutdown();
   }
 
   @Test
   void aFailedSyncEndsTheProcessAndNobodyIsToldThatItWorked() throws InterruptedException {
-    final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
+    final BlockingTaskExecutor worker = new BlockingTaskExecutor(context, codes::add);
     worker.work(
         () -> {
           throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FAILED, "sync failed");
@@ -108,7 +108,7 @@
 
   @Test
   void afterAFullDiskTheVerySameIsWrittenAndTheOrderStays() throws InterruptedException {
-    final BlockingTaskExecutor worker = new BlockingTaskExecutor(pulse, codes::add);
+    final BlockingTaskExecutor worker = new BlockingTaskExecutor(context, codes::add);
     final List<String> written = new ArrayList<>();
     final int[] tries = new int[1];
     worker.work(
@@ -121,9 +121,9 @@
         () -> written.add("one answered"));
     worker.work(() -> written.add("two"), () -> written.add("two answered"));
     for (int answered = 0; answered < 2; answered++) {
-      final Runnable answer = posted.poll(10, TimeUnit.SECONDS);
-      assertTrue(answer != null, "not answered");
-      answer.run();
+      final Runnable response = posted.poll(10, TimeUnit.SECONDS);
+      assertTrue(response != null, "not answered");
+      response.run();
     }
     assertEquals(
         List.of("one", "two"), written.stream().filter(one -> !one.contains("answered")).toList());
--- a/src/test/java/yewjunction/server/HttpEndpointTest.java
+++ b/src/test/java/yewjunction/server/HttpEndpointTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.common.Limits.CONFIG_BYTES;
+import static yewjunction.limits.OperatorLimits.MAX_CONFIGURATION_BYTES;
 
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -38,7 +38,7 @@
   private HttpServer server;
 
   /** Time passes when the test says so. */
-  private final AgentContext pulse =
+  private final AgentContext context =
       new AgentContext() {
         @Override
         public long nowMs() {
@@ -69,14 +69,14 @@
 
   /** Holds what is to be held; else tells what it was asked. */
   private void take(
-      final OperatorApi.Request request, final Consumer<OperatorApi.Response> answer) {
+      final OperatorApi.Request request, final Consumer<OperatorApi.Response> responder) {
     if (request.path().equals("/hold")) {
-      held.add(answer);
+      held.add(responder);
       waiting.countDown();
     } else if (request.path().equals("/break")) {
       throw new IllegalStateException("planted");
     } else {
-      answer.accept(
+      responder.accept(
           new OperatorApi.Response(200, "[" + request.base() + "]" + request.body().length, null));
     }
   }
@@ -100,7 +100,7 @@
 
   @Test
   void callsThatWaitHoldUpNoOthers() throws Exception {
-    server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
+    server = HttpEndpoint.operator("127.0.0.1:0", context, this::take);
     final List<CompletableFuture<HttpResponse<String>>> calls = hold(CALLS);
     assertTrue(
         waiting.await(20, TimeUnit.SECONDS), waiting.getCount() + " calls never came to the owner");
@@ -108,7 +108,8 @@
     owner
         .submit(
             () ->
-                held.forEach(answer -> answer.accept(new OperatorApi.Response(200, "held", null))))
+                held.forEach(
+                    responder -> responder.accept(new OperatorApi.Response(200, "held", null))))
         .get();
     for (final CompletableFuture<HttpResponse<String>> call : calls) {
       assertEquals("held", call.get(20, TimeUnit.SECONDS).body());
@@ -126,7 +127,7 @@
           waiting.countDown();
           try {
             over.await();
-          } catch (final InterruptedException defect) {
+          } catch (final InterruptedException failure) {
             Thread.currentThread().interrupt();
           }
           exchange.close();
@@ -142,7 +143,7 @@
 
   @Test
   void aCallWithoutAnAnswerEndsWhenItsTimeIsOver() throws Exception {
-    server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
+    server = HttpEndpoint.operator("127.0.0.1:0", context, this::take);
     waiting = new CountDownLatch(1);
     final CompletableFuture<HttpResponse<String>> call = hold(1).get(0);
     assertTrue(waiting.await(20, TimeUnit.SECONDS));
@@ -158,7 +159,7 @@
 
   @Test
   void theOwnerSeesAHeaderAsOftenAsItCame() throws Exception {
-    server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
+    server = HttpEndpoint.operator("127.0.0.1:0", context, this::take);
     assertEquals("[5]0", ask(to("/look").header("base-version", "5")));
     assertEquals(
         "[5, 5]0", ask(to("/look").header("Base-Version", "5").header("Base-Version", "5")));
@@ -167,21 +168,25 @@
     // More than the most is seen as just that, and read to its end, so that its sender reads the
     // answer.
     assertEquals(
-        "[null]" + (CONFIG_BYTES + 1),
-        ask(to("/look").POST(HttpRequest.BodyPublishers.ofByteArray(new byte[5 * CONFIG_BYTES]))));
+        "[null]" + (MAX_CONFIGURATION_BYTES + 1),
+        ask(
+            to("/look")
+                .POST(
+                    HttpRequest.BodyPublishers.ofByteArray(
+                        new byte[5 * MAX_CONFIGURATION_BYTES]))));
   }
 
   @Test
   void theReaderComesBackAlsoFromADefect() throws Exception {
-    server = HttpEndpoint.operator("127.0.0.1:0", pulse, this::take);
+    server = HttpEndpoint.operator("127.0.0.1:0", context, this::take);
     final CountDownLatch back = new CountDownLatch(2);
-    final var reader = HttpEndpoint.reader(pulse);
-    reader.work(
+    final var executor = HttpEndpoint.reader(context);
+    executor.work(
         () -> {
           throw new IllegalStateException("planted");
         },
         back::countDown);
-    reader.work(() -> {}, back::countDown);
+    executor.work(() -> {}, back::countDown);
     assertTrue(back.await(20, TimeUnit.SECONDS));
   }
 
@@ -197,14 +202,14 @@
           .write("GET /-/re".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
       half.getOutputStream().flush();
       for (int look = 0; look < 3; look++) {
-        final HttpResponse<String> answer =
+        final HttpResponse<String> response =
             client
                 .sendAsync(
                     HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/-/readyz"))
                         .build(),
                     HttpResponse.BodyHandlers.ofString())
                 .get(10, TimeUnit.SECONDS);
-        assertEquals(200, answer.statusCode());
+        assertEquals(200, response.statusCode());
       }
     }
   }
--- a/src/test/java/yewjunction/server/SettingsReloaderTest.java
+++ b/src/test/java/yewjunction/server/SettingsReloaderTest.java
@@ -85,8 +85,8 @@
   private static FileTime time(final Path path) {
     try {
       return Files.getLastModifiedTime(path);
-    } catch (final IOException defect) {
-      throw new java.io.UncheckedIOException(defect);
+    } catch (final IOException failure) {
+      throw new java.io.UncheckedIOException(failure);
     }
   }
 
--- a/src/test/java/yewjunction/settings/SettingsTest.java
+++ b/src/test/java/yewjunction/settings/SettingsTest.java
@@ -10,6 +10,7 @@
 import yewjunction.common.ErrorCode;
 import yewjunction.common.YewjunctionException;
 
+/** Settings files that are good, and what is said of each bad field. */
 class SettingsTest {
   private static final String GOOD =
       """
@@ -52,11 +53,11 @@
         "Listen: {|Listen: [{|Listen",
       })
   void aBadFieldIsNamed(final String good, final String bad, final String field) {
-    final YewjunctionException defect =
+    final YewjunctionException failure =
         assertThrows(YewjunctionException.class, () -> Settings.read(GOOD.replace(good, bad)));
     assertTrue(
-        defect.getMessage().startsWith(field) || defect.code() == ErrorCode.SETTINGS_UNREADABLE,
-        defect.getMessage());
+        failure.getMessage().startsWith(field) || failure.code() == ErrorCode.SETTINGS_UNREADABLE,
+        failure.getMessage());
   }
 
   @Test
--- a/src/test/java/yewjunction/simulation/ScriptedTransport.java
+++ b/src/test/java/yewjunction/simulation/ScriptedTransport.java
@@ -34,8 +34,8 @@
     }
 
     @Override
-    public boolean send(final Object letter) {
-      return letters.add(letter);
+    public boolean send(final Object message) {
+      return letters.add(message);
     }
 
     @Override
@@ -63,7 +63,7 @@
 
   @Override
   public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-    handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
+    handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
   @Override
@@ -71,12 +71,12 @@
     // Only the owner itself closes these links.
   }
 
-  public void answer(final String from, final Object letter) {
-    answer(dial(from), letter);
+  public void answer(final String from, final Object message) {
+    answer(dial(from), message);
   }
 
   /** On that very link, also on one that was closed: as it were still being read. */
-  public void answer(final PeerConnection on, final Object letter) {
-    handlers.get(letter.getClass()).accept(on, letter);
+  public void answer(final PeerConnection on, final Object message) {
+    handlers.get(message.getClass()).accept(on, message);
   }
 }
--- a/src/test/java/yewjunction/simulation/SimulatedDisk.java
+++ b/src/test/java/yewjunction/simulation/SimulatedDisk.java
@@ -76,8 +76,8 @@
     synced.get(name).flip(at);
   }
 
-  void powerLost(final Random luck) {
-    final boolean allGone = luck.nextInt(4) == 0;
+  void powerLost(final Random random) {
+    final boolean allGone = random.nextInt(4) == 0;
     written.forEach(
         (name, pieces) -> {
           final ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -85,11 +85,11 @@
           final ByteArrayOutputStream tail = new ByteArrayOutputStream();
           boolean present = false;
           for (final byte[] piece : pieces) {
-            final int fate = allGone ? 1 : luck.nextInt(3);
+            final int fate = allGone ? 1 : random.nextInt(3);
             // A missing write before a present one leaves a hole of zeros.
             final byte[] kept = fate == 0 ? piece : new byte[piece.length];
             if (fate == 2) {
-              System.arraycopy(piece, 0, kept, 0, luck.nextInt(piece.length + 1));
+              System.arraycopy(piece, 0, kept, 0, random.nextInt(piece.length + 1));
             }
             present |= fate != 1;
             tail.writeBytes(kept);
--- a/src/test/java/yewjunction/simulation/SimulatedHost.java
+++ b/src/test/java/yewjunction/simulation/SimulatedHost.java
@@ -9,16 +9,16 @@
 
 /** One process's place: it may be up, killed or dark; its disk outlives it unless it is wiped. */
 public final class SimulatedHost implements AgentContext {
-  public final SimulatedNetwork world;
+  public final SimulatedNetwork network;
   public final String address;
   public SimulatedDisk disk = new SimulatedDisk();
   public long syncMicros = 2_000;
   SimulatedTransport post;
 
   /** Sees each letter before it is taken, and may plant a fault in it. */
-  public java.util.function.Consumer<Object> tampering = letter -> {};
+  public java.util.function.Consumer<Object> tampering = message -> {};
 
-  private java.util.function.BiConsumer<String, Object> datagrams = (from, letter) -> {};
+  private java.util.function.BiConsumer<String, Object> datagrams = (from, message) -> {};
   private boolean up;
   private boolean dark;
   private boolean frozen;
@@ -29,8 +29,8 @@
 
   private int life;
 
-  SimulatedHost(final SimulatedNetwork world, final String address) {
-    this.world = world;
+  SimulatedHost(final SimulatedNetwork network, final String address) {
+    this.network = network;
     this.address = address;
   }
 
@@ -76,7 +76,7 @@
     if (post != null) {
       post.drop(false);
     }
-    disk.powerLost(world.luck);
+    disk.powerLost(network.random);
   }
 
   public void wipe() {
@@ -96,12 +96,12 @@
     frozen = false;
     final List<Runnable> late = new ArrayList<>(heldUp);
     heldUp.clear();
-    late.forEach(task -> world.afterMicros(0, task));
+    late.forEach(task -> network.afterMicros(0, task));
   }
 
   /** Its disk takes nothing until then, as one that stalls or has no room. */
   public void stallDisk(final long forMs) {
-    diskStalledUntilMs = world.nowMs() + forMs;
+    diskStalledUntilMs = network.nowMs() + forMs;
   }
 
   /** All its links break, at both ends. */
@@ -123,24 +123,24 @@
 
   @Override
   public long nowMs() {
-    return world.nowMs();
+    return network.nowMs();
   }
 
   @Override
   public void after(final long delayMs, final Runnable task) {
     final int ofLife = life;
-    world.after(Math.max(1, delayMs), () -> guarded(ofLife, task));
+    network.after(Math.max(1, delayMs), () -> guarded(ofLife, task));
   }
 
   @Override
   public void post(final Runnable command) {
     final int ofLife = life;
-    world.afterMicros(10, () -> guarded(ofLife, command));
+    network.afterMicros(10, () -> guarded(ofLife, command));
   }
 
   @Override
   public Random luck() {
-    return world.luck;
+    return network.random;
   }
 
   /**
@@ -153,8 +153,8 @@
     return (blocking, afterwards) -> {
       waiting.add(
           () ->
-              world.afterMicros(
-                  syncMicros + 1_000 * Math.max(0, diskStalledUntilMs - world.nowMs()),
+              network.afterMicros(
+                  syncMicros + 1_000 * Math.max(0, diskStalledUntilMs - network.nowMs()),
                   () ->
                       guarded(
                           ofLife,
@@ -178,24 +178,26 @@
     datagrams = handler;
   }
 
-  public void datagram(final String to, final Object letter) {
+  public void datagram(final String to, final Object message) {
     final MessageCodec codec = post.codec;
-    final byte[] bytes = codec.encode(letter);
-    if (world.meter != null) {
-      world.meter.sent(address, to, letter, bytes.length);
+    final byte[] bytes = codec.encode(message);
+    if (network.meter != null) {
+      network.meter.sent(address, to, message, bytes.length);
     }
-    final SimulatedHost target = world.known(to);
-    if (target == null || world.luck.nextDouble() < world.loss || world.parted(address, to)) {
+    final SimulatedHost target = network.known(to);
+    if (target == null
+        || network.random.nextDouble() < network.loss
+        || network.parted(address, to)) {
       return;
     }
-    world.afterMicros(
-        400 + world.luck.nextInt(1_000),
+    network.afterMicros(
+        400 + network.random.nextInt(1_000),
         () -> {
           target.guarded(
               target.life,
               () -> {
-                if (world.meter != null) {
-                  world.meter.taken(to, letter, bytes.length);
+                if (network.meter != null) {
+                  network.meter.taken(to, message, bytes.length);
                 }
                 target.datagrams.accept(address, codec.decode(bytes, 0, bytes.length));
               });
--- a/src/test/java/yewjunction/simulation/SimulatedNetwork.java
+++ b/src/test/java/yewjunction/simulation/SimulatedNetwork.java
@@ -12,7 +12,7 @@
 
 /** Simulated time, machines and network; one seed drives all of it. */
 public final class SimulatedNetwork {
-  public final Random luck;
+  public final Random random;
   private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
   private final Map<String, SimulatedHost> hosts = new TreeMap<>();
   private final Set<String> cuts = new HashSet<>();
@@ -44,7 +44,7 @@
   }
 
   public SimulatedNetwork(final long seed) {
-    luck = new Random(seed);
+    random = new Random(seed);
   }
 
   public long nowMs() {
@@ -167,6 +167,6 @@
 
   /** One way, with a piece that is lost sent again after a while. */
   long delayMicros() {
-    return 400 + luck.nextInt(1_200) + (luck.nextDouble() < loss ? 210_000 : 0);
+    return 400 + random.nextInt(1_200) + (random.nextDouble() < loss ? 210_000 : 0);
   }
 }
--- a/src/test/java/yewjunction/simulation/SimulatedNodes.java
+++ b/src/test/java/yewjunction/simulation/SimulatedNodes.java
@@ -13,7 +13,8 @@
 public final class SimulatedNodes {
   private SimulatedNodes() {}
 
-  public record Running(Node node, MembershipList roster) {}
+  /** A started node and its membership list. */
+  public record Running(Node node, MembershipList membership) {}
 
   public static Running boot(
       final SimulatedHost host, final Settings settings, final NodeRole role, final long life) {
@@ -25,17 +26,18 @@
     self.duty = role.wireName();
     self.front = role == NodeRole.EDGE ? settings.front() : "";
     self.life = life;
-    final MembershipList roster = new MembershipList(host, self, host::datagram);
-    host.onDatagram(roster::take);
+    final MembershipList membership = new MembershipList(host, self, host::datagram);
+    host.onDatagram(membership::take);
     final Node node =
         switch (role) {
           case CONTROL ->
-              new ControlNode(host, post, host.disk, host.clerk(), roster, settings, life);
-          case STORE -> new StoreNode(host, post, host.disk, host.clerk(), roster, settings, life);
-          case EDGE -> new EdgeNode(host, post, roster, settings, life);
+              new ControlNode(host, post, host.disk, host.clerk(), membership, settings, life);
+          case STORE ->
+              new StoreNode(host, post, host.disk, host.clerk(), membership, settings, life);
+          case EDGE -> new EdgeNode(host, post, membership, settings, life);
         };
-    roster.start(settings.coreAddresses());
+    membership.start(settings.coreAddresses());
     node.start();
-    return new Running(node, roster);
+    return new Running(node, membership);
   }
 }
--- a/src/test/java/yewjunction/simulation/SimulatedTransport.java
+++ b/src/test/java/yewjunction/simulation/SimulatedTransport.java
@@ -1,7 +1,7 @@
 package yewjunction.simulation;
 
-import static yewjunction.common.Limits.DIAL_MS;
-import static yewjunction.common.Limits.LINK_SILENCE_MS;
+import static yewjunction.limits.TransportLimits.CONNECTION_TIMEOUT_MS;
+import static yewjunction.limits.TransportLimits.CONNECT_TIMEOUT_MS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -52,13 +52,13 @@
     }
 
     @Override
-    public boolean send(final Object letter) {
+    public boolean send(final Object message) {
       if (!open) {
         return false;
       }
-      final byte[] bytes = owner.codec.encode(letter);
-      if (owner.host.world.meter != null) {
-        owner.host.world.meter.sent(owner.host.address, remote, letter, bytes.length);
+      final byte[] bytes = owner.codec.encode(message);
+      if (owner.host.network.meter != null) {
+        owner.host.network.meter.sent(owner.host.address, remote, message, bytes.length);
       }
       if (connected) {
         carry(bytes);
@@ -69,12 +69,12 @@
     }
 
     private void carry(final byte[] bytes) {
-      final SimulatedNetwork world = owner.host.world;
+      final SimulatedNetwork network = owner.host.network;
       final End target = far;
-      if (!heldUp.isEmpty() || world.parted(owner.host.address, target.owner.host.address)) {
+      if (!heldUp.isEmpty() || network.parted(owner.host.address, target.owner.host.address)) {
         heldUp.add(bytes);
         if (heldUp.size() == 1) {
-          heldMs = world.nowMs();
+          heldMs = network.nowMs();
           tryAgain();
         }
         return;
@@ -82,11 +82,11 @@
       lastArrivalMicros =
           Math.max(
               lastArrivalMicros + 1,
-              world.nowMicros()
-                  + world.linkMicros(owner.host.address, bytes.length)
-                  + world.delayMicros(owner.host.address, target.owner.host.address));
-      world.afterMicros(
-          lastArrivalMicros - world.nowMicros(),
+              network.nowMicros()
+                  + network.linkMicros(owner.host.address, bytes.length)
+                  + network.delayMicros(owner.host.address, target.owner.host.address));
+      network.afterMicros(
+          lastArrivalMicros - network.nowMicros(),
           () ->
               target.owner.host.guarded(
                   target.owner.life,
@@ -102,39 +102,39 @@
      * on both sides.
      */
     private void tryAgain() {
-      final SimulatedNetwork world = owner.host.world;
+      final SimulatedNetwork network = owner.host.network;
       if (!open || heldUp.isEmpty()) {
         return;
       }
-      if (!world.parted(owner.host.address, far.owner.host.address)) {
+      if (!network.parted(owner.host.address, far.owner.host.address)) {
         final List<byte[]> late = new ArrayList<>(heldUp);
         heldUp.clear();
         late.forEach(this::carry);
-      } else if (world.nowMs() - heldMs > LINK_SILENCE_MS) {
+      } else if (network.nowMs() - heldMs > CONNECTION_TIMEOUT_MS) {
         close();
         far.close();
       } else {
-        world.after(100, this::tryAgain);
+        network.after(100, this::tryAgain);
       }
     }
 
     void connect(final SimulatedHost targetHost) {
-      final SimulatedNetwork world = owner.host.world;
-      world.after(
-          DIAL_MS,
+      final SimulatedNetwork network = owner.host.network;
+      network.after(
+          CONNECT_TIMEOUT_MS,
           () -> {
             if (!connected) {
               close();
             }
           });
-      world.afterMicros(
-          2 * world.delayMicros(),
+      network.afterMicros(
+          2 * network.delayMicros(),
           () -> {
             if (!open
                 || targetHost == null
                 || targetHost.dark()
-                || world.parted(owner.host.address, remote)
-                || world.parted(remote, owner.host.address)) {
+                || network.parted(owner.host.address, remote)
+                || network.parted(remote, owner.host.address)) {
               return;
             }
             if (!targetHost.up()) {
@@ -163,9 +163,11 @@
 
     /** Through a cut no word of the end comes: the far side notices the silence. */
     private void tellFar() {
-      final SimulatedNetwork world = owner.host.world;
-      world.afterMicros(
-          world.parted(owner.host.address, remote) ? 1_000 * LINK_SILENCE_MS : world.delayMicros(),
+      final SimulatedNetwork network = owner.host.network;
+      network.afterMicros(
+          network.parted(owner.host.address, remote)
+              ? 1_000 * CONNECTION_TIMEOUT_MS
+              : network.delayMicros(),
           far::end);
     }
 
@@ -174,7 +176,7 @@
         open = false;
         owner.ends.remove(this);
         owner.dialled.remove(remote, this);
-        owner.host.world.afterMicros(
+        owner.host.network.afterMicros(
             5,
             () ->
                 owner.host.guarded(
@@ -199,14 +201,14 @@
     if (end == null || !end.open) {
       end = new End(this, address);
       dialled.put(address, end);
-      end.connect(host.world.known(address));
+      end.connect(host.network.known(address));
     }
     return end;
   }
 
   @Override
   public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-    handlers.put(kind, (link, letter) -> handler.accept(link, kind.cast(letter)));
+    handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
   @Override
@@ -215,14 +217,14 @@
   }
 
   private void take(final End end, final byte[] bytes) {
-    final Object letter = codec.decode(bytes, 0, bytes.length);
-    host.tampering.accept(letter);
-    if (host.world.meter != null) {
-      host.world.meter.taken(host.address, letter, bytes.length);
+    final Object message = codec.decode(bytes, 0, bytes.length);
+    host.tampering.accept(message);
+    if (host.network.meter != null) {
+      host.network.meter.taken(host.address, message, bytes.length);
     }
-    final BiConsumer<PeerConnection, Object> handler = handlers.get(letter.getClass());
+    final BiConsumer<PeerConnection, Object> handler = handlers.get(message.getClass());
     if (handler != null) {
-      handler.accept(end, letter);
+      handler.accept(end, message);
     }
   }
 
@@ -247,7 +249,7 @@
       if (far != null && resets) {
         end.tellFar();
       } else if (far != null) {
-        host.world.after(LINK_SILENCE_MS, far::end);
+        host.network.after(CONNECTION_TIMEOUT_MS, far::end);
       }
     }
     ends.clear();
--- a/src/test/java/yewjunction/simulation/TrafficMeter.java
+++ b/src/test/java/yewjunction/simulation/TrafficMeter.java
@@ -15,25 +15,25 @@
   /** By kind of letter: count and bytes between zones. */
   public final Map<String, long[]> across = new TreeMap<>();
 
-  void sent(final String from, final String to, final Object letter, final int bytes) {
-    add(from, letter, 0, bytes);
+  void sent(final String from, final String to, final Object message, final int bytes) {
+    add(from, message, 0, bytes);
     // Addresses are 10.ZONE.x.y.
     if (!from.substring(0, from.indexOf('.', 3)).equals(to.substring(0, to.indexOf('.', 3)))) {
       final long[] row =
           across.computeIfAbsent(
-              letter.getClass().getName().replaceAll(".*\\.(\\w+)\\.\\w+\\$", "$1."),
+              message.getClass().getName().replaceAll(".*\\.(\\w+)\\.\\w+\\$", "$1."),
               key -> new long[2]);
       row[0]++;
       row[1] += bytes;
     }
   }
 
-  void taken(final String by, final Object letter, final int bytes) {
-    add(by, letter, 2, bytes);
+  void taken(final String by, final Object message, final int bytes) {
+    add(by, message, 2, bytes);
   }
 
-  private void add(final String address, final Object letter, final int at, final int bytes) {
-    final Class<?> kind = letter.getClass();
+  private void add(final String address, final Object message, final int at, final int bytes) {
+    final Class<?> kind = message.getClass();
     final String layer =
         kind.getPackageName().substring(kind.getPackageName().lastIndexOf('.') + 1);
     final long[] row =
--- a/src/test/java/yewjunction/store/BorrowingAccountTest.java
+++ b/src/test/java/yewjunction/store/BorrowingAccountTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Accounts grow and repay the same however time is cut into steps. */
 class BorrowingAccountTest {
   private static BorrowingAccount account(
       final long rate, final long depth, final long borrowMax, final long repayPpm) {
--- a/src/test/java/yewjunction/store/StoreStateFixture.java
+++ b/src/test/java/yewjunction/store/StoreStateFixture.java
@@ -130,16 +130,16 @@
   }
 
   /** Applies the whole history, the first entry at the index given. */
-  public static void apply(final StateMachine machine, final long firstIndex) {
+  public static void apply(final StateMachine stateMachine, final long firstIndex) {
     long index = firstIndex;
     for (final byte[] command : commands()) {
-      machine.apply(index++, command);
+      stateMachine.apply(index++, command);
     }
   }
 
   /** Every fact that the history leaves, when its first entry stood at index 1. */
-  public static void assertComplete(final StateMachine machine) {
-    final MessageStore store = (MessageStore) machine;
+  public static void assertComplete(final StateMachine stateMachine) {
+    final MessageStore store = (MessageStore) stateMachine;
     assertEquals(
         List.of(2L, 3L),
         store.behind("orders.a", 0).stream().map(message -> message.index).toList());
@@ -150,10 +150,10 @@
     assertEquals("c2", store.behind("orders.b", 0).get(0).client);
     assertEquals("t1", store.behind("orders.b", 0).get(0).tenant);
     assertEquals(9, store.behind("orders.b", 0).get(0).number);
-    assertTrue(store.numbers.accepted("c1", "orders.a", 1));
-    assertTrue(store.numbers.accepted("c1", "orders.a", 2));
-    assertFalse(store.numbers.accepted("c2", "orders.b", 8));
-    assertEquals(9, store.numbers.highest("c2", "orders.b"));
+    assertTrue(store.acceptedNumbers.accepted("c1", "orders.a", 1));
+    assertTrue(store.acceptedNumbers.accepted("c1", "orders.a", 2));
+    assertFalse(store.acceptedNumbers.accepted("c2", "orders.b", 8));
+    assertEquals(9, store.acceptedNumbers.highest("c2", "orders.b"));
     assertEquals(1, store.balances().size());
     final yewjunction.control.AccountBalance balance = store.balances().get(0);
     assertEquals("t1", balance.tenant);
--- a/src/test/java/yewjunction/store/StoreWireFormatTest.java
+++ b/src/test/java/yewjunction/store/StoreWireFormatTest.java
@@ -40,15 +40,15 @@
   @Test
   void messagesKeepTheirBytes() {
     final Map<String, Object> messages = new LinkedHashMap<>();
-    final AdmissionMessages.AdmitRequest admit = new AdmissionMessages.AdmitRequest();
-    admit.request = 1;
-    admit.message = message(2);
-    admit.revoked = true;
-    messages.put("70", admit);
-    final AdmissionMessages.AdmitResponse verdict = new AdmissionMessages.AdmitResponse();
-    verdict.request = 3;
-    verdict.what = AdmissionMessages.ELSEWHERE;
-    messages.put("71", verdict);
+    final AdmissionMessages.AdmitRequest request = new AdmissionMessages.AdmitRequest();
+    request.request = 1;
+    request.message = message(2);
+    request.revoked = true;
+    messages.put("70", request);
+    final AdmissionMessages.AdmitResponse response = new AdmissionMessages.AdmitResponse();
+    response.request = 3;
+    response.what = AdmissionMessages.ELSEWHERE;
+    messages.put("71", response);
     final MessageCodec codec = new MessageCodec();
     AdmissionMessages.know(codec);
     GoldenBytes.assertUnchanged("store.txt", GoldenBytes.encode(codec, messages));
--- a/src/test/java/yewjunction/store/TenantRateLimiterTest.java
+++ b/src/test/java/yewjunction/store/TenantRateLimiterTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import yewjunction.control.Configuration;
 
+/** No window holds more than a tenant may send, also across changes of the leader. */
 class TenantRateLimiterTest {
   private static final Configuration CHARTER =
       Configuration.read(
@@ -19,9 +20,9 @@
   private static final double MOST = (30 * 5 + 30) * 1.1 + 20;
 
   private static TenantRateLimiter quotas(final long nowMs) {
-    final TenantRateLimiter quotas = new TenantRateLimiter(5, 0.1, 20, nowMs);
-    quotas.charter(CHARTER);
-    return quotas;
+    final TenantRateLimiter rateLimiter = new TenantRateLimiter(5, 0.1, 20, nowMs);
+    rateLimiter.charter(CHARTER);
+    return rateLimiter;
   }
 
   /**
@@ -31,7 +32,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void noWindowHoldsMoreThanTheRuleAllows(final long seed) {
-    final Random luck = new Random(seed);
+    final Random random = new Random(seed);
     final List<Long> taken = new ArrayList<>();
     TenantRateLimiter leader = quotas(0);
     TenantRateLimiter follower = quotas(0);
@@ -39,15 +40,15 @@
     for (long nowMs = 20_000; nowMs < 60_000; nowMs += 2) {
       if (leader.take("t", nowMs)) {
         taken.add(nowMs);
-        follower.count("t", nowMs + luck.nextInt(20));
+        follower.count("t", nowMs + random.nextInt(20));
       }
       // One change a window: more unsettle the core for far longer.
-      if (nowMs - changedMs > 5_500 && luck.nextInt(1_000) == 0) {
+      if (nowMs - changedMs > 5_500 && random.nextInt(1_000) == 0) {
         changedMs = nowMs;
         final TenantRateLimiter old = leader;
         leader = follower;
-        follower = luck.nextBoolean() ? old : quotas(nowMs);
-        if (luck.nextInt(3) == 0) {
+        follower = random.nextBoolean() ? old : quotas(nowMs);
+        if (random.nextInt(3) == 0) {
           leader = quotas(nowMs);
         }
       }
@@ -64,17 +65,17 @@
 
   @Test
   void aMessageWithoutTenantIsFreeAndOneOfAGoneTenantIsDenied() {
-    final TenantRateLimiter quotas = quotas(0);
-    assertTrue(quotas.take("", 1));
-    assertFalse(quotas.take("gone", 1));
+    final TenantRateLimiter rateLimiter = quotas(0);
+    assertTrue(rateLimiter.take("", 1));
+    assertFalse(rateLimiter.take("gone", 1));
   }
 
   @Test
   void aTenantBelowItsLimitIsNeverDeniedEvenRightAfterAStart() {
-    final TenantRateLimiter quotas = quotas(0);
+    final TenantRateLimiter rateLimiter = quotas(0);
     int denied = 0;
     for (long nowMs = 10; nowMs < 20_000; nowMs += 40) {
-      denied += quotas.take("t", nowMs) ? 0 : 1;
+      denied += rateLimiter.take("t", nowMs) ? 0 : 1;
     }
     assertEquals(0, denied);
   }
--- a/src/test/java/yewjunction/subscription/AddWinsSetTest.java
+++ b/src/test/java/yewjunction/subscription/AddWinsSetTest.java
@@ -40,18 +40,18 @@
   private record Copy(byte[] state, Set<Operation> history) {}
 
   private static final class Pair {
-    final AddWinsSet weave = new AddWinsSet();
+    final AddWinsSet subscriptions = new AddWinsSet();
     final Set<Operation> history = new HashSet<>();
 
     Pair(final long name) {
-      weave.self(name);
+      subscriptions.self(name);
     }
 
     void act(final boolean add, final String topic, final String client) {
       if (add) {
-        weave.add(topic, client);
+        subscriptions.add(topic, client);
       } else {
-        weave.remove(topic, client);
+        subscriptions.remove(topic, client);
       }
       history.add(new Operation(add, topic, client, Set.copyOf(history)));
     }
@@ -81,12 +81,12 @@
           final boolean there = expected(topic, client);
           boolean active = false;
           for (long replica = 1; replica <= 4; replica++) {
-            active |= weave.instance(topic, client, replica) > 0;
+            active |= subscriptions.instance(topic, client, replica) > 0;
           }
           assertEquals(there, active, when + " " + topic + " " + client);
           count += there ? 1 : 0;
         }
-        assertEquals(count, weave.count(topic, replica -> true), when);
+        assertEquals(count, subscriptions.count(topic, replica -> true), when);
       }
     }
   }
@@ -94,24 +94,26 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void agreesWithWholeHistoriesUnderLossReorderingAndDoubling(final long seed) {
-    final Random luck = new Random(seed);
+    final Random random = new Random(seed);
     final List<Pair> pairs = new ArrayList<>();
     for (long name = 1; name <= 4; name++) {
       pairs.add(new Pair(name));
     }
     final List<Copy> onTheWay = new ArrayList<>();
     for (int step = 0; step < 160; step++) {
-      final Pair pair = pairs.get(luck.nextInt(4));
-      switch (luck.nextInt(5)) {
+      final Pair pair = pairs.get(random.nextInt(4));
+      switch (random.nextInt(5)) {
         case 0, 1 ->
             pair.act(
-                luck.nextInt(3) > 0, TOPICS.get(luck.nextInt(3)), CLIENTS.get(luck.nextInt(2)));
-        case 2 -> onTheWay.add(new Copy(pair.weave.state(), Set.copyOf(pair.history)));
+                random.nextInt(3) > 0,
+                TOPICS.get(random.nextInt(3)),
+                CLIENTS.get(random.nextInt(2)));
+        case 2 -> onTheWay.add(new Copy(pair.subscriptions.state(), Set.copyOf(pair.history)));
         default -> {
           if (!onTheWay.isEmpty()) {
             // Any old state may arrive, again and again, and some never do.
-            final Copy copy = onTheWay.get(luck.nextInt(onTheWay.size()));
-            pair.weave.receive(copy.state);
+            final Copy copy = onTheWay.get(random.nextInt(onTheWay.size()));
+            pair.subscriptions.receive(copy.state);
             pair.history.addAll(copy.history);
           }
         }
@@ -122,7 +124,7 @@
     for (int round = 0; round < 2; round++) {
       for (final Pair from : pairs) {
         for (final Pair to : pairs) {
-          to.weave.receive(from.weave.state());
+          to.subscriptions.receive(from.subscriptions.state());
           to.history.addAll(from.history);
         }
       }
--- a/src/test/java/yewjunction/subscription/SubscriptionWireFormatTest.java
+++ b/src/test/java/yewjunction/subscription/SubscriptionWireFormatTest.java
@@ -11,18 +11,18 @@
 /** States of replicas and their digests are read as release 0.1.0 wrote them. */
 class SubscriptionWireFormatTest {
   static Map<Long, ReplicaState> panels() {
-    final Map<Long, ReplicaState> panels = new LinkedHashMap<>();
+    final Map<Long, ReplicaState> states = new LinkedHashMap<>();
     final ReplicaState first = new ReplicaState();
     first.observe(300);
     first.set("topic.a", "client-1", 5);
     first.set("topic.a", "client-2", 200);
     first.absence(7, Set.of("client-2"));
-    panels.put(3L, first);
+    states.put(3L, first);
     final ReplicaState second = new ReplicaState();
     second.observe(1);
     second.set("topic.b", "client-1", 1);
-    panels.put(70_000L, second);
-    return panels;
+    states.put(70_000L, second);
+    return states;
   }
 
   @Test
@@ -45,12 +45,12 @@
     final Map<Long, ReplicaState> expected = panels();
     assertEquals(expected.keySet(), read.keySet());
     expected.forEach(
-        (replica, panel) -> {
-          assertEquals(panel.observed, read.get(replica).observed);
-          assertEquals(panel.cells, read.get(replica).cells);
-          assertEquals(panel.absenceNumber, read.get(replica).absenceNumber);
-          assertEquals(panel.absent, read.get(replica).absent);
-          assertEquals(panel.mark(), read.get(replica).mark());
+        (replica, replicaState) -> {
+          assertEquals(replicaState.observed, read.get(replica).observed);
+          assertEquals(replicaState.cells, read.get(replica).cells);
+          assertEquals(replicaState.absenceNumber, read.get(replica).absenceNumber);
+          assertEquals(replicaState.absent, read.get(replica).absent);
+          assertEquals(replicaState.mark(), read.get(replica).mark());
         });
     assertEquals(
         expected.keySet(), ReplicaStateCodec.unpack(ReplicaStateCodec.pack(expected)).keySet());
--- a/src/test/java/yewjunction/system/BorrowingSimulationTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -49,50 +49,51 @@
     final List<SimulatedClient> rushing = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       final boolean calm = i % 2 == 0;
-      final SimulatedClient customer =
+      final SimulatedClient client =
           new SimulatedClient(
-              town,
-              judge,
+              cluster,
+              checker,
               (calm ? "calm" : "rush") + i,
               "zone" + (1 + i % 3),
               calm ? "other" : "key");
-      customer.subscribe(calm ? "s.calm" : "s.rush");
+      client.subscribe(calm ? "s.calm" : "s.rush");
       if (!calm) {
-        rushing.add(customer);
+        rushing.add(client);
       }
     }
-    town.world.runFor(2_000);
-    town.world.every(
+    cluster.network.runFor(2_000);
+    cluster.network.every(
         30,
         () -> {
           if (!quiet) {
-            town.customers.get(2 * town.world.luck.nextInt(6)).publish("s.calm");
+            cluster.customers.get(2 * cluster.network.random.nextInt(6)).publish("s.calm");
           }
         });
     if (anyRush) {
-      town.world.every(
+      cluster.network.every(
           8,
           () -> {
             // Many times its rate, through every edge that its clients happen to be at.
-            final SimulatedClient customer = rushing.get(town.world.luck.nextInt(rushing.size()));
-            if (rush && customer.open.size() < 8) {
-              customer.publish("s.rush");
+            final SimulatedClient client =
+                rushing.get(cluster.network.random.nextInt(rushing.size()));
+            if (rush && client.open.size() < 8) {
+              client.publish("s.rush");
             }
           });
-      town.world.every(37, this::look);
+      cluster.network.every(37, this::look);
     }
   }
 
   private void look() {
-    for (final String vault : town.all(NodeRole.STORE)) {
-      if (town.world.host(vault).up()) {
+    for (final String store : cluster.all(NodeRole.STORE)) {
+      if (cluster.network.host(store).up()) {
         for (final AccountBalance balance :
-            ((StoreNode) town.nodes.get(vault)).cellar().balances()) {
+            ((StoreNode) cluster.nodes.get(store)).cellar().balances()) {
           final String held = ReferenceAccounts.told(balance);
           assertEquals(
               held,
               seen.computeIfAbsent(balance.tenant + " " + balance.index, key -> held),
-              vault + " differs at " + balance.index);
+              store + " differs at " + balance.index);
           looks++;
         }
       }
@@ -101,8 +102,8 @@
 
   private ReferenceAccounts reference() {
     final Map<Long, byte[]> entries = LogReader.none();
-    for (final String vault : town.all(NodeRole.STORE)) {
-      LogReader.gather(town.world.host(vault).disk, "messages", Long.MAX_VALUE, entries);
+    for (final String store : cluster.all(NodeRole.STORE)) {
+      LogReader.gather(cluster.network.host(store).disk, "messages", Long.MAX_VALUE, entries);
     }
     final ReferenceAccounts reference = new ReferenceAccounts();
     reference.replay(entries);
@@ -112,9 +113,9 @@
   /** All is quiet and repaid; whatever was seen at any vault is what the committed history says. */
   private ReferenceAccounts repaid() {
     rush = false;
-    town.world.join();
-    town.bootAll();
-    town.world.runFor(1_000 * 2 * BORROW_MAX / RATE + 8_000);
+    cluster.network.join();
+    cluster.bootAll();
+    cluster.network.runFor(1_000 * 2 * BORROW_MAX / RATE + 8_000);
     settle();
     look();
     final ReferenceAccounts reference = reference();
@@ -126,38 +127,41 @@
               held,
               place);
         });
-    for (final String vault : town.all(NodeRole.STORE)) {
-      final List<AccountBalance> balances = ((StoreNode) town.nodes.get(vault)).cellar().balances();
-      assertEquals(1, balances.size(), vault);
-      assertEquals(0, balances.get(0).debt, vault);
-      assertEquals(balances.get(0).borrowed, balances.get(0).repaid, vault);
-      assertEquals(1_000L * reference.timesBorrowed.get("rush"), balances.get(0).borrowed, vault);
+    for (final String store : cluster.all(NodeRole.STORE)) {
+      final List<AccountBalance> balances =
+          ((StoreNode) cluster.nodes.get(store)).cellar().balances();
+      assertEquals(1, balances.size(), store);
+      assertEquals(0, balances.get(0).debt, store);
+      assertEquals(balances.get(0).borrowed, balances.get(0).repaid, store);
+      assertEquals(1_000L * reference.timesBorrowed.get("rush"), balances.get(0).borrowed, store);
     }
     assertTrue(reference.mostDebt <= 1_000L * BORROW_MAX, "owed " + reference.mostDebt);
     return reference;
   }
 
   private String leader() {
-    return town.all(NodeRole.STORE).stream()
-        .filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
+    return cluster.all(NodeRole.STORE).stream()
+        .filter(
+            store ->
+                cluster.network.host(store).up() && ((StoreNode) cluster.nodes.get(store)).leads())
         .findFirst()
-        .orElse(town.all(NodeRole.STORE).get(0));
+        .orElse(cluster.all(NodeRole.STORE).get(0));
   }
 
   @Test
   void aRushBorrowsUpToItsLimitAndRepaysAll() {
     begin(1, true);
     rush = true;
-    town.world.runFor(8_000);
+    cluster.network.runFor(8_000);
     assertTrue(
-        judge.ackedBetween(0, Long.MAX_VALUE) > 8 * RATE + BORROW_MAX / 2,
-        "acked " + judge.ackedCount());
-    final String shown = town.insist("GET", "/-/quota/rush/show", 0, "", 200).json();
+        checker.ackedBetween(0, Long.MAX_VALUE) > 8 * RATE + BORROW_MAX / 2,
+        "acked " + checker.ackedCount());
+    final String shown = cluster.insist("GET", "/-/quota/rush/show", 0, "", 200).json();
     assertTrue(
         shown.contains("\"BorrowMax\":" + BORROW_MAX) && shown.contains("\"Debt\":1"), shown);
     assertTrue(
-        town.insist("GET", "/-/quota/calm/show", 0, "", 200).json().contains("\"Vaults\":[]"));
-    final OperatorApi.Response unknown = town.insist("GET", "/-/quota/nobody/show", 0, "", 404);
+        cluster.insist("GET", "/-/quota/calm/show", 0, "", 200).json().contains("\"Vaults\":[]"));
+    final OperatorApi.Response unknown = cluster.insist("GET", "/-/quota/nobody/show", 0, "", 404);
     assertTrue(unknown.json().contains("TENANT_UNKNOWN"), unknown.json());
     final ReferenceAccounts reference = repaid();
     assertTrue(reference.mostDebt > 900L * BORROW_MAX, "owed at most " + reference.mostDebt);
@@ -168,53 +172,53 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void oneDebtWhateverFailsMeanwhile(final long seed) {
     begin(seed, true);
-    town.world.loss = 0.02;
+    cluster.network.loss = 0.02;
     for (int round = 0; round < 5; round++) {
       rush = true;
-      town.world.runFor(700 + town.world.luck.nextInt(1_500));
+      cluster.network.runFor(700 + cluster.network.random.nextInt(1_500));
       final String lead = leader();
-      final List<String> vaults = town.all(NodeRole.STORE);
-      final String other = vaults.get((vaults.indexOf(lead) + 1) % vaults.size());
+      final List<String> stores = cluster.all(NodeRole.STORE);
+      final String other = stores.get((stores.indexOf(lead) + 1) % stores.size());
       switch ((int) ((seed + round) % 7)) {
-        case 0 -> town.kill(lead);
-        case 1 -> town.powerOff(lead);
+        case 0 -> cluster.kill(lead);
+        case 1 -> cluster.powerOff(lead);
         case 2 -> {
           // Frozen for longer than an election, then back with all it had in hand.
-          town.all(NodeRole.STORE).stream()
-              .filter(vault -> !vault.equals(lead))
-              .forEach(vault -> town.world.cut(lead, vault));
-          town.world.runFor(900);
-          town.world.join();
+          cluster.all(NodeRole.STORE).stream()
+              .filter(store -> !store.equals(lead))
+              .forEach(store -> cluster.network.cut(lead, store));
+          cluster.network.runFor(900);
+          cluster.network.join();
         }
         case 3 -> {
           // Comes back with an empty disk: by a snapshot, under a new identity.
-          town.powerOff(other);
-          town.world.host(other).wipe();
-          town.world.runFor(400);
-          town.boot(other, false);
+          cluster.powerOff(other);
+          cluster.network.host(other).wipe();
+          cluster.network.runFor(400);
+          cluster.boot(other, false);
         }
         case 4 -> {
-          town.kill(lead);
-          town.kill(town.readyEdges(null).get(0));
-          town.customers.forEach(SimulatedClient::cut);
+          cluster.kill(lead);
+          cluster.kill(cluster.readyEdges(null).get(0));
+          cluster.customers.forEach(SimulatedClient::cut);
         }
-        case 5 -> town.stop(lead);
+        case 5 -> cluster.stop(lead);
         default -> {
-          final boolean higher = town.world.luck.nextBoolean();
-          town.configure(
+          final boolean higher = cluster.network.random.nextBoolean();
+          cluster.configure(
               SimulatedCluster.route("s."),
               tenants(higher ? BORROW_MAX : BORROW_MAX / 3, higher ? 0.5 : 0.25));
         }
       }
-      town.world.runFor(1_200);
-      rush = town.world.luck.nextBoolean();
-      town.bootAll();
-      town.world.runFor(2_500);
+      cluster.network.runFor(1_200);
+      rush = cluster.network.random.nextBoolean();
+      cluster.bootAll();
+      cluster.network.runFor(2_500);
     }
-    town.configure(SimulatedCluster.route("s."), tenants(BORROW_MAX, 1.0));
+    cluster.configure(SimulatedCluster.route("s."), tenants(BORROW_MAX, 1.0));
     final ReferenceAccounts reference = repaid();
     assertTrue(reference.timesBorrowed.get("rush") > 50, "borrowed " + reference.timesBorrowed);
-    assertEquals(List.of(), judge.expired);
+    assertEquals(List.of(), checker.expired);
   }
 
   /** Taken out of the configuration in debt and made again under its name, it still owes. */
@@ -222,15 +226,16 @@
   void aTenantMadeAgainStillOwes() {
     begin(21, true);
     rush = true;
-    town.world.runFor(6_000);
+    cluster.network.runFor(6_000);
     rush = false;
-    town.configure(SimulatedCluster.route("s."), SimulatedCluster.tenant("calm", "other", 1_000));
-    town.world.runFor(4_000);
-    final String gone = town.insist("GET", "/-/quota/rush/show", 0, "", 200).json();
-    town.configure(SimulatedCluster.route("s."), tenants(BORROW_MAX, 0.5));
-    town.world.runFor(600);
+    cluster.configure(
+        SimulatedCluster.route("s."), SimulatedCluster.tenant("calm", "other", 1_000));
+    cluster.network.runFor(4_000);
+    final String gone = cluster.insist("GET", "/-/quota/rush/show", 0, "", 200).json();
+    cluster.configure(SimulatedCluster.route("s."), tenants(BORROW_MAX, 0.5));
+    cluster.network.runFor(600);
     final List<AccountBalance> balances =
-        ((StoreNode) town.nodes.get(leader())).cellar().balances();
+        ((StoreNode) cluster.nodes.get(leader())).cellar().balances();
     assertTrue(balances.get(0).debt > 50_000, gone);
     repaid();
   }
@@ -238,17 +243,17 @@
   /** Delays of the calm tenant's messages, sorted. */
   private List<Long> delays(final boolean anyRush) {
     begin(31, anyRush);
-    town.world.loss = 0;
-    town.world.runFor(1_000);
-    final int from = judge.arrivals.size();
+    cluster.network.loss = 0;
+    cluster.network.runFor(1_000);
+    final int from = checker.arrivals.size();
     rush = true;
-    town.world.runFor(8_000);
+    cluster.network.runFor(8_000);
     rush = false;
     quiet = true;
-    town.world.runFor(4_000);
-    judge.settle();
+    cluster.network.runFor(4_000);
+    checker.settle();
     final List<Long> delays = new ArrayList<>();
-    judge.arrivals.subList(from, judge.arrivals.size()).stream()
+    checker.arrivals.subList(from, checker.arrivals.size()).stream()
         .filter(arrival -> arrival.client().startsWith("calm"))
         .forEach(arrival -> delays.add(arrival.atMs() - arrival.sentMs()));
     Collections.sort(delays);
--- a/src/test/java/yewjunction/system/ConcurrentOperators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -15,9 +15,9 @@
  * see is written down.
  */
 final class ConcurrentOperators {
-  final SimulatedCluster town;
+  final SimulatedCluster cluster;
   final List<LinearizabilityChecker.Call> history = new ArrayList<>();
-  private final Random luck;
+  private final Random random;
   private final Gate gate;
   private long known;
   private int changes;
@@ -25,30 +25,32 @@
 
   /** Between the operators and the cruxes: passes calls on, or answers in their place. */
   interface Gate {
-    void call(String crux, OperatorApi.Request request, Consumer<OperatorApi.Response> answer);
+    void call(
+        String controlNode, OperatorApi.Request request, Consumer<OperatorApi.Response> responder);
   }
 
-  ConcurrentOperators(final SimulatedCluster town, final long seed, final Gate gate) {
-    this.town = town;
+  ConcurrentOperators(final SimulatedCluster cluster, final long seed, final Gate gate) {
+    this.cluster = cluster;
     this.gate = gate;
-    luck = new Random(seed);
+    random = new Random(seed);
   }
 
   /** The real desk of a crux, where its process is up. */
   static void ask(
-      final SimulatedCluster town,
-      final String crux,
+      final SimulatedCluster cluster,
+      final String controlNode,
       final OperatorApi.Request request,
-      final Consumer<OperatorApi.Response> answer) {
-    final SimulatedHost host = town.world.host(crux);
+      final Consumer<OperatorApi.Response> responder) {
+    final SimulatedHost host = cluster.network.host(controlNode);
     if (host.up()) {
-      host.post(() -> ((ControlNode) town.nodes.get(crux)).desk().take(request, answer));
+      host.post(
+          () -> ((ControlNode) cluster.nodes.get(controlNode)).desk().take(request, responder));
     }
   }
 
   void begin() {
     for (int operator = 0; operator < 8; operator++) {
-      town.world.after(1 + operator, this::next);
+      cluster.network.after(1 + operator, this::next);
     }
   }
 
@@ -56,16 +58,16 @@
     if (quiet) {
       return;
     }
-    if (luck.nextInt(3) == 0) {
+    if (random.nextInt(3) == 0) {
       attempt(new LinearizabilityChecker.Call(0, 0, null, "", 0, 0, 0), "", 0);
       return;
     }
     // Mostly on what was seen last, at times on what is old or not there yet; two may pick the same
     // number.
-    final long base = Math.max(0, known + (luck.nextInt(8) == 0 ? luck.nextInt(5) - 2 : 0));
-    final long version = base + 1 + luck.nextInt(2);
+    final long base = Math.max(0, known + (random.nextInt(8) == 0 ? random.nextInt(5) - 2 : 0));
+    final long version = base + 1 + random.nextInt(2);
     final String change = "c" + ++changes + ".";
-    final boolean update = base > 0 && luck.nextInt(3) == 0;
+    final boolean update = base > 0 && random.nextInt(3) == 0;
     final LinearizabilityChecker.Call call =
         new LinearizabilityChecker.Call(base, version, change, "", 0, 0, 0);
     attempt(
@@ -77,13 +79,13 @@
   private void attempt(
       final LinearizabilityChecker.Call call, final String body, final int attempt) {
     if (attempt == 5 || quiet) {
-      town.world.after(20 + luck.nextInt(100), this::next);
+      cluster.network.after(20 + random.nextInt(100), this::next);
       return;
     }
     final String path =
         call.change() == null ? "show" : body.contains("Upsert") ? "update" : "replace";
-    final List<String> cruxes = town.all(NodeRole.CONTROL);
-    final long calledMs = town.world.nowMs();
+    final List<String> controlNodes = cluster.all(NodeRole.CONTROL);
+    final long calledMs = cluster.network.nowMs();
     final boolean[] over = new boolean[1];
     final Runnable again =
         () -> {
@@ -98,35 +100,35 @@
                     0,
                     calledMs,
                     LinearizabilityChecker.NEVER));
-            town.world.after(luck.nextInt(150), () -> attempt(call, body, attempt + 1));
+            cluster.network.after(random.nextInt(150), () -> attempt(call, body, attempt + 1));
           }
         };
-    town.world.after(1_000, again);
+    cluster.network.after(1_000, again);
     final Consumer<OperatorApi.Response> answered =
-        answer -> {
-          if (over[0] || luck.nextInt(4) == 0) {
+        response -> {
+          if (over[0] || random.nextInt(4) == 0) {
             return;
           }
-          if (answer.status() == 307 || answer.status() >= 500) {
+          if (response.status() == 307 || response.status() >= 500) {
             again.run();
             return;
           }
           over[0] = true;
-          note(call, answer, calledMs);
-          town.world.after(20 + luck.nextInt(100), this::next);
+          note(call, response, calledMs);
+          cluster.network.after(20 + random.nextInt(100), this::next);
         };
     gate.call(
-        cruxes.get(luck.nextInt(cruxes.size())),
+        controlNodes.get(random.nextInt(controlNodes.size())),
         new OperatorApi.Request(
             call.change() == null ? "GET" : "POST",
             "/-/config/" + path,
             "" + call.base(),
             body.getBytes(StandardCharsets.UTF_8)),
-        answer -> {
+        response -> {
           // A redirect is followed once, as callers do.
-          if (answer.status() == 307 && !over[0]) {
+          if (response.status() == 307 && !over[0]) {
             gate.call(
-                answer.leaderAddress(),
+                response.leaderAddress(),
                 new OperatorApi.Request(
                     call.change() == null ? "GET" : "POST",
                     "/-/config/" + path,
@@ -134,20 +136,20 @@
                     body.getBytes(StandardCharsets.UTF_8)),
                 answered);
           } else {
-            answered.accept(answer);
+            answered.accept(response);
           }
         });
   }
 
   private void note(
       final LinearizabilityChecker.Call call,
-      final OperatorApi.Response answer,
+      final OperatorApi.Response response,
       final long calledMs) {
     final long version =
-        call.change() != null || answer.status() != 200
+        call.change() != null || response.status() != 200
             ? call.version()
-            : Long.parseLong(answer.json().replaceAll(".*\"Ver\":([0-9]+).*", "$1"));
-    if (answer.status() == 200) {
+            : Long.parseLong(response.json().replaceAll(".*\"Ver\":([0-9]+).*", "$1"));
+    if (response.status() == 200) {
       known = Math.max(known, version);
     }
     history.add(
@@ -155,9 +157,9 @@
             call.base(),
             version,
             call.change(),
-            answer.json(),
-            answer.status(),
+            response.json(),
+            response.status(),
             calledMs,
-            town.world.nowMs()));
+            cluster.network.nowMs()));
   }
 }
--- a/src/test/java/yewjunction/system/DeliveryChecker.java
+++ b/src/test/java/yewjunction/system/DeliveryChecker.java
@@ -17,7 +17,10 @@
 /** Holds what clients saw against the rules. */
 final class DeliveryChecker {
   private final Map<String, Sent> sent = new HashMap<>();
+
+  /** What one subscriber has been delivered, in order. */
   private final Map<String, Reading> readings = new HashMap<>();
+
   private final Map<String, String> atPosition = new HashMap<>();
 
   /** One delivery: to whom, sent when, come when. */
--- a/src/test/java/yewjunction/system/FairnessSimulationTest.java
+++ b/src/test/java/yewjunction/system/FairnessSimulationTest.java
@@ -24,57 +24,57 @@
         SimulatedCluster.tenant("calm", "calm", 1_000)
             + ","
             + SimulatedCluster.tenant("loud", "loud", 1_000));
-    town.world.loss = 0;
+    cluster.network.loss = 0;
     final List<SimulatedClient> calm = new ArrayList<>();
     final List<SimulatedClient> loud = new ArrayList<>();
     for (int i = 0; i < 18; i++) {
       final boolean isCalm = i < 6;
-      final SimulatedClient customer =
+      final SimulatedClient client =
           new SimulatedClient(
-              town,
-              judge,
+              cluster,
+              checker,
               (isCalm ? "calm" : "loud") + i,
               "zone" + (1 + i % 3),
               isCalm ? "calm" : "loud");
       if (!isCalm) {
-        customer.padding = 4_000;
-        customer.filters.put("s.loud", "key-*,nobody,nothing*");
+        client.padding = 4_000;
+        client.filters.put("s.loud", "key-*,nobody,nothing*");
       }
-      customer.subscribe(isCalm ? "s.calm" : "s.loud");
-      (isCalm ? calm : loud).add(customer);
+      client.subscribe(isCalm ? "s.calm" : "s.loud");
+      (isCalm ? calm : loud).add(client);
     }
-    town.world.runFor(2_000);
-    town.world.every(
+    cluster.network.runFor(2_000);
+    cluster.network.every(
         40,
         () -> {
           if (!quiet) {
-            calm.get(town.world.luck.nextInt(calm.size())).publish("s.calm");
+            calm.get(cluster.network.random.nextInt(calm.size())).publish("s.calm");
           }
         });
     if (flood) {
-      town.world.every(
+      cluster.network.every(
           4,
           () -> {
             if (!quiet) {
-              loud.get(town.world.luck.nextInt(loud.size())).publish("s.loud");
+              loud.get(cluster.network.random.nextInt(loud.size())).publish("s.loud");
             }
           });
       // Some of its readers read nothing for seconds, and all of them come back at once with old
       // cursors.
-      town.world.every(
+      cluster.network.every(
           3_000,
           () -> {
-            loud.subList(0, 4).forEach(customer -> customer.stall(1_500));
+            loud.subList(0, 4).forEach(client -> client.stall(1_500));
             loud.subList(4, 12).forEach(SimulatedClient::cut);
           });
     }
-    town.world.runFor(15_000);
+    cluster.network.runFor(15_000);
     quiet = true;
-    town.world.runFor(8_000);
-    judge.settle();
-    assertEquals(List.of(), judge.expired);
+    cluster.network.runFor(8_000);
+    checker.settle();
+    assertEquals(List.of(), checker.expired);
     final List<Long> delays = new ArrayList<>();
-    judge.arrivals.stream()
+    checker.arrivals.stream()
         .filter(arrival -> arrival.client().startsWith("calm"))
         .forEach(arrival -> delays.add(arrival.atMs() - arrival.sentMs()));
     Collections.sort(delays);
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -16,17 +16,17 @@
   /** What was done when: with the seed, all that is needed to look at a failing world. */
   final List<String> plan = new ArrayList<>();
 
-  final SimulatedCluster town;
+  final SimulatedCluster cluster;
   final Random draw;
   private int machines = 100;
 
-  FaultInjector(final SimulatedCluster town, final Random draw) {
-    this.town = town;
+  FaultInjector(final SimulatedCluster cluster, final Random draw) {
+    this.cluster = cluster;
     this.draw = draw;
   }
 
   void note(final String what) {
-    plan.add(town.world.nowMs() + " " + what);
+    plan.add(cluster.network.nowMs() + " " + what);
   }
 
   static String machine(final String address) {
@@ -35,17 +35,17 @@
 
   /** Processes on a machine. */
   List<String> on(final String machine) {
-    return town.nodes.keySet().stream()
+    return cluster.nodes.keySet().stream()
         .filter(address -> machine(address).equals(machine))
         .toList();
   }
 
   List<SimulatedHost> hosts(final String machine) {
-    return on(machine).stream().map(town.world::host).toList();
+    return on(machine).stream().map(cluster.network::host).toList();
   }
 
   List<String> core() {
-    return town.nodes.keySet().stream()
+    return cluster.nodes.keySet().stream()
         .filter(address -> !machine(address).endsWith(".2"))
         .map(RandomFaults::machine)
         .distinct()
@@ -54,10 +54,12 @@
 
   /** Whoever leads the vaults, or the first of them. */
   String leader() {
-    return town.all(NodeRole.STORE).stream()
-        .filter(vault -> town.world.host(vault).up() && ((StoreNode) town.nodes.get(vault)).leads())
+    return cluster.all(NodeRole.STORE).stream()
+        .filter(
+            store ->
+                cluster.network.host(store).up() && ((StoreNode) cluster.nodes.get(store)).leads())
         .findFirst()
-        .orElse(town.all(NodeRole.STORE).get(0));
+        .orElse(cluster.all(NodeRole.STORE).get(0));
   }
 
   long span(final int leastMs, final int mostMs) {
@@ -65,13 +67,13 @@
   }
 
   void back() {
-    town.bootAll();
+    cluster.bootAll();
   }
 
   void lost(final long forMs) {
-    town.world.runFor(forMs);
+    cluster.network.runFor(forMs);
     back();
-    town.world.runFor(SYNC_MS);
+    cluster.network.runFor(SYNC_MS);
   }
 
   /**
@@ -82,7 +84,7 @@
     final List<String> from =
         draw.nextInt(3) == 0
             ? core()
-            : (draw.nextBoolean() ? town.all(NodeRole.STORE) : town.all(NodeRole.CONTROL))
+            : (draw.nextBoolean() ? cluster.all(NodeRole.STORE) : cluster.all(NodeRole.CONTROL))
                 .stream().map(FaultInjector::machine).toList();
     final String first =
         draw.nextBoolean() && from.contains(machine(leader()))
@@ -90,11 +92,11 @@
             : from.get(draw.nextInt(from.size()));
     final List<String> others = from.stream().filter(one -> !one.equals(first)).toList();
     strike(first);
-    town.world.runFor(draw.nextInt(3) * span(1, 900));
+    cluster.network.runFor(draw.nextInt(3) * span(1, 900));
     strike(others.get(draw.nextInt(others.size())));
-    town.world.runFor(span(300, 6_000));
-    town.world.join();
-    town.nodes.keySet().forEach(address -> town.world.host(address).thaw());
+    cluster.network.runFor(span(300, 6_000));
+    cluster.network.join();
+    cluster.nodes.keySet().forEach(address -> cluster.network.host(address).thaw());
     lost(0);
   }
 
@@ -106,47 +108,47 @@
             + " "
             + victim);
     switch (kind) {
-      case 0 -> on(victim).forEach(town::kill);
-      case 1 -> on(victim).forEach(town::powerOff);
+      case 0 -> on(victim).forEach(cluster::kill);
+      case 1 -> on(victim).forEach(cluster::powerOff);
       case 2 -> wipe(victim);
       case 3 ->
-          town.nodes.keySet().stream()
+          cluster.nodes.keySet().stream()
               .filter(other -> !machine(other).equals(victim))
-              .forEach(other -> town.world.cut(victim + ":", other));
+              .forEach(other -> cluster.network.cut(victim + ":", other));
       case 4 -> hosts(victim).forEach(SimulatedHost::freeze);
       default -> {
         remove(victim);
-        town.world.after(1_000, () -> note("by " + bootLike(victim)));
+        cluster.network.after(1_000, () -> note("by " + bootLike(victim)));
       }
     }
   }
 
   void killWhileCutOff(final String victim, final long forMs) {
     note("killed while cut off " + victim + " " + forMs);
-    core().forEach(other -> town.world.cut(victim + ":", other + ":"));
-    town.world.runFor(forMs / 2);
-    on(victim).forEach(town::kill);
-    town.world.runFor(forMs / 4);
+    core().forEach(other -> cluster.network.cut(victim + ":", other + ":"));
+    cluster.network.runFor(forMs / 2);
+    on(victim).forEach(cluster::kill);
+    cluster.network.runFor(forMs / 4);
     back();
-    town.world.runFor(forMs / 4);
-    town.world.join();
+    cluster.network.runFor(forMs / 4);
+    cluster.network.join();
     lost(0);
   }
 
   void killAsItWakes(final String victim, final long forMs) {
     note("frozen, links reset, killed as it wakes " + victim + " " + forMs);
     hosts(victim).forEach(SimulatedHost::freeze);
-    town.world.runFor(forMs / 2);
+    cluster.network.runFor(forMs / 2);
     hosts(victim).forEach(SimulatedHost::resetLinks);
-    town.world.runFor(forMs / 2);
+    cluster.network.runFor(forMs / 2);
     hosts(victim).forEach(SimulatedHost::thaw);
-    town.world.runFor(draw.nextInt(30));
-    on(victim).forEach(town::kill);
+    cluster.network.runFor(draw.nextInt(30));
+    on(victim).forEach(cluster::kill);
     lost(span(100, 2_000));
   }
 
   void wipe(final String machine) {
-    on(machine).forEach(town::powerOff);
+    on(machine).forEach(cluster::powerOff);
     hosts(machine).forEach(SimulatedHost::wipe);
   }
 
@@ -164,16 +166,16 @@
     for (final String other :
         fromCoreOnly
             ? core()
-            : town.nodes.keySet().stream().map(RandomFaults::machine).distinct().toList()) {
+            : cluster.nodes.keySet().stream().map(RandomFaults::machine).distinct().toList()) {
       if (!other.equals(victim) && ways != 2) {
-        town.world.cutOneWay(victim + ":", other + ":");
+        cluster.network.cutOneWay(victim + ":", other + ":");
       }
       if (!other.equals(victim) && ways != 1) {
-        town.world.cutOneWay(other + ":", victim + ":");
+        cluster.network.cutOneWay(other + ":", victim + ":");
       }
     }
-    town.world.runFor(forMs);
-    town.world.join();
+    cluster.network.runFor(forMs);
+    cluster.network.join();
     lost(0);
   }
 
@@ -185,51 +187,51 @@
     machines += 10;
     final String fresh =
         machine.substring(0, machine.lastIndexOf('.') + 1) + (machines % 1_000 + (vault ? 9 : 1));
-    town.seeds =
-        town.all(NodeRole.CONTROL).stream()
-            .filter(crux -> town.world.host(crux).up())
+    cluster.seeds =
+        cluster.all(NodeRole.CONTROL).stream()
+            .filter(controlNode -> cluster.network.host(controlNode).up())
             .limit(3)
-            .map(crux -> machine(crux) + ":8024")
+            .map(controlNode -> machine(controlNode) + ":8024")
             .toList();
     if (!vault) {
-      town.boot(fresh + ":" + (SimulatedCluster.PORT + Settings.CONTROL_PORT_OFFSET), false);
+      cluster.boot(fresh + ":" + (SimulatedCluster.PORT + Settings.CONTROL_PORT_OFFSET), false);
     }
-    town.boot(fresh + ":" + SimulatedCluster.PORT, false);
+    cluster.boot(fresh + ":" + SimulatedCluster.PORT, false);
     return fresh;
   }
 
   /** Gone for good, with its disk. */
   void remove(final String machine) {
     for (final String address : on(machine)) {
-      town.powerOff(address);
-      town.world.host(address).wipe();
-      town.nodes.remove(address);
+      cluster.powerOff(address);
+      cluster.network.host(address).wipe();
+      cluster.nodes.remove(address);
     }
   }
 
   void replace(final String victim) {
     note("replace " + victim);
     remove(victim);
-    town.world.runFor(1_000);
+    cluster.network.runFor(1_000);
     note("by " + bootLike(victim));
-    town.world.runFor(SYNC_MS);
+    cluster.network.runFor(SYNC_MS);
   }
 
   /** The new one first, then the old one is told to end; it has as long as the platform gives. */
   void replacePlanned(final String victim) {
     final String fresh = bootLike(victim);
-    final long startMs = town.world.nowMs();
+    final long startMs = cluster.network.nowMs();
     note(
         "replace planned "
             + victim
             + (machine(leader()).equals(victim) ? ", which leads," : "")
             + " by "
             + fresh);
-    town.world.runFor(span(1_000, 3_000));
+    cluster.network.runFor(span(1_000, 3_000));
     note("stop " + victim);
-    on(victim).forEach(town::stop);
-    town.world.runUntil(() -> hosts(victim).stream().noneMatch(SimulatedHost::up), 6_000);
+    on(victim).forEach(cluster::stop);
+    cluster.network.runUntil(() -> hosts(victim).stream().noneMatch(SimulatedHost::up), 6_000);
     remove(victim);
-    town.world.runFor(Math.max(1_000, startMs + SYNC_MS - town.world.nowMs()));
+    cluster.network.runFor(Math.max(1_000, startMs + SYNC_MS - cluster.network.nowMs()));
   }
 }
--- a/src/test/java/yewjunction/system/FaultyOperatorApi.java
+++ b/src/test/java/yewjunction/system/FaultyOperatorApi.java
@@ -10,15 +10,16 @@
 final class FaultyOperatorApi {
   private FaultyOperatorApi() {}
 
-  static ConcurrentOperators.Gate real(final SimulatedCluster town) {
-    return (crux, request, answer) -> ConcurrentOperators.ask(town, crux, request, answer);
+  static ConcurrentOperators.Gate real(final SimulatedCluster cluster) {
+    return (controlNode, request, responder) ->
+        ConcurrentOperators.ask(cluster, controlNode, request, responder);
   }
 
   private static ConcurrentOperators.Gate changed(
-      final SimulatedCluster town, final Change change) {
-    return (crux, request, answer) ->
+      final SimulatedCluster cluster, final Change change) {
+    return (controlNode, request, responder) ->
         ConcurrentOperators.ask(
-            town, crux, request, told -> answer.accept(change.of(request, told)));
+            cluster, controlNode, request, told -> responder.accept(change.of(request, told)));
   }
 
   /** What a stand-in makes of a real answer. */
@@ -31,13 +32,13 @@
   }
 
   /** Refuses by its own state, as long as it believes that it leads. */
-  static ConcurrentOperators.Gate refusesFromStaleState(final SimulatedCluster town) {
-    return (crux, request, answer) -> {
-      if (!town.world.host(crux).up()) {
+  static ConcurrentOperators.Gate refusesFromStaleState(final SimulatedCluster cluster) {
+    return (controlNode, request, responder) -> {
+      if (!cluster.network.host(controlNode).up()) {
         return;
       }
       final String[] page = new String[1];
-      ((ControlNode) town.nodes.get(crux))
+      ((ControlNode) cluster.nodes.get(controlNode))
           .desk()
           .take(
               new OperatorApi.Request("GET", "/-/outlook/show", null, new byte[0]),
@@ -46,18 +47,18 @@
       final String version = page[0].replaceAll(".*\"Ver\":([0-9]+).*", "$1");
       final boolean order = request.method().equals("POST") && request.path().contains("config");
       if (leads && order && Long.parseLong(version) < Long.parseLong(request.base())) {
-        answer.accept(says(412));
+        responder.accept(says(412));
       } else {
-        ConcurrentOperators.ask(town, crux, request, answer);
+        ConcurrentOperators.ask(cluster, controlNode, request, responder);
       }
     };
   }
 
   /** Knows by the base alone: a repeat of what was taken looks like any order on an old base. */
-  static ConcurrentOperators.Gate refusesWhatWasTaken(final SimulatedCluster town) {
+  static ConcurrentOperators.Gate refusesWhatWasTaken(final SimulatedCluster cluster) {
     final Set<String> taken = new HashSet<>();
     return changed(
-        town,
+        cluster,
         (request, told) ->
             told.status() == 200
                     && request.method().equals("POST")
@@ -70,10 +71,10 @@
    * Knows what was taken by its number alone: the other of a pair with one number is taken for its
    * repeat.
    */
-  static ConcurrentOperators.Gate acknowledgesBothOfAPair(final SimulatedCluster town) {
+  static ConcurrentOperators.Gate acknowledgesBothOfAPair(final SimulatedCluster cluster) {
     final Set<String> taken = new HashSet<>();
     return changed(
-        town,
+        cluster,
         (request, told) -> {
           final String pair =
               request.base() + new String(request.body()).replaceAll(".*\"Ver\":([0-9]+).*", " $1");
@@ -87,9 +88,9 @@
   /** Answers one status in the place of another, to what is asked of machines. */
   static Function<SimulatedCluster, ConcurrentOperators.Gate> ofMachines(
       final int real, final int instead) {
-    return town ->
+    return cluster ->
         changed(
-            town,
+            cluster,
             (request, told) ->
                 told.status() == real && request.path().contains("retire") ? says(instead) : told);
   }
--- a/src/test/java/yewjunction/system/FrameSplitter.java
+++ b/src/test/java/yewjunction/system/FrameSplitter.java
@@ -7,6 +7,7 @@
 final class FrameSplitter {
   private String text = "";
 
+  /** One message to a client: its header line and its body. */
   record Frame(String[] fields, String body) {}
 
   List<Frame> feed(final String more) {
--- a/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
+++ b/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
@@ -30,23 +30,24 @@
     }
     open(seed, tenants.toString());
     for (int i = 0; i < 6 * TENANTS; i++) {
-      final SimulatedClient customer =
-          new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key" + tenant("c" + i));
-      customer.subscribe("s.t" + tenant(customer.name));
+      final SimulatedClient client =
+          new SimulatedClient(
+              cluster, checker, "c" + i, "zone" + (1 + i % 3), "key" + tenant("c" + i));
+      client.subscribe("s.t" + tenant(client.name));
     }
-    town.world.runFor(2_000);
-    town.world.every(
+    cluster.network.runFor(2_000);
+    cluster.network.every(
         12,
         () -> {
-          final List<SimulatedClient> all = town.customers;
+          final List<SimulatedClient> all = cluster.customers;
           // The first tenant may be made to send most.
           final int chosen =
-              town.world.luck.nextInt(100) < heavyShare
-                  ? TENANTS * town.world.luck.nextInt(6)
-                  : town.world.luck.nextInt(all.size());
-          final SimulatedClient customer = all.get(chosen);
-          if (customer.open.size() < 8 && !quiet) {
-            customer.publish("s.t" + tenant(customer.name));
+              cluster.network.random.nextInt(100) < heavyShare
+                  ? TENANTS * cluster.network.random.nextInt(6)
+                  : cluster.network.random.nextInt(all.size());
+          final SimulatedClient client = all.get(chosen);
+          if (client.open.size() < 8 && !quiet) {
+            client.publish("s.t" + tenant(client.name));
           }
         });
   }
@@ -64,8 +65,8 @@
   /** All vaults hold the same messages at the same places, as far back as each still keeps them. */
   private void sameHistories() {
     final Map<Long, String> history = new TreeMap<>();
-    for (final String vault : town.all(NodeRole.STORE)) {
-      ((StoreNode) town.nodes.get(vault))
+    for (final String store : cluster.all(NodeRole.STORE)) {
+      ((StoreNode) cluster.nodes.get(store))
           .cellar()
           .between(0, Long.MAX_VALUE)
           .forEach(
@@ -84,62 +85,62 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void theSiteFoldsBackIntoOneHistory(final long seed) {
     begin(seed);
-    town.world.runFor(3_000);
+    cluster.network.runFor(3_000);
     for (int round = 0; round < 3; round++) {
-      final boolean withVault = town.world.luck.nextBoolean();
-      final String zone = "zone" + (1 + town.world.luck.nextInt(3));
+      final boolean withVault = cluster.network.random.nextBoolean();
+      final String zone = "zone" + (1 + cluster.network.random.nextInt(3));
       switch ((int) (seed % 4)) {
         case 0 -> {
           // Short: within the patience of clients and leases.
-          town.darken(zone, withVault);
-          town.world.runFor(200 + town.world.luck.nextInt(900));
+          cluster.darken(zone, withVault);
+          cluster.network.runFor(200 + cluster.network.random.nextInt(900));
         }
         case 1 -> {
           // Long: leases lapse, clients move out and come back; an edge of the site dies in the
           // dark.
-          town.darken(zone, withVault);
-          town.world.runFor(6_000);
-          town.kill(
-              town.all(NodeRole.EDGE).stream()
+          cluster.darken(zone, withVault);
+          cluster.network.runFor(6_000);
+          cluster.kill(
+              cluster.all(NodeRole.EDGE).stream()
                   .filter(edge -> SimulatedCluster.zone(edge).equals(zone))
                   .findFirst()
                   .orElseThrow());
-          town.world.runFor(3_000);
+          cluster.network.runFor(3_000);
         }
         case 2 -> {
           // Flapping.
           for (int flap = 0; flap < 6; flap++) {
-            town.darken(zone, withVault);
-            town.world.runFor(150 + town.world.luck.nextInt(1_200));
-            town.world.join();
-            town.world.runFor(100 + town.world.luck.nextInt(600));
+            cluster.darken(zone, withVault);
+            cluster.network.runFor(150 + cluster.network.random.nextInt(1_200));
+            cluster.network.join();
+            cluster.network.runFor(100 + cluster.network.random.nextInt(600));
           }
         }
         default -> {
           // The lead changes meanwhile.
-          town.darken(zone, withVault);
-          town.world.runFor(800);
+          cluster.darken(zone, withVault);
+          cluster.network.runFor(800);
           final List<String> outside =
-              town.all(NodeRole.STORE).stream()
-                  .filter(vault -> !SimulatedCluster.zone(vault).equals(zone))
+              cluster.all(NodeRole.STORE).stream()
+                  .filter(store -> !SimulatedCluster.zone(store).equals(zone))
                   .toList();
-          town.kill(outside.get(town.world.luck.nextInt(2)));
-          town.world.runFor(1_500);
+          cluster.kill(outside.get(cluster.network.random.nextInt(2)));
+          cluster.network.runFor(1_500);
         }
       }
-      town.world.join();
-      town.bootAll();
-      town.world.runFor(4_000);
+      cluster.network.join();
+      cluster.bootAll();
+      cluster.network.runFor(4_000);
     }
     settle();
-    assertEquals(List.of(), judge.expired);
-    assertTrue(judge.ackedCount() > 500, "acked " + judge.ackedCount());
+    assertEquals(List.of(), checker.expired);
+    assertTrue(checker.ackedCount() > 500, "acked " + checker.ackedCount());
   }
 
   /** When, after the site is back, each tenant's clients had all that was sent before. */
   private Map<Integer, Long> catchUpMs(final long backMs) {
     final Map<Integer, Long> last = new HashMap<>();
-    judge.arrivals.stream()
+    checker.arrivals.stream()
         .filter(arrival -> arrival.sentMs() < backMs && arrival.atMs() > backMs)
         .forEach(
             arrival -> last.merge(tenant(arrival.client()), arrival.atMs() - backMs, Math::max));
@@ -151,13 +152,13 @@
   void noPartnersChannelComesFirst(final long seed) {
     heavyShare = 80;
     begin(seed);
-    town.world.loss = 0;
-    town.world.runFor(3_000);
-    town.darken("zone1", true);
-    town.world.runFor(2_000);
-    town.world.join();
-    final long backMs = town.world.nowMs();
-    town.world.runFor(6_000);
+    cluster.network.loss = 0;
+    cluster.network.runFor(3_000);
+    cluster.darken("zone1", true);
+    cluster.network.runFor(2_000);
+    cluster.network.join();
+    final long backMs = cluster.network.nowMs();
+    cluster.network.runFor(6_000);
     final Map<Integer, Long> caughtUp = catchUpMs(backMs);
     final long soonest = caughtUp.values().stream().min(Long::compare).orElseThrow();
     final long latest = caughtUp.values().stream().max(Long::compare).orElseThrow();
@@ -174,15 +175,15 @@
   @Test
   void anEdgeThatLacksWhatItsHomeHasDroppedLosesNobodyAMessage() {
     begin(41);
-    town.world.runFor(3_000);
-    final String edge = town.readyEdges("zone1").get(0);
+    cluster.network.runFor(3_000);
+    final String edge = cluster.readyEdges("zone1").get(0);
     // Only the stream is cut: leases stay, and so do the links of its clients until it lets them
     // go.
-    town.all(NodeRole.STORE).forEach(vault -> town.world.cut(edge, vault));
-    town.world.runFor(75_000);
-    town.world.join();
-    town.world.runFor(5_000);
+    cluster.all(NodeRole.STORE).forEach(store -> cluster.network.cut(edge, store));
+    cluster.network.runFor(75_000);
+    cluster.network.join();
+    cluster.network.runFor(5_000);
     settle();
-    assertEquals(List.of(), judge.expired);
+    assertEquals(List.of(), checker.expired);
   }
 }
--- a/src/test/java/yewjunction/system/LinearizabilitySimulationTest.java
+++ b/src/test/java/yewjunction/system/LinearizabilitySimulationTest.java
@@ -15,43 +15,43 @@
 /** What operators saw through the worst of days, against a plain register with compare-and-set. */
 class LinearizabilitySimulationTest {
   private static final int SEEDS = 12;
-  private SimulatedCluster town;
+  private SimulatedCluster cluster;
 
   private List<LinearizabilityChecker.Call> history(
       final long seed, final Function<SimulatedCluster, ConcurrentOperators.Gate> plant) {
-    town = new SimulatedCluster(seed, true);
+    cluster = new SimulatedCluster(seed, true);
     final ConcurrentOperators operators =
-        new ConcurrentOperators(town, seed * 31, plant.apply(town));
-    final OperatorCalls orders = new OperatorCalls(town);
+        new ConcurrentOperators(cluster, seed * 31, plant.apply(cluster));
+    final OperatorCalls orders = new OperatorCalls(cluster);
     final Random trouble = new Random(seed * 37);
-    town.world.runFor(1_500);
+    cluster.network.runFor(1_500);
     operators.begin();
     for (int round = 0; round < 8; round++) {
-      town.world.runFor(500 + trouble.nextInt(1_500));
+      cluster.network.runFor(500 + trouble.nextInt(1_500));
       final String leader = orders.leader();
       final String other = orders.others(leader).get(trouble.nextInt(2));
       final int kind = trouble.nextInt(9);
       switch (kind) {
-        case 0 -> town.kill(leader);
-        case 1 -> town.powerOff(leader);
+        case 0 -> cluster.kill(leader);
+        case 1 -> cluster.powerOff(leader);
         case 2, 3, 7 -> orders.cutOff(leader);
-        case 4 -> town.world.cut(leader, other);
-        case 5 -> town.stop(leader);
+        case 4 -> cluster.network.cut(leader, other);
+        case 5 -> cluster.stop(leader);
         case 6 -> {
-          town.powerOff(other);
-          town.world.host(other).wipe();
+          cluster.powerOff(other);
+          cluster.network.host(other).wipe();
         }
-        default -> orders.cruxes.forEach(town::powerOff);
+        default -> orders.controlNodes.forEach(cluster::powerOff);
       }
-      town.world.runFor(300 + trouble.nextInt(2_500));
-      town.world.join();
-      town.bootAll();
+      cluster.network.runFor(300 + trouble.nextInt(2_500));
+      cluster.network.join();
+      cluster.bootAll();
       // A lost disk counts as a loss until its machine has caught up and votes again.
-      town.world.runFor(kind == 6 ? 6_000 : 0);
+      cluster.network.runFor(kind == 6 ? 6_000 : 0);
     }
-    town.world.runFor(3_000);
+    cluster.network.runFor(3_000);
     operators.quiet = true;
-    town.world.runFor(2_000);
+    cluster.network.runFor(2_000);
     return operators.history;
   }
 
--- a/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
@@ -20,7 +20,7 @@
 /** What the operator's desk says while leaders are cut off, deposed and new. */
 class OperatorApiSimulationTest {
   private static final String REPLACE = "/-/config/replace";
-  private SimulatedCluster town;
+  private SimulatedCluster cluster;
   private OperatorCalls orders;
 
   /** What stands before the real desks: nothing, or a fault that the test is to find. */
@@ -28,7 +28,7 @@
 
   private void begin(final long seed) {
     orders = OperatorCalls.begun(seed, plant);
-    town = orders.town;
+    cluster = orders.cluster;
   }
 
   @ParameterizedTest
@@ -53,7 +53,7 @@
             orders.send(old, "GET", "/-/quota/u/show", "0", ""),
             orders.send(old, "GET", "/-/quota/t/show", "0", ""),
             orders.send(old, "GET", "/-/config/show", "0", ""));
-    town.world.runFor(1_600);
+    cluster.network.runFor(1_600);
     for (final Call call : calls) {
       assertEquals(503, call.status(), call.json());
     }
@@ -102,22 +102,23 @@
       orders.send(leader, "POST", path, "" + (step + 1), bodies[step]);
       // Strikes before, while and after the order is on its way to the others' disks; its answer
       // counts as lost.
-      town.world.runFor(town.world.luck.nextInt(9));
-      switch (town.world.luck.nextInt(3)) {
-        case 0 -> town.kill(leader);
-        case 1 -> town.powerOff(leader);
+      cluster.network.runFor(cluster.network.random.nextInt(9));
+      switch (cluster.network.random.nextInt(3)) {
+        case 0 -> cluster.kill(leader);
+        case 1 -> cluster.powerOff(leader);
         default -> orders.cutOff(leader);
       }
       final List<Call> repeats = new ArrayList<>();
       for (int again = 0; again < 12; again++) {
         repeats.add(
-            orders.send(orders.cruxes.get(again % 3), "POST", path, "" + (step + 1), bodies[step]));
-        town.world.runFor(100);
+            orders.send(
+                orders.controlNodes.get(again % 3), "POST", path, "" + (step + 1), bodies[step]));
+        cluster.network.runFor(100);
       }
-      town.world.join();
-      town.bootAll();
+      cluster.network.join();
+      cluster.bootAll();
       assertEquals(200, orders.insist("POST", path, step + 1, bodies[step]).status());
-      town.world.runFor(2_000);
+      cluster.network.runFor(2_000);
       for (final Call repeat : repeats) {
         assertTrue(
             repeat.status() == 0
@@ -128,8 +129,8 @@
       }
     }
     // Once all machines were without power and nothing but the disks is left.
-    orders.cruxes.forEach(town::powerOff);
-    town.bootAll();
+    orders.controlNodes.forEach(cluster::powerOff);
+    cluster.bootAll();
     for (int step = 0; step < bodies.length; step++) {
       final String path = bodies[step].contains("Upsert") ? "/-/config/update" : REPLACE;
       assertEquals(200, orders.insist("POST", path, step + 1, bodies[step]).status());
@@ -144,16 +145,17 @@
     final List<Call> ones = new ArrayList<>();
     final List<Call> others = new ArrayList<>();
     for (int attempt = 0; attempt < 30; attempt++) {
-      ones.add(orders.replace(orders.cruxes.get(attempt % 3), 1, config(2, "one.")));
-      others.add(orders.replace(orders.cruxes.get((attempt + 1) % 3), 1, config(2, "other.")));
-      town.world.runFor(town.world.luck.nextInt(40));
+      ones.add(orders.replace(orders.controlNodes.get(attempt % 3), 1, config(2, "one.")));
+      others.add(
+          orders.replace(orders.controlNodes.get((attempt + 1) % 3), 1, config(2, "other.")));
+      cluster.network.runFor(cluster.network.random.nextInt(40));
       if (attempt % 10 == 2) {
-        town.kill(orders.leader());
+        cluster.kill(orders.leader());
       } else if (attempt % 10 == 8) {
-        town.bootAll();
+        cluster.bootAll();
       }
     }
-    town.bootAll();
+    cluster.bootAll();
     final int one = orders.insist("POST", REPLACE, 1, config(2, "one.")).status();
     final int other = orders.insist("POST", REPLACE, 1, config(2, "other.")).status();
     assertEquals(200 + 412, one + other);
@@ -194,15 +196,15 @@
     begin(5);
     assertEquals(200, orders.insist("POST", "/-/config/update", 1, update(4, "b.")).status());
     final String wiped = orders.others(orders.leader()).get(0);
-    town.powerOff(wiped);
-    town.world.host(wiped).wipe();
-    town.bootAll();
-    town.world.runFor(6_000);
+    cluster.powerOff(wiped);
+    cluster.network.host(wiped).wipe();
+    cluster.bootAll();
+    cluster.network.runFor(6_000);
     for (int turn = 0; turn < 30 && !orders.leader().equals(wiped); turn++) {
-      town.kill(orders.leader());
+      cluster.kill(orders.leader());
       orders.leader();
-      town.bootAll();
-      town.world.runFor(2_000);
+      cluster.bootAll();
+      cluster.network.runFor(2_000);
     }
     assertEquals(wiped, orders.leader());
     assertEquals(200, orders.now(wiped, "POST", REPLACE, "0", config(1, "a.")).status());
@@ -218,7 +220,7 @@
     for (int operator = 0; operator < 8; operator++) {
       calls.add(orders.replace(leader, 1, config(2 + operator, "r" + operator + ".")));
     }
-    town.world.runFor(1_000);
+    cluster.network.runFor(1_000);
     assertEquals(1, calls.stream().filter(call -> call.status() == 200).count());
     assertEquals(7, calls.stream().filter(call -> call.status() == 412).count());
     final long longestMs = calls.stream().mapToLong(call -> call.tookMs).max().orElseThrow();
@@ -236,12 +238,12 @@
     }
     // Healed after the callers have gone, before the leader gives up: the first may be taken yet,
     // the others not.
-    town.world.runFor(1_000);
-    town.world.join();
+    cluster.network.runFor(1_000);
+    cluster.network.join();
     final Call call = orders.insist("POST", REPLACE, 1, config(20, "new."));
     final long current = orders.shown();
     assertEquals(call.status() == 200 ? 20 : 2, current);
-    town.world.runFor(2_000);
+    cluster.network.runFor(2_000);
     assertEquals(current, orders.shown());
     assertTrue(gone.stream().skip(1).noneMatch(one -> one.status() == 200));
     final int repeated = orders.insist("POST", REPLACE, 1, config(2, "gone0.")).status();
@@ -252,15 +254,15 @@
   @Test
   void whatWasNotWorkedOutIsNeitherTakenNorInTheWay() {
     begin(11);
-    final OperatorApi desk = ((ControlNode) town.nodes.get(orders.leader())).desk();
-    desk.readBy((blocking, afterwards) -> afterwards.run());
+    final OperatorApi operatorApi = ((ControlNode) cluster.nodes.get(orders.leader())).desk();
+    operatorApi.readBy((blocking, afterwards) -> afterwards.run());
     assertEquals(503, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
-    desk.readBy(
+    operatorApi.readBy(
         (blocking, afterwards) -> {
           throw new OutOfMemoryError("planted");
         });
     assertEquals(503, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
-    desk.readBy(town.world.host(orders.leader()).clerk());
+    operatorApi.readBy(cluster.network.host(orders.leader()).clerk());
     assertEquals(1, orders.shown());
     assertEquals(200, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
   }
--- a/src/test/java/yewjunction/system/OperatorCalls.java
+++ b/src/test/java/yewjunction/system/OperatorCalls.java
@@ -12,41 +12,41 @@
 
 /** Single calls of an operator to single cruxes, each answered or not. */
 final class OperatorCalls {
-  final SimulatedCluster town;
-  final List<String> cruxes;
+  final SimulatedCluster cluster;
+  final List<String> controlNodes;
   private final ConcurrentOperators.Gate gate;
 
   /** One call and what came of it. */
   static final class Call {
-    OperatorApi.Response answer;
+    OperatorApi.Response response;
     long tookMs;
 
     int status() {
-      return answer == null ? 0 : answer.status();
+      return response == null ? 0 : response.status();
     }
 
     String json() {
-      return answer == null ? "" : answer.json();
+      return response == null ? "" : response.json();
     }
   }
 
-  OperatorCalls(final SimulatedCluster town) {
-    this(town, FaultyOperatorApi.real(town));
+  OperatorCalls(final SimulatedCluster cluster) {
+    this(cluster, FaultyOperatorApi.real(cluster));
   }
 
-  OperatorCalls(final SimulatedCluster town, final ConcurrentOperators.Gate gate) {
-    this.town = town;
+  OperatorCalls(final SimulatedCluster cluster, final ConcurrentOperators.Gate gate) {
+    this.cluster = cluster;
     this.gate = gate;
-    cruxes = town.all(NodeRole.CONTROL);
+    controlNodes = cluster.all(NodeRole.CONTROL);
   }
 
   /** A town that has settled and taken version 1. */
   static OperatorCalls begun(
       final long seed, final Function<SimulatedCluster, ConcurrentOperators.Gate> plant) {
-    final SimulatedCluster town = new SimulatedCluster(seed, true);
-    final OperatorCalls orders = new OperatorCalls(town, plant.apply(town));
-    town.world.loss = 0;
-    town.world.runFor(4_500);
+    final SimulatedCluster cluster = new SimulatedCluster(seed, true);
+    final OperatorCalls orders = new OperatorCalls(cluster, plant.apply(cluster));
+    cluster.network.loss = 0;
+    cluster.network.runFor(4_500);
     assertEquals(200, orders.insist("POST", "/-/config/replace", 0, config(1, "a.")).status());
     return orders;
   }
@@ -65,47 +65,48 @@
   }
 
   Call send(
-      final String crux,
+      final String controlNode,
       final String method,
       final String path,
       final String base,
       final String body) {
     final Call call = new Call();
-    final long startMs = town.world.nowMs();
+    final long startMs = cluster.network.nowMs();
     gate.call(
-        crux,
+        controlNode,
         new OperatorApi.Request(method, path, base, body.getBytes(StandardCharsets.UTF_8)),
-        answer -> {
-          call.answer = answer;
-          call.tookMs = town.world.nowMs() - startMs;
+        response -> {
+          call.response = response;
+          call.tookMs = cluster.network.nowMs() - startMs;
         });
     return call;
   }
 
   Call now(
-      final String crux,
+      final String controlNode,
       final String method,
       final String path,
       final String base,
       final String body) {
-    final Call call = send(crux, method, path, base, body);
-    town.world.runUntil(() -> call.answer != null, 3_000);
+    final Call call = send(controlNode, method, path, base, body);
+    cluster.network.runUntil(() -> call.response != null, 3_000);
     return call;
   }
 
-  Call replace(final String crux, final long base, final String body) {
-    return send(crux, "POST", "/-/config/replace", "" + base, body);
+  Call replace(final String controlNode, final long base, final String body) {
+    return send(controlNode, "POST", "/-/config/replace", "" + base, body);
   }
 
   /** Goes on to other cruxes as callers do, until one answers clearly. */
   Call insist(final String method, final String path, final long base, final String body) {
     for (int attempt = 0; attempt < 60; attempt++) {
-      final Call call = send(cruxes.get(attempt % cruxes.size()), method, path, "" + base, body);
-      town.world.runUntil(() -> call.answer != null, 1_000);
-      if (call.answer != null && call.status() != 307 && call.status() != 503) {
+      final Call call =
+          send(controlNodes.get(attempt % controlNodes.size()), method, path, "" + base, body);
+      cluster.network.runUntil(() -> call.response != null, 1_000);
+      if (call.response != null && call.status() != 307 && call.status() != 503) {
         return call;
       }
-      town.world.runFor(100);
+      cluster.network.runFor(100);
     }
     throw new AssertionError("no answer to " + path);
   }
@@ -121,18 +122,18 @@
   /** Who says that it leads; the one in the given part where the core is parted. */
   String leader(final List<String> among) {
     final List<String> leaders = new ArrayList<>();
-    town.world.runUntil(
+    cluster.network.runUntil(
         () -> {
           leaders.clear();
-          for (final String crux : among) {
-            if (town.world.host(crux).up()) {
-              ((ControlNode) town.nodes.get(crux))
+          for (final String controlNode : among) {
+            if (cluster.network.host(controlNode).up()) {
+              ((ControlNode) cluster.nodes.get(controlNode))
                   .desk()
                   .take(
                       new OperatorApi.Request("GET", "/-/outlook/show", null, new byte[0]),
-                      answer -> {
-                        if (answer.json().contains("\"Leads\":true")) {
-                          leaders.add(crux);
+                      response -> {
+                        if (response.json().contains("\"Leads\":true")) {
+                          leaders.add(controlNode);
                         }
                       });
             }
@@ -144,16 +145,16 @@
   }
 
   String leader() {
-    return leader(cruxes);
+    return leader(controlNodes);
   }
 
   List<String> others(final String than) {
-    return cruxes.stream().filter(crux -> !crux.equals(than)).toList();
+    return controlNodes.stream().filter(controlNode -> !controlNode.equals(than)).toList();
   }
 
-  void cutOff(final String crux) {
-    town.nodes.keySet().stream()
-        .filter(other -> !SimulatedCluster.zone(other).equals(SimulatedCluster.zone(crux)))
-        .forEach(other -> town.world.cut(crux, other));
+  void cutOff(final String controlNode) {
+    cluster.nodes.keySet().stream()
+        .filter(other -> !SimulatedCluster.zone(other).equals(SimulatedCluster.zone(controlNode)))
+        .forEach(other -> cluster.network.cut(controlNode, other));
   }
 }
--- a/src/test/java/yewjunction/system/OperatorSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorSimulationTest.java
@@ -14,25 +14,25 @@
 
 /** The operator's calls against the core, while it changes. */
 class OperatorSimulationTest {
-  private SimulatedCluster town;
+  private SimulatedCluster cluster;
 
   private OperatorApi.Response ask(
       final String method, final String path, final String base, final String body) {
     final List<OperatorApi.Response> answers = new ArrayList<>();
     for (int attempt = 0; attempt < 20; attempt++) {
       answers.clear();
-      town.call(
-          town.all(NodeRole.CONTROL).get(attempt % 3),
+      cluster.call(
+          cluster.all(NodeRole.CONTROL).get(attempt % 3),
           method,
           path,
           Long.parseLong(base),
           body,
           answers::add);
-      town.world.runUntil(() -> !answers.isEmpty(), 1_000);
+      cluster.network.runUntil(() -> !answers.isEmpty(), 1_000);
       if (!answers.isEmpty() && answers.get(0).status() != 307 && answers.get(0).status() != 503) {
         return answers.get(0);
       }
-      town.world.runFor(100);
+      cluster.network.runFor(100);
     }
     throw new AssertionError("no answer to " + path);
   }
@@ -43,8 +43,8 @@
   }
 
   private void begin(final long seed) {
-    town = new SimulatedCluster(seed);
-    town.world.runFor(1_500);
+    cluster = new SimulatedCluster(seed);
+    cluster.network.runFor(1_500);
   }
 
   @Test
@@ -94,27 +94,27 @@
       for (int operator = 0; operator < 2; operator++) {
         final long next = base + 1 + operator;
         for (int attempt = 0; attempt < 3; attempt++) {
-          town.call(
-              town.all(NodeRole.CONTROL).get(attempt),
+          cluster.call(
+              cluster.all(NodeRole.CONTROL).get(attempt),
               "POST",
               "/-/config/replace",
               base,
               config(next),
-              answer -> {
-                if (answer.status() == 200 && !won.contains(next)) {
+              response -> {
+                if (response.status() == 200 && !won.contains(next)) {
                   won.add(next);
                 }
               });
         }
       }
-      if (town.world.luck.nextInt(3) == 0) {
-        final String victim = town.all(NodeRole.CONTROL).get(town.world.luck.nextInt(3));
-        town.world.runFor(town.world.luck.nextInt(8));
-        town.powerOff(victim);
-        town.world.runFor(1_500);
-        town.bootAll();
+      if (cluster.network.random.nextInt(3) == 0) {
+        final String victim = cluster.all(NodeRole.CONTROL).get(cluster.network.random.nextInt(3));
+        cluster.network.runFor(cluster.network.random.nextInt(8));
+        cluster.powerOff(victim);
+        cluster.network.runFor(1_500);
+        cluster.bootAll();
       }
-      town.world.runFor(2_000);
+      cluster.network.runFor(2_000);
       assertTrue(won.size() <= 1, "both won on " + base);
       final String shown = ask("GET", "/-/config/show", "0", "").json();
       final long current = Long.parseLong(shown.replaceAll(".*\"Ver\":([0-9]+).*", "$1"));
@@ -129,55 +129,55 @@
   @Test
   void aSpareTakesTheRetiredMachinesPlaceAndNothingIsLost() {
     begin(7);
-    town.version = 0;
-    town.configure(SimulatedCluster.route("s."), SimulatedCluster.tenant("t", "key", 1_000));
-    assertTrue(town.world.runUntil(() -> town.readyEdges(null).size() == 6, 10_000));
-    final DeliveryChecker judge = new DeliveryChecker();
+    cluster.version = 0;
+    cluster.configure(SimulatedCluster.route("s."), SimulatedCluster.tenant("t", "key", 1_000));
+    assertTrue(cluster.network.runUntil(() -> cluster.readyEdges(null).size() == 6, 10_000));
+    final DeliveryChecker checker = new DeliveryChecker();
     for (int i = 0; i < 6; i++) {
-      new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key").subscribe("s.a");
+      new SimulatedClient(cluster, checker, "c" + i, "zone" + (1 + i % 3), "key").subscribe("s.a");
     }
-    town.world.runFor(1_000);
+    cluster.network.runFor(1_000);
     final boolean[] quiet = new boolean[1];
-    town.world.every(
+    cluster.network.every(
         50,
         () -> {
           if (!quiet[0]) {
-            town.customers.get(town.world.luck.nextInt(6)).publish("s.a");
+            cluster.customers.get(cluster.network.random.nextInt(6)).publish("s.a");
           }
         });
-    town.boot("10.1.0.99:7000".replace("99", "19"), false);
-    town.world.runFor(2_000);
+    cluster.boot("10.1.0.99:7000".replace("99", "19"), false);
+    cluster.network.runFor(2_000);
     assertEquals(
         200, ask("POST", "/-/retire/node-10.1.0.9:7000/begin", "0", "{\"OverS\":10}").status());
     assertEquals(
         "{\"St\":\"up\"}", ask("GET", "/-/retire/node-10.2.0.9:7000/show", "0", "").json());
-    final long startMs = town.world.nowMs();
+    final long startMs = cluster.network.nowMs();
     while (!ask("GET", "/-/retire/node-10.1.0.9:7000/show", "0", "").json().contains("finished")) {
-      town.world.runFor(200);
-      assertTrue(town.world.nowMs() - startMs < 20_000, "never finished");
+      cluster.network.runFor(200);
+      assertTrue(cluster.network.nowMs() - startMs < 20_000, "never finished");
     }
     // Removed at once, with its disk; then one more voter is lost: the two left hold everything.
-    final long goneMs = town.world.nowMs();
-    judge.clock = town.world::nowMs;
-    town.powerOff("10.1.0.9:7000");
-    town.world.host("10.1.0.9:7000").wipe();
-    town.nodes.remove("10.1.0.9:7000");
-    town.world.runFor(3_000);
+    final long goneMs = cluster.network.nowMs();
+    checker.clock = cluster.network::nowMs;
+    cluster.powerOff("10.1.0.9:7000");
+    cluster.network.host("10.1.0.9:7000").wipe();
+    cluster.nodes.remove("10.1.0.9:7000");
+    cluster.network.runFor(3_000);
     // Its edges had left it before: nobody waits until its silence is noticed.
     final long longestMs =
-        judge.arrivals.stream()
+        checker.arrivals.stream()
             .filter(arrival -> arrival.sentMs() > goneMs && arrival.sentMs() < goneMs + 700)
             .mapToLong(arrival -> arrival.atMs() - arrival.sentMs())
             .max()
             .orElseThrow();
     assertTrue(longestMs < 400, "a message took " + longestMs + " ms");
-    town.powerOff("10.2.0.9:7000");
-    town.world.host("10.2.0.9:7000").wipe();
-    town.world.runFor(4_000);
+    cluster.powerOff("10.2.0.9:7000");
+    cluster.network.host("10.2.0.9:7000").wipe();
+    cluster.network.runFor(4_000);
     quiet[0] = true;
-    town.world.runFor(6_000);
-    judge.settle();
-    assertNotNull(town);
-    assertTrue(judge.ackedCount() > 100);
+    cluster.network.runFor(6_000);
+    checker.settle();
+    assertNotNull(cluster);
+    assertTrue(checker.ackedCount() > 100);
   }
 }
--- a/src/test/java/yewjunction/system/OrderSimulationTest.java
+++ b/src/test/java/yewjunction/system/OrderSimulationTest.java
@@ -31,27 +31,27 @@
 
   private void begin(final long seed, final int perSecond) {
     open(seed, SimulatedCluster.tenant("t", "key", perSecond));
-    town.configure(routes("\"r-o.\""), SimulatedCluster.tenant("t", "key", perSecond));
+    cluster.configure(routes("\"r-o.\""), SimulatedCluster.tenant("t", "key", perSecond));
     for (int i = 0; i < 12; i++) {
-      final SimulatedClient customer =
-          new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
+      final SimulatedClient client =
+          new SimulatedClient(cluster, checker, "c" + i, "zone" + (1 + i % 3), "key");
       // Named in this order after each greeting: the dispatches first, what they follow behind
       // them.
-      customer.subscribe("d.1");
-      customer.subscribe("o.1");
-      customer.subscribe("o.2");
+      client.subscribe("d.1");
+      client.subscribe("o.1");
+      client.subscribe("o.2");
     }
-    town.world.runFor(2_000);
-    town.world.every(
+    cluster.network.runFor(2_000);
+    cluster.network.every(
         25,
         () -> {
-          final SimulatedClient customer =
-              town.customers.get(town.world.luck.nextInt(town.customers.size()));
-          if (customer.open.size() < 6 && !quiet) {
+          final SimulatedClient client =
+              cluster.customers.get(cluster.network.random.nextInt(cluster.customers.size()));
+          if (client.open.size() < 6 && !quiet) {
             final DeliveryChecker.Sent earlier =
-                customer.publish("o." + (1 + town.world.luck.nextInt(2)));
-            if (town.world.luck.nextBoolean()) {
-              pairs.add(new Pair(earlier, customer.publish("d.1")));
+                client.publish("o." + (1 + cluster.network.random.nextInt(2)));
+            if (cluster.network.random.nextBoolean()) {
+              pairs.add(new Pair(earlier, client.publish("d.1")));
             }
           }
         });
@@ -63,7 +63,7 @@
   private Map<String, Integer> breaks() {
     final Map<String, Long> dispatched = new HashMap<>();
     final Map<String, Integer> breaks = new HashMap<>();
-    for (final DeliveryChecker.Delivery sight : judge.sights) {
+    for (final DeliveryChecker.Delivery sight : checker.sights) {
       if (sight.topic().startsWith("d.")) {
         dispatched.merge(sight.client(), sight.position(), Math::max);
       } else if (dispatched.getOrDefault(sight.client(), -1L) > sight.position()) {
@@ -76,10 +76,11 @@
   /** What the edges reported, by channel, from all cruxes. */
   private Map<String, Integer> reported() {
     final Map<String, Integer> reported = new HashMap<>();
-    for (final String crux : town.all(NodeRole.CONTROL)) {
+    for (final String controlNode : cluster.all(NodeRole.CONTROL)) {
       final String[] page = new String[1];
-      town.call(crux, "GET", "/-/order/show", 0, "", answer -> page[0] = answer.json());
-      town.world.runUntil(() -> page[0] != null, 500);
+      cluster.call(
+          controlNode, "GET", "/-/order/show", 0, "", response -> page[0] = response.json());
+      cluster.network.runUntil(() -> page[0] != null, 500);
       final Matcher row =
           Pattern.compile(
                   "\"Breaks\":(\\d+),[^}]*?\"Topic\":\"([^\"]+)\"|\"Topic\":\"([^\"]+)\"[^}]*?\"Breaks\":(\\d+)")
@@ -98,7 +99,7 @@
   /** Sent in one breath: the later one is accepted only behind the earlier one. */
   private int kept() {
     final Map<String, Long> positions = new HashMap<>();
-    judge.sights.forEach(
+    checker.sights.forEach(
         sight -> positions.put(sight.sender() + " " + sight.number(), sight.position()));
     int kept = 0;
     for (final Pair pair : pairs) {
@@ -125,40 +126,41 @@
   void declaredOrderHoldsAcrossReconnections(final long seed) {
     // For some seeds the quota denies many, so that dispatches lose what they follow.
     begin(seed, seed % 3 == 0 ? 28 : 1_000);
-    town.world.loss = 0.02;
+    cluster.network.loss = 0.02;
     for (int round = 0; round < 8; round++) {
-      final List<String> edges = town.all(NodeRole.EDGE);
-      final String edge = edges.get(town.world.luck.nextInt(edges.size()));
+      final List<String> edges = cluster.all(NodeRole.EDGE);
+      final String edge = edges.get(cluster.network.random.nextInt(edges.size()));
       switch ((int) ((seed + round) % 6)) {
-        case 0 -> town.kill(edge);
-        case 1 -> town.stop(edge);
-        case 2 -> town.all(NodeRole.STORE).forEach(vault -> town.world.cut(edge, vault));
+        case 0 -> cluster.kill(edge);
+        case 1 -> cluster.stop(edge);
+        case 2 -> cluster.all(NodeRole.STORE).forEach(store -> cluster.network.cut(edge, store));
         case 3 ->
-            town.customers.forEach(customer -> customer.stall(town.world.luck.nextInt(1_500)));
+            cluster.customers.forEach(
+                client -> client.stall(cluster.network.random.nextInt(1_500)));
         case 4 -> {
           // Cursors of different age: some are away for a while.
-          town.customers.forEach(
-              customer -> {
-                if (town.world.luck.nextBoolean()) {
-                  customer.stall(800);
-                  customer.cut();
+          cluster.customers.forEach(
+              client -> {
+                if (cluster.network.random.nextBoolean()) {
+                  client.stall(800);
+                  client.cut();
                 }
               });
         }
         default -> {
           for (int flap = 0; flap < 5; flap++) {
-            town.customers.get(town.world.luck.nextInt(12)).cut();
-            town.world.runFor(150);
+            cluster.customers.get(cluster.network.random.nextInt(12)).cut();
+            cluster.network.runFor(150);
           }
         }
       }
-      town.world.runFor(800 + town.world.luck.nextInt(1_500));
-      town.world.join();
-      town.bootAll();
-      town.world.runFor(2_000);
+      cluster.network.runFor(800 + cluster.network.random.nextInt(1_500));
+      cluster.network.join();
+      cluster.bootAll();
+      cluster.network.runFor(2_000);
     }
     settle();
-    assertEquals(List.of(), judge.expired);
+    assertEquals(List.of(), checker.expired);
     assertEquals(Map.of(), breaks(), "breaks that clients saw");
     assertEquals(Map.of(), reported(), "breaks that were reported");
     assertTrue(kept() > 40, "only " + kept() + " of " + pairs.size());
@@ -169,21 +171,22 @@
   @ValueSource(longs = {41, 42, 43})
   void channelsThatFollowEachOtherHaveOneOrder(final long seed) {
     begin(seed, 1_000);
-    town.configure(
+    cluster.configure(
         routes("\"r-o.\"")
             .replaceFirst("\"Fifo\":\"topic\"", "\"Fifo\":\"topic\",\"After\":[\"r-d.\"]"),
         SimulatedCluster.tenant("t", "key", 1_000));
-    town.world.runFor(1_000);
-    final int from = judge.sights.size();
+    cluster.network.runFor(1_000);
+    final int from = checker.sights.size();
     for (int round = 0; round < 10; round++) {
-      town.customers.forEach(SimulatedClient::cut);
-      town.world.runFor(900);
+      cluster.customers.forEach(SimulatedClient::cut);
+      cluster.network.runFor(900);
     }
     settle();
     // Neither follows itself: two channels of orders may stand either way, an order and a dispatch
     // only one way.
     final Map<String, Long> last = new HashMap<>();
-    for (final DeliveryChecker.Delivery sight : judge.sights.subList(from, judge.sights.size())) {
+    for (final DeliveryChecker.Delivery sight :
+        checker.sights.subList(from, checker.sights.size())) {
       final String other = sight.client() + (sight.topic().startsWith("d.") ? " o" : " d");
       final long before = last.getOrDefault(other, -1L);
       assertTrue(before < sight.position(), sight + " after " + before);
@@ -201,30 +204,32 @@
     begin(51, 1_000);
     final int[] swapped = new int[1];
     // At every edge: a link that is closed for a break may be taken up again at another one.
-    town.all(NodeRole.EDGE)
+    cluster
+        .all(NodeRole.EDGE)
         .forEach(
             edge ->
-                town.world.host(edge).tampering =
-                    letter -> {
-                      if (swapped[0] < 3 && SwappedMessages.swap(letter, "o.", "d.")) {
+                cluster.network.host(edge).tampering =
+                    message -> {
+                      if (swapped[0] < 3 && SwappedMessages.swap(message, "o.", "d.")) {
                         swapped[0]++;
                       }
                     });
     // Bursts, so that one piece of the stream holds several messages.
-    town.world.every(
+    cluster.network.every(
         200,
         () -> {
           if (!quiet) {
-            town.customers
+            cluster
+                .customers
                 .subList(3, 9)
                 .forEach(
-                    customer -> {
-                      customer.publish("o.1");
-                      customer.publish("d.1");
+                    client -> {
+                      client.publish("o.1");
+                      client.publish("d.1");
                     });
           }
         });
-    town.world.runFor(6_000);
+    cluster.network.runFor(6_000);
     settle();
     final Map<String, Integer> breaks = breaks();
     final Map<String, Integer> reported = reported();
@@ -247,24 +252,24 @@
   @Test
   void aChannelThatFollowsNoneIsNotHeldBack() {
     open(61, SimulatedCluster.tenant("t", "key", 1_000));
-    town.configure(
+    cluster.configure(
         SimulatedCluster.route("o.") + "," + SimulatedCluster.route("d."),
         SimulatedCluster.tenant("t", "key", 1_000));
-    final SimulatedClient customer = new SimulatedClient(town, judge, "c", "zone1", "key");
-    customer.subscribe("d.1");
-    customer.subscribe("o.1");
-    town.world.runFor(2_000);
-    town.world.loss = 0;
+    final SimulatedClient client = new SimulatedClient(cluster, checker, "c", "zone1", "key");
+    client.subscribe("d.1");
+    client.subscribe("o.1");
+    cluster.network.runFor(2_000);
+    cluster.network.loss = 0;
     for (int round = 0; round < 20; round++) {
-      customer.publish("o.1");
-      customer.publish("d.1");
-      town.world.runFor(100);
+      client.publish("o.1");
+      client.publish("d.1");
+      cluster.network.runFor(100);
     }
     quiet = true;
-    town.world.runFor(1_000);
-    judge.settle();
+    cluster.network.runFor(1_000);
+    checker.settle();
     assertTrue(
-        judge.arrivals.stream().allMatch(arrival -> arrival.atMs() - arrival.sentMs() < 60),
+        checker.arrivals.stream().allMatch(arrival -> arrival.atMs() - arrival.sentMs() < 60),
         "held back");
   }
 }
--- a/src/test/java/yewjunction/system/RandomFaults.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -11,7 +11,7 @@
  * goes at once with its disks kept.
  */
 final class RandomFaults extends FaultInjector {
-  private final DeliveryChecker judge;
+  private final DeliveryChecker checker;
   private final RetryingOperator operator;
 
   /**
@@ -23,12 +23,12 @@
   boolean quiet;
 
   RandomFaults(
-      final SimulatedCluster town,
-      final DeliveryChecker judge,
+      final SimulatedCluster cluster,
+      final DeliveryChecker checker,
       final RetryingOperator operator,
       final long seed) {
-    super(town, new Random(seed * 7_919));
-    this.judge = judge;
+    super(cluster, new Random(seed * 7_919));
+    this.checker = checker;
     this.operator = operator;
     harder = seed >= 10_000;
     edge();
@@ -37,13 +37,13 @@
   // --- edges without a disk: in any number, at any moment ---
 
   private void edge() {
-    town.world.after(
+    cluster.network.after(
         span(600, 3_500),
         () -> {
           if (!quiet && edgesUnderWay < 2) {
             strikeEdge(
-                town.all(NodeRole.EDGE).stream()
-                    .filter(tide -> machine(tide).endsWith(".2"))
+                cluster.all(NodeRole.EDGE).stream()
+                    .filter(edge -> machine(edge).endsWith(".2"))
                     .toList()
                     .get(draw.nextInt(3)));
           }
@@ -51,8 +51,8 @@
         });
   }
 
-  private void strikeEdge(final String tide) {
-    final SimulatedHost host = town.world.host(tide);
+  private void strikeEdge(final String edge) {
+    final SimulatedHost host = cluster.network.host(edge);
     if (!host.up() || host.frozen()) {
       return;
     }
@@ -60,27 +60,27 @@
     final int kind = draw.nextInt(6);
     note(
         "edge "
-            + tide
+            + edge
             + " "
             + List.of("kill", "power", "stop", "freeze", "links reset", "clients reset").get(kind)
             + " "
             + forMs);
     switch (kind) {
-      case 0 -> town.kill(tide);
-      case 1 -> town.powerOff(tide);
-      case 2 -> town.stop(tide);
+      case 0 -> cluster.kill(edge);
+      case 1 -> cluster.powerOff(edge);
+      case 2 -> cluster.stop(edge);
       case 3 -> host.freeze();
       case 4 -> host.resetLinks();
-      default -> town.customers.forEach(SimulatedClient::cut);
+      default -> cluster.customers.forEach(SimulatedClient::cut);
     }
     edgesUnderWay++;
-    town.world.after(
+    cluster.network.after(
         forMs,
         () -> {
           edgesUnderWay--;
           host.thaw();
           if (!host.up()) {
-            town.boot(tide, false);
+            cluster.boot(edge, false);
           }
         });
   }
@@ -90,7 +90,7 @@
   /** Strikes once, and returns when nothing counts as lost any more. */
   void next() {
     // As many as are to be borne, and that may be two.
-    if (town.losses > 1 && draw.nextInt(2) == 0) {
+    if (cluster.losses > 1 && draw.nextInt(2) == 0) {
       pair();
       return;
     }
@@ -102,12 +102,12 @@
     switch (kind) {
       case 0 -> {
         note("kill " + victim + " " + forMs);
-        on(victim).forEach(town::kill);
+        on(victim).forEach(cluster::kill);
         lost(forMs);
       }
       case 1 -> {
         note("power " + victim + " " + forMs);
-        on(victim).forEach(town::powerOff);
+        on(victim).forEach(cluster::powerOff);
         lost(forMs);
       }
       case 2 -> {
@@ -120,7 +120,7 @@
       case 7 -> {
         note("freeze " + victim + " " + forMs);
         hosts(victim).forEach(SimulatedHost::freeze);
-        town.world.runFor(forMs);
+        cluster.network.runFor(forMs);
         hosts(victim).forEach(SimulatedHost::thaw);
         lost(0);
       }
@@ -130,14 +130,14 @@
         note("links reset " + victim + " " + times);
         for (int time = 0; time < times; time++) {
           hosts(victim).forEach(SimulatedHost::resetLinks);
-          town.world.runFor(span(50, 600));
+          cluster.network.runFor(span(50, 600));
         }
       }
       case 11 -> {
         final long micros = 1_000 * span(10, 120);
         note("slow disk " + victim + " " + micros + " us " + forMs);
         hosts(victim).forEach(host -> host.syncMicros = micros);
-        town.world.runFor(forMs);
+        cluster.network.runFor(forMs);
         hosts(victim).forEach(host -> host.syncMicros = 2_000);
         lost(0);
       }
@@ -157,26 +157,26 @@
       case 19 -> killWhileCutOff(victim, forMs);
       default -> killAsItWakes(victim, forMs);
     }
-    town.world.runFor(span(0, 1_500));
+    cluster.network.runFor(span(0, 1_500));
   }
 
   private void herd(final boolean power, final boolean withEdges) {
     note("all " + (power ? "lose power" : "are killed") + (withEdges ? ", edges too" : ""));
-    town.nodes.keySet().stream()
+    cluster.nodes.keySet().stream()
         .filter(address -> withEdges || !machine(address).endsWith(".2"))
-        .forEach(power ? town::powerOff : town::kill);
-    town.world.runFor(span(300, 2_500));
+        .forEach(power ? cluster::powerOff : cluster::kill);
+    cluster.network.runFor(span(300, 2_500));
     back();
-    town.world.runFor(SYNC_MS);
+    cluster.network.runFor(SYNC_MS);
   }
 
   /** The vault that leads goes the moment something was acknowledged. */
   private void afterAck(final boolean withDisk) {
-    final int before = judge.acks;
-    town.world.runUntil(() -> judge.acks > before, 3_000);
+    final int before = checker.acks;
+    cluster.network.runUntil(() -> checker.acks > before, 3_000);
     final String victim = machine(leader());
     note("right after an acknowledgement " + (withDisk ? "power " : "wipe ") + victim);
-    on(victim).forEach(town::powerOff);
+    on(victim).forEach(cluster::powerOff);
     if (!withDisk) {
       hosts(victim).forEach(SimulatedHost::wipe);
     }
@@ -186,14 +186,14 @@
   /** The crux that acknowledged an order goes at once, or while the next one is on its way. */
   private void afterOrder(final boolean withDisk) {
     final int before = operator.acks;
-    town.world.runUntil(() -> operator.acks > before, 3_000);
-    town.world.runFor(draw.nextInt(3) * span(1, 60));
+    cluster.network.runUntil(() -> operator.acks > before, 3_000);
+    cluster.network.runFor(draw.nextInt(3) * span(1, 60));
     final String victim = machine(operator.acknowledger);
     if (on(victim).isEmpty()) {
       return;
     }
     note("right after an order " + (withDisk ? "power " : "wipe ") + victim);
-    on(victim).forEach(town::powerOff);
+    on(victim).forEach(cluster::powerOff);
     if (!withDisk) {
       hosts(victim).forEach(SimulatedHost::wipe);
     }
@@ -201,21 +201,22 @@
   }
 
   private void retireOrAdd() {
-    final List<String> vaults = town.all(NodeRole.STORE);
-    if (vaults.size() < 2 * town.losses + 2 || vaults.size() < 7 && draw.nextBoolean()) {
-      note("add " + bootLike(machine(vaults.get(draw.nextInt(vaults.size())))));
-      town.world.runFor(SYNC_MS);
+    final List<String> stores = cluster.all(NodeRole.STORE);
+    if (stores.size() < 2 * cluster.losses + 2 || stores.size() < 7 && draw.nextBoolean()) {
+      note("add " + bootLike(machine(stores.get(draw.nextInt(stores.size())))));
+      cluster.network.runFor(SYNC_MS);
       return;
     }
-    final String victim = draw.nextBoolean() ? leader() : vaults.get(draw.nextInt(vaults.size()));
+    final String victim = draw.nextBoolean() ? leader() : stores.get(draw.nextInt(stores.size()));
     note("retire " + victim);
-    town.insist("POST", "/-/retire/node-" + victim + "/begin", 0, "{\"OverS\":10}", 200);
-    final long startMs = town.world.nowMs();
-    while (!town.insist("GET", "/-/retire/node-" + victim + "/show", 0, "", 200)
+    cluster.insist("POST", "/-/retire/node-" + victim + "/begin", 0, "{\"OverS\":10}", 200);
+    final long startMs = cluster.network.nowMs();
+    while (!cluster
+        .insist("GET", "/-/retire/node-" + victim + "/show", 0, "", 200)
         .json()
         .contains("finished")) {
-      town.world.runFor(200);
-      if (town.world.nowMs() - startMs > 20_000) {
+      cluster.network.runFor(200);
+      if (cluster.network.nowMs() - startMs > 20_000) {
         throw new AssertionError(victim + " was never emptied");
       }
     }
@@ -229,11 +230,11 @@
   void closing() {
     final int kind = draw.nextInt(4);
     final int moment = draw.nextInt(3);
-    final int before = moment == 0 ? operator.acks : judge.acks;
+    final int before = moment == 0 ? operator.acks : checker.acks;
     if (moment < 2) {
-      town.world.runUntil(() -> (moment == 0 ? operator.acks : judge.acks) > before, 3_000);
+      cluster.network.runUntil(() -> (moment == 0 ? operator.acks : checker.acks) > before, 3_000);
     }
-    town.world.runFor(harder ? draw.nextInt(60) : 0);
+    cluster.network.runFor(harder ? draw.nextInt(60) : 0);
     note(
         "closing fault after "
             + List.of("an order's", "a message's", "no").get(moment)
@@ -248,22 +249,22 @@
     final String wiped =
         draw.nextBoolean() ? machine(leader()) : core.get(draw.nextInt(core.size()));
     switch (kind) {
-      case 0 -> town.nodes.keySet().forEach(town::powerOff);
-      case 1 -> town.nodes.keySet().forEach(town::kill);
+      case 0 -> cluster.nodes.keySet().forEach(cluster::powerOff);
+      case 1 -> cluster.nodes.keySet().forEach(cluster::kill);
       default -> {
         if (kind == 3) {
-          town.nodes.keySet().forEach(town::powerOff);
+          cluster.nodes.keySet().forEach(cluster::powerOff);
         }
         note("wiped " + wiped);
         wipe(wiped);
-        if (town.losses > 1) {
+        if (cluster.losses > 1) {
           final String other = core.get(draw.nextInt(core.size()));
           note("wiped " + other);
           wipe(other);
         }
       }
     }
-    town.world.runFor(span(300, 3_000));
+    cluster.network.runFor(span(300, 3_000));
     quiet = true;
     back();
   }
--- a/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
+++ b/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.common.Limits.REPLICA_GONE_MS;
+import static yewjunction.limits.LeaseLimits.REPLICA_RETIREMENT_MS;
 
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,14 +19,14 @@
   private void begin(final long seed) {
     open(seed, SimulatedCluster.tenant("t", "key", 1_000));
     for (int i = 0; i < 12; i++) {
-      final SimulatedClient customer =
-          new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
+      final SimulatedClient client =
+          new SimulatedClient(cluster, checker, "c" + i, "zone" + (1 + i % 3), "key");
       for (int topic = 0; topic < 3; topic++) {
-        customer.subscribe("s.t" + (i + topic) % 6);
+        client.subscribe("s.t" + (i + topic) % 6);
       }
     }
     publishEvery(40, 6);
-    town.world.runFor(2_000);
+    cluster.network.runFor(2_000);
   }
 
   /**
@@ -35,33 +35,33 @@
    */
   private void served(final String edge) {
     final String zone = SimulatedCluster.zone(edge);
-    town.all(NodeRole.EDGE).stream()
+    cluster.all(NodeRole.EDGE).stream()
         .filter(other -> !other.equals(edge) && SimulatedCluster.zone(other).equals(zone))
-        .forEach(town::powerOff);
+        .forEach(cluster::powerOff);
     // Links that were held up end, and its next lease tells it of its name.
-    town.world.runFor(8_000);
-    assertTrue(town.edge(edge).ready(), edge + " is not ready");
-    town.customers.stream()
-        .filter(customer -> customer.zone.equals(zone))
+    cluster.network.runFor(8_000);
+    assertTrue(cluster.edge(edge).ready(), edge + " is not ready");
+    cluster.customers.stream()
+        .filter(client -> client.zone.equals(zone))
         .forEach(SimulatedClient::cut);
-    town.world.runFor(4_000);
+    cluster.network.runFor(4_000);
     // Another home knows of them by the set alone.
-    town.kill(edge.substring(0, edge.indexOf(":") - 1) + "9:" + SimulatedCluster.PORT);
-    town.world.runFor(4_000);
-    final long fromMs = town.world.nowMs();
+    cluster.kill(edge.substring(0, edge.indexOf(":") - 1) + "9:" + SimulatedCluster.PORT);
+    cluster.network.runFor(4_000);
+    final long fromMs = cluster.network.nowMs();
     final List<String> here =
-        town.customers.stream()
-            .filter(customer -> edge.equals(customer.edge()))
-            .map(customer -> customer.name)
+        cluster.customers.stream()
+            .filter(client -> edge.equals(client.edge()))
+            .map(client -> client.name)
             .toList();
-    town.world.runFor(4_000);
+    cluster.network.runFor(4_000);
     final long arrived =
-        judge.arrivals.stream()
+        checker.arrivals.stream()
             .filter(arrival -> here.contains(arrival.client()) && arrival.sentMs() > fromMs)
             .count();
     assertTrue(here.size() >= 3 && arrived > 50, arrived + " arrived of " + here);
     settle();
-    assertEquals(List.of(), judge.expired);
+    assertEquals(List.of(), checker.expired);
   }
 
   /** An earlier life asked for its name through a crux whose letter to the leader comes late. */
@@ -69,11 +69,12 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void anEarlierLifesLateQuestionUnseatsNobody(final long seed) {
     begin(seed);
-    final String edge = town.customers.get(0).edge();
-    final PeerTransport crux = town.world.host("10.9.0.1:1").boot();
-    town.all(NodeRole.CONTROL)
+    final String edge = cluster.customers.get(0).edge();
+    final PeerTransport crux = cluster.network.host("10.9.0.1:1").boot();
+    cluster
+        .all(NodeRole.CONTROL)
         .forEach(other -> crux.dial(other).send(StaleRegistration.enlist(edge, 1_000_000)));
-    town.world.runFor(1_000);
+    cluster.network.runFor(1_000);
     served(edge);
   }
 
@@ -82,8 +83,8 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void whoKeepsItsNameServesOn(final long seed) {
     begin(seed);
-    town.world.runFor(1_000);
-    served(town.customers.get(0).edge());
+    cluster.network.runFor(1_000);
+    served(cluster.customers.get(0).edge());
   }
 
   /** Away for so long that the core has given its name up, and back in the same life. */
@@ -91,12 +92,12 @@
   @ValueSource(longs = {1, 2})
   void whoWasAwayForLongComesBackUnderAnotherName(final long seed) {
     begin(seed);
-    final String edge = town.customers.get(0).edge();
-    town.nodes.keySet().stream()
+    final String edge = cluster.customers.get(0).edge();
+    cluster.nodes.keySet().stream()
         .filter(other -> !other.equals(edge))
-        .forEach(other -> town.world.cut(edge, other));
-    town.world.runFor(REPLICA_GONE_MS + 15_000);
-    town.world.join();
+        .forEach(other -> cluster.network.cut(edge, other));
+    cluster.network.runFor(REPLICA_RETIREMENT_MS + 15_000);
+    cluster.network.join();
     served(edge);
   }
 }
--- a/src/test/java/yewjunction/system/RetirementSimulationTest.java
+++ b/src/test/java/yewjunction/system/RetirementSimulationTest.java
@@ -11,23 +11,23 @@
 /** Orders to empty store machines, under new leaders, at once, and after all is over. */
 class RetirementSimulationTest {
   private static final String STORE = "/-/retire/node-10.1.0.9:7000/";
-  private SimulatedCluster town;
+  private SimulatedCluster cluster;
   private OperatorCalls orders;
   private Function<SimulatedCluster, ConcurrentOperators.Gate> plant = FaultyOperatorApi::real;
 
   private void begin(final long seed) {
     orders = OperatorCalls.begun(seed, plant);
-    town = orders.town;
+    cluster = orders.cluster;
   }
 
   @Test
   void aNewLeaderKnowsNothingAgainstAMachineThatHasNotCalledYet() {
     begin(8);
-    town.boot("10.1.0.19:7000", false);
-    town.world.runFor(3_000);
+    cluster.boot("10.1.0.19:7000", false);
+    cluster.network.runFor(3_000);
     for (int round = 0; round < 4; round++) {
       final String old = orders.leader();
-      town.kill(old);
+      cluster.kill(old);
       final String fresh = orders.leader(orders.others(old));
       for (int again = 0; again < 20; again++) {
         final Call begun = orders.now(fresh, "POST", STORE + "begin", "0", "{}");
@@ -37,8 +37,8 @@
         assertTrue(
             shown.status() == 200 || shown.status() == 503 || shown.status() == 307, shown.json());
       }
-      town.bootAll();
-      town.world.runFor(1_500);
+      cluster.bootAll();
+      cluster.network.runFor(1_500);
     }
     assertEquals(200, orders.insist("POST", STORE + "begin", 0, "{}").status());
   }
@@ -46,12 +46,12 @@
   @Test
   void twoMachinesMayNotBothCountOnTheSameSpare() {
     begin(9);
-    town.boot("10.1.0.19:7000", false);
-    town.world.runFor(3_000);
+    cluster.boot("10.1.0.19:7000", false);
+    cluster.network.runFor(3_000);
     final String leader = orders.leader();
     final Call one = orders.send(leader, "POST", STORE + "begin", "0", "{}");
     final Call other = orders.send(leader, "POST", "/-/retire/node-10.2.0.9:7000/begin", "0", "{}");
-    town.world.runFor(500);
+    cluster.network.runFor(500);
     assertEquals(200, one.status(), one.json());
     assertEquals(409, other.status(), other.json());
   }
@@ -59,19 +59,19 @@
   @Test
   void aRetirementIsKnownWhenTheMachineIsLongGone() {
     begin(10);
-    town.boot("10.1.0.19:7000", false);
-    town.world.runFor(3_000);
+    cluster.boot("10.1.0.19:7000", false);
+    cluster.network.runFor(3_000);
     assertEquals(200, orders.insist("POST", STORE + "begin", 0, "{}").status());
     assertTrue(
-        town.world.runUntil(
+        cluster.network.runUntil(
             () -> orders.insist("GET", STORE + "show", 0, "").json().contains("finished"), 20_000));
-    town.powerOff("10.1.0.9:7000");
-    town.world.host("10.1.0.9:7000").wipe();
-    town.nodes.remove("10.1.0.9:7000");
+    cluster.powerOff("10.1.0.9:7000");
+    cluster.network.host("10.1.0.9:7000").wipe();
+    cluster.nodes.remove("10.1.0.9:7000");
     // All that was in memory goes, too.
-    orders.cruxes.forEach(town::powerOff);
-    town.bootAll();
-    town.world.runFor(70_000);
+    orders.controlNodes.forEach(cluster::powerOff);
+    cluster.bootAll();
+    cluster.network.runFor(70_000);
     assertEquals(200, orders.insist("POST", STORE + "begin", 0, "{}").status());
     assertTrue(orders.insist("GET", STORE + "show", 0, "").json().contains("finished"));
     assertEquals(404, orders.insist("POST", "/-/retire/nobody/begin", 0, "{}").status());
--- a/src/test/java/yewjunction/system/RetryingOperator.java
+++ b/src/test/java/yewjunction/system/RetryingOperator.java
@@ -30,33 +30,33 @@
   final List<String> wrongs = new ArrayList<>();
 
   boolean quiet;
-  private final SimulatedCluster town;
+  private final SimulatedCluster cluster;
   private final String tenants;
   private long askedMs;
 
-  RetryingOperator(final SimulatedCluster town, final String tenants) {
-    this.town = town;
+  RetryingOperator(final SimulatedCluster cluster, final String tenants) {
+    this.cluster = cluster;
     this.tenants = tenants;
-    acked = town.version;
-    town.world.after(50, this::order);
-    town.world.every(700, this::read);
+    acked = cluster.version;
+    cluster.network.after(50, this::order);
+    cluster.network.every(700, this::read);
   }
 
   private String any() {
-    final List<String> cruxes = town.all(NodeRole.CONTROL);
-    return cruxes.get(town.world.luck.nextInt(cruxes.size()));
+    final List<String> controlNodes = cluster.all(NodeRole.CONTROL);
+    return controlNodes.get(cluster.network.random.nextInt(controlNodes.size()));
   }
 
   private void order() {
     if (quiet) {
-      town.world.after(100, this::order);
+      cluster.network.after(100, this::order);
       return;
     }
-    askedMs = town.world.nowMs();
+    askedMs = cluster.network.nowMs();
     insist(any());
   }
 
-  private void insist(final String crux) {
+  private void insist(final String controlNode) {
     final long version = acked + 1;
     final String body =
         SimulatedCluster.config(
@@ -64,30 +64,30 @@
             SimulatedCluster.route("s.") + "," + SimulatedCluster.route("x" + version % 5 + "."),
             tenants);
     call(
-        crux,
+        controlNode,
         "POST",
         "/-/config/replace",
         acked,
         body,
-        answer -> {
-          if (answer == null || answer.status() == 503) {
-            town.world.after(100, () -> insist(any()));
-          } else if (answer.status() == 200) {
+        response -> {
+          if (response == null || response.status() == 503) {
+            cluster.network.after(100, () -> insist(any()));
+          } else if (response.status() == 200) {
             acked = version;
             acks++;
             newestAskedMs = Math.max(newestAskedMs, askedMs);
-            town.world.after(20 + town.world.luck.nextInt(700), this::order);
+            cluster.network.after(20 + cluster.network.random.nextInt(700), this::order);
           } else {
             wrongs.add(
                 "order "
                     + version
                     + " got "
-                    + answer.status()
+                    + response.status()
                     + " "
-                    + answer.json()
+                    + response.json()
                     + " at "
-                    + town.world.nowMs());
-            town.world.after(200, () -> insist(any()));
+                    + cluster.network.nowMs());
+            cluster.network.after(200, () -> insist(any()));
           }
         });
   }
@@ -100,11 +100,11 @@
         "/-/config/show",
         0,
         "",
-        answer -> {
-          if (answer != null && answer.status() != 503) {
+        response -> {
+          if (response != null && response.status() != 503) {
             final long shown =
-                answer.status() == 200
-                    ? Long.parseLong(answer.json().replaceAll(".*\"Ver\":([0-9]+).*", "$1"))
+                response.status() == 200
+                    ? Long.parseLong(response.json().replaceAll(".*\"Ver\":([0-9]+).*", "$1"))
                     : 0;
             if (shown < floor) {
               wrongs.add(
@@ -113,7 +113,7 @@
                       + " after "
                       + floor
                       + " was acknowledged, at "
-                      + town.world.nowMs());
+                      + cluster.network.nowMs());
             }
           }
         });
@@ -123,55 +123,58 @@
    * One call with its redirections; null stands for no answer in time, or for one that got lost.
    */
   private void call(
-      final String crux,
+      final String controlNode,
       final String method,
       final String path,
       final long base,
       final String body,
       final Consumer<OperatorApi.Response> done) {
     final int[] state = {1, 0};
-    town.world.after(PATIENCE_MS, () -> end(state, null, done));
-    hop(crux, method, path, base, body, state, done);
+    cluster.network.after(PATIENCE_MS, () -> end(state, null, done));
+    hop(controlNode, method, path, base, body, state, done);
   }
 
   private void hop(
-      final String crux,
+      final String controlNode,
       final String method,
       final String path,
       final long base,
       final String body,
       final int[] state,
       final Consumer<OperatorApi.Response> done) {
-    if (!(town.nodes.get(crux) instanceof ControlNode)) {
+    if (!(cluster.nodes.get(controlNode) instanceof ControlNode)) {
       return;
     }
-    town.call(
-        crux,
+    cluster.call(
+        controlNode,
         method,
         path,
         base,
         body,
-        answer ->
-            town.world.after(
+        response ->
+            cluster.network.after(
                 1,
                 () -> {
-                  if (answer.status() == 307 && state[1]++ < 2) {
-                    hop(answer.leaderAddress(), method, path, base, body, state, done);
-                  } else if (answer.status() != 307 && town.world.luck.nextDouble() >= LOST_SHARE) {
+                  if (response.status() == 307 && state[1]++ < 2) {
+                    hop(response.leaderAddress(), method, path, base, body, state, done);
+                  } else if (response.status() != 307
+                      && cluster.network.random.nextDouble() >= LOST_SHARE) {
                     acknowledger =
-                        method.equals("POST") && answer.status() == 200 ? crux : acknowledger;
-                    end(state, answer, done);
+                        method.equals("POST") && response.status() == 200
+                            ? controlNode
+                            : acknowledger;
+                    end(state, response, done);
                   }
                 }));
   }
 
   private static void end(
       final int[] state,
-      final OperatorApi.Response answer,
+      final OperatorApi.Response response,
       final Consumer<OperatorApi.Response> done) {
     if (state[0] != 0) {
       state[0] = 0;
-      done.accept(answer);
+      done.accept(response);
     }
   }
 }
--- a/src/test/java/yewjunction/system/SimulatedClient.java
+++ b/src/test/java/yewjunction/system/SimulatedClient.java
@@ -20,26 +20,26 @@
   int padding;
 
   private long stalledUntilMs;
-  private final SimulatedCluster town;
-  private final DeliveryChecker judge;
+  private final SimulatedCluster cluster;
+  private final DeliveryChecker checker;
   private SimulatedClientConnection wire;
   private long numbers;
   private long heardMs;
   private boolean greeted;
 
   SimulatedClient(
-      final SimulatedCluster town,
-      final DeliveryChecker judge,
+      final SimulatedCluster cluster,
+      final DeliveryChecker checker,
       final String name,
       final String zone,
       final String key) {
-    this.town = town;
-    this.judge = judge;
+    this.cluster = cluster;
+    this.checker = checker;
     this.name = name;
     this.zone = zone;
     this.key = key;
-    town.customers.add(this);
-    town.world.every(200, this::look);
+    cluster.customers.add(this);
+    cluster.network.every(200, this::look);
   }
 
   /** What the edge has written arrives, unless the client has another connection by now. */
@@ -47,7 +47,7 @@
     if (wire != from) {
       return;
     }
-    heardMs = town.world.nowMs();
+    heardMs = cluster.network.nowMs();
     for (final FrameSplitter.Frame frame : from.frames.feed(words)) {
       if (wire == from) {
         told(frame.fields(), frame.body());
@@ -63,7 +63,7 @@
 
   /** How long it still reads nothing. */
   long stalledMs() {
-    return Math.max(0, stalledUntilMs - town.world.nowMs());
+    return Math.max(0, stalledUntilMs - cluster.network.nowMs());
   }
 
   String edge() {
@@ -75,13 +75,13 @@
     if (wire != null) {
       final SimulatedClientConnection old = wire;
       wire = null;
-      town.world.after(1, old::close);
+      cluster.network.after(1, old::close);
     }
   }
 
   /** Reads nothing for a while; what comes piles up at the edge. */
   void stall(final long forMs) {
-    stalledUntilMs = town.world.nowMs() + forMs;
+    stalledUntilMs = cluster.network.nowMs() + forMs;
   }
 
   void resetBy(final String edge) {
@@ -91,25 +91,25 @@
   }
 
   private void look() {
-    final long nowMs = town.world.nowMs();
+    final long nowMs = cluster.network.nowMs();
     if (wire != null && nowMs - heardMs > 3_000) {
       cut();
     } else if (wire != null && nowMs - heardMs > 1_000) {
       wire.say("PING\r\n");
     }
     if (wire == null) {
-      List<String> ready = town.readyEdges(zone);
-      ready = ready.isEmpty() ? town.readyEdges(null) : ready;
+      List<String> ready = cluster.readyEdges(zone);
+      ready = ready.isEmpty() ? cluster.readyEdges(null) : ready;
       if (!ready.isEmpty()) {
-        connect(ready.get(town.world.luck.nextInt(ready.size())));
+        connect(ready.get(cluster.network.random.nextInt(ready.size())));
       }
     }
   }
 
   private void connect(final String edge) {
-    wire = new SimulatedClientConnection(town, this, edge);
+    wire = new SimulatedClientConnection(cluster, this, edge);
     greeted = false;
-    heardMs = town.world.nowMs();
+    heardMs = cluster.network.nowMs();
     wire.say("HELLO " + name + " " + key + "\r\n");
   }
 
@@ -131,7 +131,8 @@
 
   DeliveryChecker.Sent publish(final String topic) {
     final long number = ++numbers;
-    final DeliveryChecker.Sent sent = judge.sent(name, topic, number, town.world.nowMs(), padding);
+    final DeliveryChecker.Sent sent =
+        checker.sent(name, topic, number, cluster.network.nowMs(), padding);
     open.put(number, sent);
     if (greeted && wire != null) {
       say(sent);
@@ -141,7 +142,7 @@
 
   private void say(final DeliveryChecker.Sent sent) {
     sent.tries++;
-    sent.saidMs = town.world.nowMs();
+    sent.saidMs = cluster.network.nowMs();
     wire.say(
         "PUB "
             + sent.topic
@@ -164,20 +165,20 @@
         } else if (fields[1].equals("SUB")) {
           cursors.put(fields[2], fields[3]);
           if (fields.length > 4) {
-            judge.filtered(name, fields[2], Long.parseLong(fields[3]), fields[4]);
+            checker.filtered(name, fields[2], Long.parseLong(fields[3]), fields[4]);
           }
-          judge.subscribed(name, fields[2], town.world.nowMs());
+          checker.subscribed(name, fields[2], cluster.network.nowMs());
         }
       }
       case "MSG" -> {
-        judge.received(
+        checker.received(
             name, fields[1], Long.parseLong(fields[2]), fields[3], Long.parseLong(fields[4]), body);
         cursors.put(fields[1], fields[2]);
       }
       case "ACK" -> {
         final DeliveryChecker.Sent sent = open.remove(Long.parseLong(fields[2]));
         if (sent != null) {
-          judge.acknowledged(sent);
+          checker.acknowledged(sent);
         }
       }
       case "REFUSE" -> refused(fields);
@@ -196,19 +197,19 @@
         final DeliveryChecker.Sent sent = open.remove(number);
         if (sent != null) {
           sent.denied = true;
-          sent.deniedMs = town.world.nowMs();
+          sent.deniedMs = cluster.network.nowMs();
         }
       } else if (open.containsKey(number) && wire != null) {
         say(open.get(number));
       }
     } else if (fields[1].equals("SUB")) {
-      judge.refused(name, fields[2], fields[4], town.world.nowMs());
+      checker.refused(name, fields[2], fields[4], cluster.network.nowMs());
       if (cursors.containsKey(fields[2]) && fields[4].equals("RETRY")) {
-        town.world.after(300, () -> subscribe(fields[2]));
+        cluster.network.after(300, () -> subscribe(fields[2]));
       }
     } else {
       if (fields[4].equals("DENIED")) {
-        judge.revoked.add(name + " HELLO");
+        checker.revoked.add(name + " HELLO");
       }
       cut();
     }
