--- a/src/test/java/yewjunction/system/SimulatedClientConnection.java
+++ b/src/test/java/yewjunction/system/SimulatedClientConnection.java
@@ -9,8 +9,8 @@
 final class SimulatedClientConnection implements ClientConnection {
   final String edge;
   final FrameSplitter frames = new FrameSplitter();
-  private final SimulatedCluster town;
-  private final SimulatedClient customer;
+  private final SimulatedCluster cluster;
+  private final SimulatedClient client;
   private final SimulatedHost host;
   private final int life;
   private final WriteBuffer out = new WriteBuffer(256);
@@ -20,16 +20,16 @@
   private byte[] unread = new byte[0];
 
   SimulatedClientConnection(
-      final SimulatedCluster town, final SimulatedClient customer, final String edge) {
-    this.town = town;
-    this.customer = customer;
+      final SimulatedCluster cluster, final SimulatedClient client, final String edge) {
+    this.cluster = cluster;
+    this.client = client;
     this.edge = edge;
-    host = town.world.host(edge);
+    host = cluster.network.host(edge);
     life = host.life();
   }
 
   void say(final String words) {
-    town.world.after(
+    cluster.network.after(
         1,
         () ->
             host.guarded(
@@ -39,7 +39,7 @@
                     return;
                   }
                   if (owner == null) {
-                    owner = town.edge(edge).greet(this);
+                    owner = cluster.edge(edge).greet(this);
                   }
                   final byte[] more = words.getBytes(StandardCharsets.US_ASCII);
                   final byte[] all = new byte[unread.length + more.length];
@@ -54,12 +54,12 @@
   public WriteBuffer out() {
     if (!flushing) {
       flushing = true;
-      town.world.after(
-          customer.stalledMs(),
+      cluster.network.after(
+          client.stalledMs(),
           () -> {
             flushing = false;
             final String words = new String(out.take(), StandardCharsets.US_ASCII);
-            town.world.after(1, () -> customer.hear(this, words));
+            cluster.network.after(1, () -> client.hear(this, words));
           });
     }
     return out;
@@ -82,7 +82,7 @@
       if (owner != null) {
         host.guarded(life, owner::closed);
       }
-      town.world.after(1, () -> customer.closed(this));
+      cluster.network.after(1, () -> client.closed(this));
     }
   }
 
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -24,7 +24,7 @@
  */
 final class SimulatedCluster {
   static final int PORT = 7000;
-  final SimulatedNetwork world;
+  final SimulatedNetwork network;
   final Map<String, Node> nodes = new TreeMap<>();
   final List<SimulatedClient> customers = new ArrayList<>();
   private final Map<String, MembershipList> rosters = new HashMap<>();
@@ -58,7 +58,7 @@
       final long seed, final int vaultsInZone, final int losses, final boolean readsBeside) {
     this.losses = losses;
     this.readsBeside = readsBeside;
-    world = new SimulatedNetwork(seed);
+    network = new SimulatedNetwork(seed);
     for (int zone = 1; zone <= 3; zone++) {
       boot("10." + zone + ".0.1:" + (PORT + Settings.CONTROL_PORT_OFFSET), true);
       boot("10." + zone + ".0.1:" + PORT, true);
@@ -87,7 +87,7 @@
   }
 
   void boot(final String address, final boolean founding) {
-    final SimulatedHost host = world.host(address);
+    final SimulatedHost host = network.host(address);
     final long life = ++lives;
     final String ip = address.substring(0, address.indexOf(':'));
     final NodeRole role = role(address);
@@ -113,43 +113,43 @@
             20,
             64);
     final SimulatedNodes.Running running = SimulatedNodes.boot(host, settings, role, life);
-    if (readsBeside && running.node() instanceof ControlNode crux) {
-      crux.desk().readBy(host.clerk());
+    if (readsBeside && running.node() instanceof ControlNode controlNode) {
+      controlNode.desk().readBy(host.clerk());
     }
     nodes.put(address, running.node());
-    rosters.put(address, running.roster());
+    rosters.put(address, running.membership());
   }
 
   void bootAll() {
     for (final String address : List.copyOf(nodes.keySet())) {
-      if (!world.host(address).up()) {
+      if (!network.host(address).up()) {
         boot(address, false);
       }
     }
   }
 
   void kill(final String address) {
-    world.host(address).kill();
-    customers.forEach(customer -> customer.resetBy(address));
+    network.host(address).kill();
+    customers.forEach(client -> client.resetBy(address));
   }
 
   void powerOff(final String address) {
-    world.host(address).powerOff();
+    network.host(address).powerOff();
   }
 
   /** SIGTERM: the process ends when it says so. */
   void stop(final String address) {
-    final SimulatedHost host = world.host(address);
+    final SimulatedHost host = network.host(address);
     final int life = host.life();
     final Node node = nodes.get(address);
-    final MembershipList roster = rosters.get(address);
+    final MembershipList membership = rosters.get(address);
     host.guarded(
         life,
         () ->
             node.stop(
                 () -> {
-                  roster.leave();
-                  world.after(
+                  membership.leave();
+                  network.after(
                       20,
                       () -> {
                         if (host.up() && host.life() == life) {
@@ -166,8 +166,8 @@
   List<String> readyEdges(final String zone) {
     final List<String> ready = new ArrayList<>();
     for (final String address : all(NodeRole.EDGE)) {
-      if (world.host(address).up()
-          && !world.host(address).frozen()
+      if (network.host(address).up()
+          && !network.host(address).frozen()
           && edge(address).ready()
           && (zone == null || zone.equals(zone(address)))) {
         ready.add(address);
@@ -183,7 +183,7 @@
         nodes.keySet().stream()
             .filter(
                 other -> !zone(other).equals(zone) || !withVault && role(other) == NodeRole.STORE)
-            .forEach(other -> world.cut(inside, other));
+            .forEach(other -> network.cut(inside, other));
       }
     }
   }
@@ -191,17 +191,17 @@
   // --- the operator ---
 
   void call(
-      final String crux,
+      final String controlNode,
       final String method,
       final String path,
       final long base,
       final String body,
-      final Consumer<OperatorApi.Response> answer) {
-    final SimulatedHost host = world.host(crux);
+      final Consumer<OperatorApi.Response> responder) {
+    final SimulatedHost host = network.host(controlNode);
     if (host.up()) {
       host.post(
           () ->
-              ((ControlNode) nodes.get(crux))
+              ((ControlNode) nodes.get(controlNode))
                   .desk()
                   .take(
                       new OperatorApi.Request(
@@ -209,7 +209,7 @@
                           path,
                           String.valueOf(base),
                           body.getBytes(StandardCharsets.UTF_8)),
-                      answer));
+                      responder));
     }
   }
 
@@ -228,12 +228,12 @@
           path,
           base,
           body,
-          answer -> {
-            if (answer.status() == status) {
-              got[0] = answer;
+          response -> {
+            if (response.status() == status) {
+              got[0] = response;
             }
           });
-      world.runUntil(() -> got[0] != null, 300);
+      network.runUntil(() -> got[0] != null, 300);
     }
     if (got[0] == null) {
       throw new AssertionError(method + " " + path + " never answered " + status);
--- a/src/test/java/yewjunction/system/SystemSimulation.java
+++ b/src/test/java/yewjunction/system/SystemSimulation.java
@@ -7,8 +7,8 @@
  * must be well.
  */
 abstract class SystemSimulation {
-  SimulatedCluster town;
-  DeliveryChecker judge;
+  SimulatedCluster cluster;
+  DeliveryChecker checker;
 
   /** No more messages are sent. */
   boolean quiet;
@@ -23,37 +23,38 @@
   }
 
   void open(final SimulatedCluster newTown, final String tenants) {
-    town = newTown;
-    judge = new DeliveryChecker();
-    judge.clock = town.world::nowMs;
-    town.world.runFor(1_500);
-    town.configure(SimulatedCluster.route("s."), tenants);
+    cluster = newTown;
+    checker = new DeliveryChecker();
+    checker.clock = cluster.network::nowMs;
+    cluster.network.runFor(1_500);
+    cluster.configure(SimulatedCluster.route("s."), tenants);
     assertTrue(
-        town.world.runUntil(() -> town.readyEdges(null).size() == 6, 10_000), "edges not ready");
+        cluster.network.runUntil(() -> cluster.readyEdges(null).size() == 6, 10_000),
+        "edges not ready");
   }
 
   /** A random customer that has few messages open publishes on one of the first topics. */
   void publishEvery(final long ms, final int topics) {
-    town.world.runFor(2_000);
-    town.world.every(
+    cluster.network.runFor(2_000);
+    cluster.network.every(
         ms,
         () -> {
-          final SimulatedClient customer =
-              town.customers.get(town.world.luck.nextInt(town.customers.size()));
-          if (customer.open.size() < 4 && !quiet) {
-            customer.publish("s.t" + town.world.luck.nextInt(topics));
+          final SimulatedClient client =
+              cluster.customers.get(cluster.network.random.nextInt(cluster.customers.size()));
+          if (client.open.size() < 4 && !quiet) {
+            client.publish("s.t" + cluster.network.random.nextInt(topics));
           }
         });
   }
 
   /** All is mended, what is under way arrives, and the rules are looked at. */
   void settle() {
-    town.world.join();
-    town.world.loss = 0;
-    town.bootAll();
-    town.world.runFor(6_000);
+    cluster.network.join();
+    cluster.network.loss = 0;
+    cluster.bootAll();
+    cluster.network.runFor(6_000);
     quiet = true;
-    town.world.runFor(6_000);
-    judge.settle();
+    cluster.network.runFor(6_000);
+    checker.settle();
   }
 }
--- a/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
+++ b/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
@@ -34,12 +34,12 @@
     quiet = false;
     open(new SimulatedCluster(seed, stores / 3, losses, seed >= 10_000), TENANTS);
     for (int i = 0; i < 9; i++) {
-      final SimulatedClient customer =
-          new SimulatedClient(town, judge, "c" + i, "zone" + (1 + i % 3), "key");
-      customer.subscribe("s.t" + i % 4);
-      customer.subscribe("s.t" + (i + 1) % 4);
+      final SimulatedClient client =
+          new SimulatedClient(cluster, checker, "c" + i, "zone" + (1 + i % 3), "key");
+      client.subscribe("s.t" + i % 4);
+      client.subscribe("s.t" + (i + 1) % 4);
     }
-    operator = new RetryingOperator(town, TENANTS);
+    operator = new RetryingOperator(cluster, TENANTS);
     publishEvery(30, 4);
   }
 
@@ -49,16 +49,16 @@
 
   private void play(final long seed, final int stores, final int losses, final int rounds) {
     begin(seed, stores, losses);
-    troubles = new RandomFaults(town, judge, operator, seed);
+    troubles = new RandomFaults(cluster, checker, operator, seed);
     try {
-      town.world.loss = seed % 3 * 0.01;
+      cluster.network.loss = seed % 3 * 0.01;
       for (int round = 0; round < rounds; round++) {
         troubles.next();
       }
       troubles.closing();
       served();
       end();
-    } catch (final AssertionError | RuntimeException defect) {
+    } catch (final AssertionError | RuntimeException failure) {
       throw new AssertionError(
           "seed "
               + seed
@@ -67,25 +67,26 @@
               + " losses "
               + losses
               + " failed at "
-              + town.world.nowMs()
+              + cluster.network.nowMs()
               + ": "
-              + defect
+              + failure
               + "\n  "
               + String.join("\n  ", troubles.plan),
-          defect);
+          failure);
     }
   }
 
   /** A message and an order that were sent after the last trouble are acknowledged. */
   private void served() {
-    final long mendedMs = town.world.nowMs();
+    final long mendedMs = cluster.network.nowMs();
     final boolean served =
-        town.world.runUntil(
-            () -> judge.newestAckedMs > mendedMs && operator.newestAskedMs > mendedMs, RECOVER_MS);
+        cluster.network.runUntil(
+            () -> checker.newestAckedMs > mendedMs && operator.newestAskedMs > mendedMs,
+            RECOVER_MS);
     assertTrue(
         served,
         "not served again: messages "
-            + (judge.newestAckedMs - mendedMs)
+            + (checker.newestAckedMs - mendedMs)
             + " orders "
             + (operator.newestAskedMs - mendedMs));
   }
@@ -93,17 +94,17 @@
   private void end() {
     holds();
     assertTrue(
-        judge.acks > 300 && operator.acks > 10,
-        "acked " + judge.acks + " messages, " + operator.acks + " orders");
+        checker.acks > 300 && operator.acks > 10,
+        "acked " + checker.acks + " messages, " + operator.acks + " orders");
   }
 
   /** What must hold however much was served. */
   private void holds() {
     operator.quiet = true;
     settle();
-    assertEquals(List.of(), judge.expired);
+    assertEquals(List.of(), checker.expired);
     assertEquals(List.of(), operator.wrongs);
-    final String shown = town.insist("GET", "/-/config/show", 0, "", 200).json();
+    final String shown = cluster.insist("GET", "/-/config/show", 0, "", 200).json();
     final long version = Long.parseLong(shown.replaceAll(".*\"Ver\":([0-9]+).*", "$1"));
     assertTrue(
         version == operator.acked || version == operator.acked + 1,
@@ -111,8 +112,8 @@
   }
 
   /** The newest message that a vault knows as committed. */
-  private long held(final String vault) {
-    return ((StoreNode) town.nodes.get(vault))
+  private long held(final String store) {
+    return ((StoreNode) cluster.nodes.get(store))
         .cellar().between(0, Long.MAX_VALUE).stream()
             .mapToLong(message -> message.index)
             .max()
@@ -124,22 +125,22 @@
    */
   private String replacedLeader(final long seed) {
     begin(seed, 3);
-    troubles = new RandomFaults(town, judge, operator, seed);
+    troubles = new RandomFaults(cluster, checker, operator, seed);
     troubles.quiet = true;
     troubles.replacePlanned(troubles.leader().replaceAll(":.*", ""));
-    town.world.runFor(2_000);
-    return town.all(NodeRole.STORE).stream()
-        .filter(vault -> vault.length() > "10.1.0.9:7000".length())
+    cluster.network.runFor(2_000);
+    return cluster.all(NodeRole.STORE).stream()
+        .filter(store -> store.length() > "10.1.0.9:7000".length())
         .findFirst()
         .orElseThrow();
   }
 
   private void seated(final String fresh) {
     final String lead = troubles.leader();
-    assertTrue(((StoreNode) town.nodes.get(lead)).leads(), "nobody leads");
+    assertTrue(((StoreNode) cluster.nodes.get(lead)).leads(), "nobody leads");
     assertTrue(
         held(fresh) + 60 > held(lead), fresh + " is at " + held(fresh) + " of " + held(lead));
-    final List<String> voters = LogReader.voters(town.world.host(lead).disk, "messages");
+    final List<String> voters = LogReader.voters(cluster.network.host(lead).disk, "messages");
     assertTrue(
         voters.size() == 3 && voters.contains(fresh), fresh + " has no seat among " + voters);
   }
@@ -153,7 +154,7 @@
   void whoFollowedTheOldLeaderIsTakenOverByTheNew(final long seed) {
     seated(replacedLeader(seed));
     // Enough orders for the check at the end, however soon the seat passed.
-    town.world.runFor(1_000);
+    cluster.network.runFor(1_000);
     end();
   }
 
@@ -161,22 +162,22 @@
   @Test
   void aSpareThatNobodyHearsShows() {
     replacedLeader(1);
-    town.all(NodeRole.STORE).forEach(this::seated);
-    town.world.hosts().forEach(host -> host.tampering = LogReader::drownJoins);
+    cluster.all(NodeRole.STORE).forEach(this::seated);
+    cluster.network.hosts().forEach(host -> host.tampering = LogReader::drownJoins);
     final String machine = troubles.leader().replaceAll(":.*", "");
     troubles.replacePlanned(machine);
-    town.world.runFor(2_000);
-    assertThrows(AssertionError.class, () -> town.all(NodeRole.STORE).forEach(this::seated));
+    cluster.network.runFor(2_000);
+    assertThrows(AssertionError.class, () -> cluster.all(NodeRole.STORE).forEach(this::seated));
   }
 
   /** All lose power once, with disks that call synced what is only written, or with sound ones. */
   private void allLosePower(final boolean lies) {
     begin(1, 3);
-    town.world.hosts().forEach(host -> host.disk.lies = lies);
-    town.world.runFor(2_000);
-    town.nodes.keySet().forEach(town::powerOff);
-    town.world.runFor(300);
-    town.bootAll();
+    cluster.network.hosts().forEach(host -> host.disk.lies = lies);
+    cluster.network.runFor(2_000);
+    cluster.nodes.keySet().forEach(cluster::powerOff);
+    cluster.network.runFor(300);
+    cluster.bootAll();
     served();
     holds();
   }
@@ -227,8 +228,8 @@
             Integer.getInteger("worst.stores", seed % 2 == 0 ? 3 : 6),
             Integer.getInteger("worst.losses", 1),
             rounds);
-      } catch (final AssertionError defect) {
-        failed.append(defect.getMessage()).append('\n');
+      } catch (final AssertionError failure) {
+        failed.append(failure.getMessage()).append('\n');
       }
     }
     assertEquals("", failed.toString(), failed.toString());
--- a/src/test/java/yewjunction/transport/CommandQueueTest.java
+++ b/src/test/java/yewjunction/transport/CommandQueueTest.java
@@ -146,7 +146,7 @@
   void noCommandIsLeftBehindAsleep() throws Exception {
     // The owner blocks with no alarm near: a lost wake-up would show as a second's wait for each
     // command.
-    final EventLoopAgent loom = new EventLoopAgent(1);
+    final EventLoopAgent agent = new EventLoopAgent(1);
     final int total = 2_000;
     final CountDownLatch run = new CountDownLatch(2 * total);
     final Thread owner =
@@ -154,10 +154,10 @@
             () -> {
               try {
                 while (run.getCount() > 0) {
-                  loom.doWork();
+                  agent.doWork();
                 }
-              } catch (final java.io.IOException defect) {
-                throw new java.io.UncheckedIOException(defect);
+              } catch (final java.io.IOException failure) {
+                throw new java.io.UncheckedIOException(failure);
               }
             });
     owner.start();
@@ -167,7 +167,7 @@
           new Thread(
               () -> {
                 for (int command = 0; command < total; command++) {
-                  loom.post(run::countDown);
+                  agent.post(run::countDown);
                 }
               });
       putters[i].start();
--- a/src/test/java/yewjunction/transport/EventLoopAgentTest.java
+++ b/src/test/java/yewjunction/transport/EventLoopAgentTest.java
@@ -20,17 +20,17 @@
 
   @Test
   void whatNestsTooDeepEndsItsOwnTurnOnly() throws IOException {
-    final EventLoopAgent loom = new EventLoopAgent(1);
+    final EventLoopAgent agent = new EventLoopAgent(1);
     final List<String> done = new ArrayList<>();
-    loom.post(() -> done.add("first " + deep(0)));
-    loom.post(() -> done.add("second"));
-    loom.after(
+    agent.post(() -> done.add("first " + deep(0)));
+    agent.post(() -> done.add("second"));
+    agent.after(
         0,
         () -> {
           throw new IllegalStateException("planted");
         });
-    loom.after(0, () -> done.add("alarm"));
-    loom.doWork();
+    agent.after(0, () -> done.add("alarm"));
+    agent.doWork();
     assertEquals(List.of("second", "alarm"), done);
   }
 
@@ -40,20 +40,20 @@
    */
   @Test
   void whoeverDialsWithoutADescriptorLeftGetsALinkThatBroke() throws IOException {
-    final EventLoopAgent loom = new EventLoopAgent(1);
-    final TcpPeerTransport wires =
-        new TcpPeerTransport(loom, new MessageCodec(), new InetSocketAddress("127.0.0.1", 0)) {
+    final EventLoopAgent agent = new EventLoopAgent(1);
+    final TcpPeerTransport transport =
+        new TcpPeerTransport(agent, new MessageCodec(), new InetSocketAddress("127.0.0.1", 0)) {
           @Override
           SocketChannel channel() throws IOException {
             throw new IOException("Too many open files");
           }
         };
     final List<PeerConnection> closed = new ArrayList<>();
-    wires.onClose(closed::add);
+    transport.onClose(closed::add);
     final List<PeerConnection> dialled = new ArrayList<>();
-    loom.post(() -> dialled.add(wires.dial("127.0.0.1:9")));
-    loom.doWork();
-    loom.doWork();
+    agent.post(() -> dialled.add(transport.dial("127.0.0.1:9")));
+    agent.doWork();
+    agent.doWork();
     assertEquals(1, dialled.size());
     assertFalse(dialled.get(0).open());
     assertFalse(dialled.get(0).send("a letter"));
