--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -79,7 +79,7 @@
       call.responder.accept(OperatorApi.Response.unclear("this took too long, ask again"));
       return true;
     }
-    if (!raftNode.leads()) {
+    if (!raftNode.isReadyLeader()) {
       call.responder.accept(elsewhere.get());
       return true;
     }
@@ -92,7 +92,7 @@
   /** Works beside the owner's thread, then looks: nobody else's turn comes meanwhile. */
   private boolean beside(final PendingCall call, final Runnable work, final boolean worked) {
     try {
-      executor.work(
+      executor.execute(
           work,
           () -> {
             if (looked(call, worked)) {
@@ -109,7 +109,7 @@
 
   private boolean looked(final PendingCall call, final boolean worked) {
     // Its reading took a while: what is taken now its repeat will know, but only a leader takes it.
-    if (!raftNode.leads()) {
+    if (!raftNode.isReadyLeader()) {
       call.responder.accept(elsewhere.get());
       return true;
     }
@@ -134,7 +134,7 @@
     if (decision.fact() && !call.confirmed) {
       // Asked outside the turn: others need not wait, and what they change meanwhile the second
       // look sees.
-      raftNode.confirm(held -> context.post(() -> confirmed(call, held)));
+      raftNode.confirmLeadership(held -> context.post(() -> confirmed(call, held)));
     } else {
       call.responder.accept(decision.response());
     }
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -142,7 +142,7 @@
     for (int place = 0; place < stores.size(); place++) {
       final boolean there = place < storeZones.size() && storeZones.get(place).equals(zone);
       if (there == inside) {
-        addresses.add(RaftNode.address(stores.get(place)));
+        addresses.add(RaftNode.addressOf(stores.get(place)));
       }
     }
     return addresses;
--- a/src/main/java/yewjunction/control/ClusterStatus.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -44,11 +44,11 @@
     final Map<String, Object> page = new LinkedHashMap<>();
     page.put("Nodename", membership.self().node);
     page.put("Addr", membership.self().address);
-    page.put("Leads", raftNode.leads());
-    page.put("Leader", raftNode.leader() == null ? "" : RaftNode.address(raftNode.leader()));
-    page.put("Voters", raftNode.voters().stream().map(RaftNode::address).toList());
+    page.put("Leads", raftNode.isReadyLeader());
+    page.put("Leader", raftNode.leader() == null ? "" : RaftNode.addressOf(raftNode.leader()));
+    page.put("Voters", raftNode.voters().stream().map(RaftNode::addressOf).toList());
     page.put("Votes", raftNode.voters().contains(raftNode.identity()));
-    page.put("Applied", raftNode.applied());
+    page.put("Applied", raftNode.appliedIndex());
     page.put("Ver", stateMachine.version());
     final List<Map<String, Object>> peers = new ArrayList<>();
     for (final Member member : membership.all()) {
@@ -72,7 +72,7 @@
     page.put("Siblings", peers);
     // Only the leader hears from all vaults; on the others the list is empty.
     page.put("Vaults", registry.vaultRows());
-    page.put("DiskOwedMs", raftNode.course().owedMs());
+    page.put("DiskOwedMs", raftNode.commitTracker().oldestPendingWriteMs());
     // Those that ask this crux for their leases: mostly its zone's.
     page.put("Wards", processes.rows());
     page.put("Channels", processes.disorders());
--- a/src/main/java/yewjunction/control/ControlService.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -42,10 +42,10 @@
     votes = !settings.dataFolder().isEmpty();
     final ControlStateMachine stateMachine = new ControlStateMachine(this);
     raftNode = new RaftNode(GROUP, context, transport, disk, executor, "charter", stateMachine);
-    raftNode.listen();
+    raftNode.registerHandlers();
     raftNode
-        .electorate()
-        .seat(new VoterPlacement(settings.votersNeeded(), Set::of, membership::zoneAt));
+        .reconfiguration()
+        .setPlacement(new VoterPlacement(settings.votersNeeded(), Set::of, membership::zoneAt));
     final NodeRegistry registry =
         new NodeRegistry(
             context, transport, stateMachine, raftNode, membership, settings.votersNeeded());
@@ -76,14 +76,14 @@
       final boolean founding, final List<String> seedAddresses, final String drawnName) {
     if (raftNode.identity() == null) {
       final boolean founder = votes && founding && seedAddresses.contains(ownAddress);
-      raftNode.name(ownAddress + "#" + (founder ? "founder" : drawnName));
+      raftNode.assignIdentity(ownAddress + "#" + (founder ? "founder" : drawnName));
       if (founder) {
-        raftNode.found(
+        raftNode.bootstrap(
             seedAddresses.stream().sorted().map(address -> address + "#founder").toList());
       }
     }
     raftNode.start();
-    raftNode.membership().keep(() -> others(seedAddresses), () -> votes);
+    raftNode.groupMembership().start(() -> others(seedAddresses), () -> votes);
   }
 
   private List<String> others(final List<String> seedAddresses) {
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -132,18 +132,18 @@
       }
       return;
     }
-    if (raftNode.leads()) {
+    if (raftNode.isReadyLeader()) {
       final List<PendingRenewal> asked = waiting;
       waiting = new ArrayList<>();
       askedMs = nowMs;
-      raftNode.confirm(
+      raftNode.confirmLeadership(
           held -> {
             if (held) {
               asked.forEach(this::grant);
             }
           });
     } else if (raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
-      final PeerConnection connection = transport.dial(RaftNode.address(raftNode.leader()));
+      final PeerConnection connection = transport.dial(RaftNode.addressOf(raftNode.leader()));
       final ConfirmLeadershipRequest request = new ConfirmLeadershipRequest();
       pendingRequests.dropAll();
       request.number = pendingRequests.ask(connection, waiting);
@@ -167,12 +167,12 @@
   }
 
   private void confirm(final PeerConnection connection, final ConfirmLeadershipRequest request) {
-    raftNode.confirm(
+    raftNode.confirmLeadership(
         held -> {
           final ConfirmLeadershipResponse response = new ConfirmLeadershipResponse();
           response.number = request.number;
           response.held = held;
-          response.commit = raftNode.commit();
+          response.commit = raftNode.commitIndex();
           connection.send(response);
         });
   }
@@ -193,7 +193,7 @@
   /** Grants what was proven once this home has applied as much. */
   void settled() {
     for (final ConfirmedBatch one : List.copyOf(proven)) {
-      if (raftNode.applied() >= one.commit) {
+      if (raftNode.appliedIndex() >= one.commit) {
         proven.remove(one);
         one.asked.forEach(this::grant);
       }
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -57,14 +57,14 @@
 
   void heard(final ProcessReport process) {
     final boolean vault = NodeRole.STORE.is(process.duty);
-    if (!raftNode.leads()) {
+    if (!raftNode.isReadyLeader()) {
       // Only the leader decides; vaults are told of each time, tides until they have their name.
       final boolean news =
           vault || stateMachine.facts().replica(process.address, process.life) == 0;
       if (news && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
         final RegisterRequest request = new RegisterRequest();
         request.process = process;
-        transport.dial(RaftNode.address(raftNode.leader())).send(request);
+        transport.dial(RaftNode.addressOf(raftNode.leader())).send(request);
       } else if (news) {
         // Nobody leads yet, or this member is about to: kept until then, so that nobody has to ask
         // again.
@@ -118,7 +118,7 @@
       final ControlCommand command = new ControlCommand(ControlCommand.VAULTS);
       command.identities = identities;
       identities.forEach(
-          identity -> command.zones.add(vaults.get(RaftNode.address(identity)).process.zone));
+          identity -> command.zones.add(vaults.get(RaftNode.addressOf(identity)).process.zone));
       propose("vaults", command);
     }
   }
@@ -146,7 +146,7 @@
   }
 
   private void look() {
-    if (!raftNode.leads()) {
+    if (!raftNode.isReadyLeader()) {
       goneMs.clear();
       vaults.clear();
       startedMs = -1;
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -102,7 +102,7 @@
         && !ConfigurationChange.basedOnOne(request.base)) {
       responder.accept(
           Response.deny(400, CONFIG_FIELD.name(), "Base-Version: must be one whole number"));
-    } else if (!raftNode.leads()) {
+    } else if (!raftNode.isReadyLeader()) {
       responder.accept(elsewhere());
     } else {
       switch (shape) {
@@ -150,7 +150,7 @@
     if (leader == null || leader.equals(raftNode.identity())) {
       return Response.deny(503, "NO_LEADER", "no majority yet, try again");
     }
-    return new Response(307, "{}", RaftNode.address(leader));
+    return new Response(307, "{}", RaftNode.addressOf(leader));
   }
 
   /**
@@ -158,7 +158,7 @@
    * state is then.
    */
   private void tellConfirmed(final Supplier<Response> look, final Consumer<Response> responder) {
-    raftNode.confirm(held -> responder.accept(held ? look.get() : elsewhere()));
+    raftNode.confirmLeadership(held -> responder.accept(held ? look.get() : elsewhere()));
   }
 
   private Response show() {
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -325,18 +325,18 @@
   }
 
   private void folder() {
-    for (final StorageInspection health : StorageInspection.look(dataFolder)) {
+    for (final StorageInspection health : StorageInspection.inspect(dataFolder)) {
       if (health.damaged()) {
         found(
             Code.LEDGER_DAMAGED,
-            health.file() + ": bad record at byte " + health.goodBytes(),
+            health.file() + ": bad record at byte " + health.validBytes(),
             "if the other voters are well, empty the folder: the machine joins anew");
-      } else if (health.goodBytes() < health.bytes()) {
+      } else if (health.validBytes() < health.bytes()) {
         found(
             Code.LEDGER_TORN,
             health.file()
                 + ": "
-                + (health.bytes() - health.goodBytes())
+                + (health.bytes() - health.validBytes())
                 + " bytes at the end are no record",
             "nothing: a running process is writing, or they are cut at the next start");
       }
--- a/src/main/java/yewjunction/fanout/StreamServer.java
+++ b/src/main/java/yewjunction/fanout/StreamServer.java
@@ -84,23 +84,23 @@
   }
 
   private String leader() {
-    return raftNode.leader() == null ? "" : RaftNode.address(raftNode.leader());
+    return raftNode.leader() == null ? "" : RaftNode.addressOf(raftNode.leader());
   }
 
   private boolean serves() {
-    return raftNode.leader() != null && raftNode.membership().behindMs() <= MAX_SERVING_LAG_MS;
+    return raftNode.leader() != null && raftNode.groupMembership().lagMs() <= MAX_SERVING_LAG_MS;
   }
 
   private void attach(final PeerConnection connection, final AttachRequest request) {
     final AttachResponse response = new AttachResponse();
     // One that hears no leader, or lags behind what the edge has seen, is a poor home.
-    response.accepted = !closing && serves() && raftNode.applied() >= request.last;
+    response.accepted = !closing && serves() && raftNode.appliedIndex() >= request.last;
     response.leader = leader();
     if (response.accepted) {
       final AttachedEdge edge = new AttachedEdge();
       edge.node = request.node;
       edge.replica = request.replica;
-      edge.sent = request.last < messageStore.floor() ? raftNode.applied() : request.last;
+      edge.sent = request.last < messageStore.floor() ? raftNode.appliedIndex() : request.last;
       edge.looked = edge.sent;
       response.start = edge.sent;
       attachedEdges.put(connection, edge);
@@ -125,7 +125,7 @@
     edge.early.merge(request.topic, request.instance, Math::max);
     final ReplayResponse response = new ReplayResponse();
     response.request = request.request;
-    response.position = Math.max(request.position, raftNode.applied());
+    response.position = Math.max(request.position, raftNode.appliedIndex());
     if (request.position >= 0) {
       fill(response, request.topic, request.position, response.position);
     }
@@ -155,7 +155,7 @@
       return;
     }
     // Named by another home that was ahead of this one: answered once as much is applied here.
-    if (raftNode.applied() < request.upTo) {
+    if (raftNode.appliedIndex() < request.upTo) {
       context.after(STREAM_HEARTBEAT_INTERVAL_MS / 10, () -> further(connection, request));
       return;
     }
@@ -188,7 +188,7 @@
 
   private void flow(
       final PeerConnection connection, final AttachedEdge edge, final boolean always) {
-    final long upTo = raftNode.applied();
+    final long upTo = raftNode.appliedIndex();
     List<StoredMessage> wanted = new ArrayList<>();
     for (final StoredMessage message : messageStore.between(edge.looked, upTo)) {
       if (wants(edge, message.topic)) {
--- a/src/main/java/yewjunction/node/ControlNode.java
+++ b/src/main/java/yewjunction/node/ControlNode.java
@@ -41,7 +41,8 @@
 
   @Override
   public void start() {
-    controlService.start(settings.founding(), settings.coreAddresses(), RaftNode.drawnName(life));
+    controlService.start(
+        settings.founding(), settings.coreAddresses(), RaftNode.identitySuffix(life));
     membership.ready(true);
   }
 
@@ -53,8 +54,8 @@
   public void stop(final Runnable ended) {
     controlService
         .ledger()
-        .membership()
-        .leave(
+        .groupMembership()
+        .leaveGroup(
             () -> {
               controlService.ledger().stop();
               ended.run();
--- a/src/main/java/yewjunction/node/StoreNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -57,13 +57,14 @@
     address = settings.address(Settings.DATA_PORT_OFFSET);
     messageStore = new MessageStore(context, this, settings);
     raftNode = new RaftNode(GROUP, context, transport, disk, executor, "messages", messageStore);
-    raftNode.listen();
+    raftNode.registerHandlers();
     admission = new AdmissionController(context, transport, raftNode, messageStore);
     streamServer = new StreamServer(context, transport, raftNode, messageStore, subscriptions);
     leaseClient =
         new LeaseClient(context, transport, () -> Node.cruxes(membership, settings), this)
             .named(address, settings.node(), settings.zone(), NodeRole.STORE, life);
-    leaseClient.reporting(() -> leaseClient.diskOwed(raftNode.course().owedMs()));
+    leaseClient.reporting(
+        () -> leaseClient.diskOwed(raftNode.commitTracker().oldestPendingWriteMs()));
     new SubscriptionSyncServer(
         context,
         transport,
@@ -76,26 +77,26 @@
   @Override
   public void start() {
     if (raftNode.identity() == null) {
-      raftNode.name(address + "#" + RaftNode.drawnName(life));
+      raftNode.assignIdentity(address + "#" + RaftNode.identitySuffix(life));
     }
     raftNode.start();
     raftNode
-        .electorate()
-        .seat(
+        .reconfiguration()
+        .setPlacement(
             new VoterPlacement(
                 settings.votersNeeded(),
                 () -> leaseClient.facts().retiringAddresses(),
                 membership::zoneAt));
     raftNode
-        .membership()
-        .keep(this::vaults, () -> !leaseClient.facts().retiringAddresses().contains(address));
+        .groupMembership()
+        .start(this::vaults, () -> !leaseClient.facts().retiringAddresses().contains(address));
     leaseClient.identity(raftNode.identity());
     leaseClient.start();
     context.every(REGISTRATION_INTERVAL_MS, this::settleDuties);
   }
 
   public boolean leads() {
-    return raftNode.leads();
+    return raftNode.isReadyLeader();
   }
 
   /** What this vault keeps. */
@@ -112,10 +113,10 @@
 
   /** Says how far it is, and empties what the core wants emptied. */
   private void settleDuties() {
-    leaseClient.applied(raftNode.applied());
+    leaseClient.applied(raftNode.appliedIndex());
     leaseClient.balances(messageStore.balances());
     final List<String> voters = raftNode.voters();
-    if (raftNode.leads()) {
+    if (raftNode.isReadyLeader()) {
       admission.lending().look(leaseClient.charter());
       emptyRetiring(voters);
     }
@@ -129,8 +130,8 @@
       // Only once the change is committed: then a majority of those that stay holds all that was
       // ever acknowledged.
       if (node != null
-          && !raftNode.electorate().changing()
-          && voters.stream().noneMatch(voter -> RaftNode.address(voter).equals(one))) {
+          && !raftNode.reconfiguration().changeInProgress()
+          && voters.stream().noneMatch(voter -> RaftNode.addressOf(voter).equals(one))) {
         emptied.add(node);
       }
     }
@@ -142,8 +143,8 @@
     // Edges leave first; the seat goes to a spare, and the lead to a peer that holds everything.
     streamServer.close();
     raftNode
-        .membership()
-        .leave(
+        .groupMembership()
+        .leaveGroup(
             () -> {
               raftNode.stop();
               ended.run();
@@ -165,7 +166,7 @@
       streamServer.close();
     }
     if (clusterState.vaults().contains(raftNode.identity())) {
-      raftNode.found(clusterState.vaults());
+      raftNode.bootstrap(clusterState.vaults());
     }
   }
 
--- a/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
+++ b/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
@@ -8,12 +8,12 @@
  * less where beats would wait.
  */
 final class AdaptiveChunkSize {
-  private final int mostBytes;
+  private final int maxBytes;
   private int bytes = MIN_CHUNK_BYTES;
   private long roundTripMs = Long.MAX_VALUE;
 
   AdaptiveChunkSize(final int mostBytes) {
-    this.mostBytes = mostBytes;
+    this.maxBytes = mostBytes;
   }
 
   int bytes() {
@@ -21,11 +21,11 @@
   }
 
   /** The last one was answered after so long. */
-  void took(final long ms) {
+  void onAcknowledged(final long ms) {
     roundTripMs = Math.min(roundTripMs, ms);
     final long onLinkMs = ms - roundTripMs;
     if (onLinkMs <= CHUNK_TRANSMISSION_TARGET_MS) {
-      bytes = Math.min(2 * bytes, mostBytes);
+      bytes = Math.min(2 * bytes, maxBytes);
     } else if (onLinkMs > 2 * CHUNK_TRANSMISSION_TARGET_MS) {
       bytes = Math.max(bytes / 2, MIN_CHUNK_BYTES);
     }
--- a/src/main/java/yewjunction/raft/AppendOnlyFile.java
+++ b/src/main/java/yewjunction/raft/AppendOnlyFile.java
@@ -12,12 +12,12 @@
   private final Disk disk;
   private final TaskExecutor executor;
   private final String name;
-  private List<PendingRecord> waiting = new ArrayList<>();
-  private boolean busy;
+  private List<PendingRecord> pending = new ArrayList<>();
+  private boolean writing;
   private long length;
-  private List<LogRecord.Content> newContent;
+  private List<LogRecord.Content> rewrittenContent;
 
-  private record PendingRecord(int kind, byte[] body, Runnable synced) {}
+  private record PendingRecord(int kind, byte[] body, Runnable onSynced) {}
 
   AppendOnlyFile(final Disk disk, final TaskExecutor executor, final String name) {
     this.disk = disk;
@@ -31,20 +31,20 @@
     if (bytes == null) {
       return List.of();
     }
-    final LogRecord.ScanResult reading = LogRecord.read(bytes);
-    if (reading.damaged()) {
+    final LogRecord.ScanResult scan = LogRecord.scan(bytes);
+    if (scan.damaged()) {
       throw new StorageException(
           STORAGE_DAMAGED,
-          name + " is damaged at byte " + reading.goodBytes() + " of " + bytes.length);
+          name + " is damaged at byte " + scan.validBytes() + " of " + bytes.length);
     }
-    if (reading.goodBytes() < bytes.length) {
-      LogEvent.TAIL_CUT.warn(name + " at byte " + reading.goodBytes() + " of " + bytes.length);
-      disk.cut(name, reading.goodBytes());
+    if (scan.validBytes() < bytes.length) {
+      LogEvent.TAIL_CUT.warn(name + " at byte " + scan.validBytes() + " of " + bytes.length);
+      disk.truncate(name, scan.validBytes());
     }
     // Synced before anything builds on it: what was read may not have reached the disk yet.
     disk.sync(name);
-    length = reading.goodBytes();
-    return reading.pieces();
+    length = scan.validBytes();
+    return scan.records();
   }
 
   long length() {
@@ -52,9 +52,9 @@
   }
 
   void append(final int kind, final byte[] body, final Runnable synced) {
-    waiting.add(new PendingRecord(kind, body, synced));
-    if (!busy) {
-      next();
+    pending.add(new PendingRecord(kind, body, synced));
+    if (!writing) {
+      writeNextBatch();
     }
   }
 
@@ -64,40 +64,41 @@
    */
   void rewrite(final List<LogRecord.Content> content, final Runnable synced) {
     // Waiting records are part of the new content already; only their callbacks are still owed.
-    final List<PendingRecord> covered = waiting;
-    waiting = new ArrayList<>();
-    newContent = content;
-    waiting.add(
+    final List<PendingRecord> covered = pending;
+    pending = new ArrayList<>();
+    rewrittenContent = content;
+    pending.add(
         new PendingRecord(
             -1,
             null,
             () -> {
-              covered.forEach(piece -> piece.synced.run());
+              covered.forEach(record -> record.onSynced.run());
               synced.run();
             }));
-    if (!busy) {
-      next();
+    if (!writing) {
+      writeNextBatch();
     }
   }
 
-  private void next() {
-    busy = true;
-    final List<PendingRecord> batch = waiting;
-    final List<LogRecord.Content> content = newContent;
-    waiting = new ArrayList<>();
-    newContent = null;
+  private void writeNextBatch() {
+    writing = true;
+    final List<PendingRecord> batch = pending;
+    final List<LogRecord.Content> content = rewrittenContent;
+    pending = new ArrayList<>();
+    rewrittenContent = null;
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     if (content != null) {
-      content.forEach(piece -> bytes.writeBytes(LogRecord.wrapBody(piece.kind(), piece.body(), 0)));
+      content.forEach(
+          record -> bytes.writeBytes(LogRecord.encode(record.kind(), record.body(), 0)));
     }
     final long syncedTo = content != null ? 0 : length;
-    for (final PendingRecord piece : batch) {
-      if (piece.kind >= 0) {
-        bytes.writeBytes(LogRecord.wrapBody(piece.kind, piece.body, syncedTo));
+    for (final PendingRecord record : batch) {
+      if (record.kind >= 0) {
+        bytes.writeBytes(LogRecord.encode(record.kind, record.body, syncedTo));
       }
     }
     length = (content != null ? 0 : length) + bytes.size();
-    executor.work(
+    executor.execute(
         () -> {
           if (content != null) {
             disk.replace(name, bytes.toByteArray());
@@ -107,13 +108,13 @@
           }
         },
         () -> {
-          busy = false;
+          writing = false;
           // The next group starts before the callbacks, so that the disk is never idle while work
           // waits.
-          if (!waiting.isEmpty()) {
-            next();
+          if (!pending.isEmpty()) {
+            writeNextBatch();
           }
-          batch.forEach(piece -> piece.synced.run());
+          batch.forEach(record -> record.onSynced.run());
         });
   }
 }
--- a/src/main/java/yewjunction/raft/CommitTracker.java
+++ b/src/main/java/yewjunction/raft/CommitTracker.java
@@ -17,41 +17,41 @@
 public final class CommitTracker {
   private final RaftNode raftNode;
   private final StateMachine stateMachine;
-  private final ArrayDeque<PendingWrite> writes = new ArrayDeque<>();
+  private final ArrayDeque<PendingWrite> pendingWrites = new ArrayDeque<>();
   private final Map<Long, Proposal> proposals = new HashMap<>();
-  private boolean rewriting;
-  private long rewrittenBytes;
-  private long commit;
-  private long applied;
+  private boolean compacting;
+  private long compactedBytes;
+  private long commitIndex;
+  private long appliedIndex;
   private long syncedIndex;
 
   /** Entries on their way to the disk, in the order they will get there. */
   private static final class PendingWrite {
     long lastIndex;
-    long atMs;
+    long startedMs;
   }
 
-  private record Proposal(long term, Consumer<Boolean> done) {}
+  private record Proposal(long term, Consumer<Boolean> onApplied) {}
 
   CommitTracker(final RaftNode raftNode, final StateMachine stateMachine) {
     this.raftNode = raftNode;
     this.stateMachine = stateMachine;
     final RaftStorage storage = raftNode.storage;
-    final byte[] state = storage.takeState();
+    final byte[] state = storage.takeSnapshotState();
     if (state != null) {
-      stateMachine.restore(storage.stateIndex(), state);
-      applied = storage.stateIndex();
-      commit = applied;
+      stateMachine.restore(storage.snapshotIndex(), state);
+      appliedIndex = storage.snapshotIndex();
+      commitIndex = appliedIndex;
     }
     syncedIndex = raftNode.log.lastIndex();
   }
 
-  long commit() {
-    return commit;
+  long commitIndex() {
+    return commitIndex;
   }
 
-  long applied() {
-    return applied;
+  long appliedIndex() {
+    return appliedIndex;
   }
 
   long syncedIndex() {
@@ -59,57 +59,58 @@
   }
 
   /** For how long the disk has owed its oldest write. */
-  public long owedMs() {
-    return writes.isEmpty() ? 0 : raftNode.context.nowMs() - writes.peek().atMs;
+  public long oldestPendingWriteMs() {
+    return pendingWrites.isEmpty() ? 0 : raftNode.context.nowMs() - pendingWrites.peek().startedMs;
   }
 
-  void await(final long index, final long term, final Consumer<Boolean> done) {
+  void onceApplied(final long index, final long term, final Consumer<Boolean> done) {
     proposals.put(index, new Proposal(term, done));
   }
 
-  void dropProposals() {
+  void failProposals() {
     final List<Proposal> dropped = List.copyOf(proposals.values());
     proposals.clear();
-    dropped.forEach(proposal -> proposal.done.accept(false));
+    dropped.forEach(proposal -> proposal.onApplied.accept(false));
   }
 
-  void write(final List<LogEntry> entries) {
+  void append(final List<LogEntry> entries) {
     if (entries.isEmpty()) {
       return;
     }
-    final PendingWrite write = new PendingWrite();
-    write.lastIndex = entries.get(entries.size() - 1).index;
-    write.atMs = raftNode.context.nowMs();
-    writes.add(write);
+    final PendingWrite pendingWrite = new PendingWrite();
+    pendingWrite.lastIndex = entries.get(entries.size() - 1).index;
+    pendingWrite.startedMs = raftNode.context.nowMs();
+    pendingWrites.add(pendingWrite);
     raftNode.storage.append(
         entries,
         () -> {
-          writes.remove(write);
-          syncedIndex = Math.max(syncedIndex, write.lastIndex);
-          raftNode.followerState.synced();
-          raftNode.leaderState.synced();
+          pendingWrites.remove(pendingWrite);
+          syncedIndex = Math.max(syncedIndex, pendingWrite.lastIndex);
+          raftNode.followerState.onSynced();
+          raftNode.leaderState.onSynced();
         });
   }
 
-  void cutFrom(final long index) {
+  void truncateFrom(final long index) {
     // Invariant: what is committed is never cut.
-    if (index <= commit) {
-      throw new IllegalStateException("cut at " + index + " below commit " + commit);
+    if (index <= commitIndex) {
+      throw new IllegalStateException("cut at " + index + " below commit " + commitIndex);
     }
-    forget(index);
-    raftNode.storage.cutFrom(index);
+    discardSyncedFrom(index);
+    raftNode.storage.truncateFrom(index);
   }
 
   /**
    * Entries from there on are no longer this log's; those before stay synced, or on their way to
    * it.
    */
-  private void forget(final long index) {
+  private void discardSyncedFrom(final long index) {
     syncedIndex = Math.min(syncedIndex, index - 1);
-    writes.forEach(write -> write.lastIndex = Math.min(write.lastIndex, index - 1));
+    pendingWrites.forEach(
+        pendingWrite -> pendingWrite.lastIndex = Math.min(pendingWrite.lastIndex, index - 1));
   }
 
-  void installed(
+  void installSnapshot(
       final long index,
       final long term,
       final List<String> voters,
@@ -117,11 +118,11 @@
       final Runnable after) {
     // What the old log had on disk says nothing about the new one: counted as synced only once it
     // is.
-    forget(1);
+    discardSyncedFrom(1);
     stateMachine.restore(index, state);
-    applied = index;
-    commit = index;
-    raftNode.storage.install(
+    appliedIndex = index;
+    commitIndex = index;
+    raftNode.storage.installSnapshot(
         index,
         term,
         voters,
@@ -130,54 +131,54 @@
           syncedIndex = Math.max(syncedIndex, index);
           after.run();
         });
-    stateMachine.settled(commit);
+    stateMachine.onCommitted(commitIndex);
   }
 
-  void commitTo(final long newCommit) {
-    if (newCommit <= commit) {
+  void advanceCommitIndex(final long newCommitIndex) {
+    if (newCommitIndex <= commitIndex) {
       return;
     }
-    commit = Math.min(newCommit, raftNode.log.lastIndex());
-    while (applied < commit) {
-      final LogEntry entry = raftNode.log.get(applied + 1);
-      applied = entry.index;
+    commitIndex = Math.min(newCommitIndex, raftNode.log.lastIndex());
+    while (appliedIndex < commitIndex) {
+      final LogEntry entry = raftNode.log.get(appliedIndex + 1);
+      appliedIndex = entry.index;
       if (entry.kind == LogEntry.DATA) {
         stateMachine.apply(entry.index, entry.data);
       } else if (entry.kind == LogEntry.VOTERS) {
         LogEvent.VOTERS_CHANGED.info(
-            "group " + raftNode.group + " " + RaftStorage.votersOf(entry.data));
+            "group " + raftNode.group + " " + RaftStorage.decodeVoters(entry.data));
       }
       final Proposal proposal = proposals.remove(entry.index);
       if (proposal != null) {
-        proposal.done.accept(proposal.term == entry.term);
+        proposal.onApplied.accept(proposal.term == entry.term);
       }
     }
-    if (raftNode.leadsTerm()) {
-      raftNode.leaderState.advanced();
+    if (raftNode.isLeader()) {
+      raftNode.leaderState.onCommitIndexAdvanced();
     }
-    raftNode.relay.committed();
-    raftNode.leaderState.snapshotTransfer.committed(commit);
-    stateMachine.settled(commit);
-    shorten();
+    raftNode.relay.onCommitted();
+    raftNode.leaderState.snapshotTransfer.onCommitted(commitIndex);
+    stateMachine.onCommitted(commitIndex);
+    compactIfLarge();
   }
 
-  private void shorten() {
+  private void compactIfLarge() {
     // A state that is large by itself is not rewritten with every entry: only once the file has
     // doubled.
-    if (rewriting
-        || raftNode.storage.bytes() < Math.max(MIN_COMPACTION_BYTES, 2 * rewrittenBytes)) {
+    if (compacting
+        || raftNode.storage.fileBytes() < Math.max(MIN_COMPACTION_BYTES, 2 * compactedBytes)) {
       return;
     }
-    rewriting = true;
-    raftNode.log.dropTo(tailStart());
-    raftNode.leaderState.snapshotTransfer.tidy(raftNode.context.nowMs());
+    compacting = true;
+    raftNode.log.discardThrough(retainedTailStart());
+    raftNode.leaderState.snapshotTransfer.abandonStale(raftNode.context.nowMs());
     raftNode.storage.rewrite(
-        applied,
+        appliedIndex,
         stateMachine.snapshot(),
         () -> {
-          rewriting = false;
-          rewrittenBytes = raftNode.storage.bytes();
-          LogEvent.LEDGER_REWRITTEN.info("group " + raftNode.group + " bytes " + rewrittenBytes);
+          compacting = false;
+          compactedBytes = raftNode.storage.fileBytes();
+          LogEvent.LEDGER_REWRITTEN.info("group " + raftNode.group + " bytes " + compactedBytes);
         });
   }
 
@@ -185,16 +186,17 @@
    * A tail stays for peers that were away a short while, and a longer one, within its own bound,
    * for those that catch up: the log cut past what they hold would send them back to a first byte.
    */
-  private long tailStart() {
+  private long retainedTailStart() {
     final long start =
         Math.min(
-            raftNode.log.reachBack(applied, RETAINED_TAIL_ENTRIES, RETAINED_TAIL_BYTES),
-            raftNode.leaderState.snapshotTransfer.unneeded(raftNode.context.nowMs()));
+            raftNode.log.startOfTail(appliedIndex, RETAINED_TAIL_ENTRIES, RETAINED_TAIL_BYTES),
+            raftNode.leaderState.snapshotTransfer.unneededThrough(raftNode.context.nowMs()));
     return Math.max(
-        start, raftNode.log.reachBack(applied, MAX_CATCH_UP_TAIL_ENTRIES, MAX_CATCH_UP_TAIL_BYTES));
+        start,
+        raftNode.log.startOfTail(appliedIndex, MAX_CATCH_UP_TAIL_ENTRIES, MAX_CATCH_UP_TAIL_BYTES));
   }
 
-  byte[] image() {
+  byte[] snapshot() {
     return stateMachine.snapshot();
   }
 }
--- a/src/main/java/yewjunction/raft/ConnectionHandshakes.java
+++ b/src/main/java/yewjunction/raft/ConnectionHandshakes.java
@@ -13,10 +13,10 @@
   private final RaftNode raftNode;
 
   /** To whom the last letter sent on a link was. */
-  private final Map<PeerConnection, Long> told = new HashMap<>();
+  private final Map<PeerConnection, Long> announcedReceivers = new HashMap<>();
 
   /** Who speaks to this member on a link. */
-  private final Map<PeerConnection, String> speakers = new HashMap<>();
+  private final Map<PeerConnection, String> senders = new HashMap<>();
 
   ConnectionHandshakes(final RaftNode raftNode) {
     this.raftNode = raftNode;
@@ -25,7 +25,7 @@
   /** The letter may be changed: it is on its way now. */
   boolean send(final PeerConnection connection, final RaftMessages.RaftMessage message) {
     if (message.to != 0) {
-      final Long before = told.put(connection, message.to);
+      final Long before = announcedReceivers.put(connection, message.to);
       if (before != null && before == message.to) {
         message.from = null;
         message.to = 0;
@@ -35,9 +35,9 @@
   }
 
   /** Whether the letter is for this member; its sender stands in it then. */
-  boolean heard(final PeerConnection connection, final RaftMessages.RaftMessage message) {
+  boolean accept(final PeerConnection connection, final RaftMessages.RaftMessage message) {
     if (message.from == null) {
-      message.from = speakers.get(connection);
+      message.from = senders.get(connection);
       return message.from != null;
     }
     if (message.to == 0) {
@@ -45,17 +45,17 @@
     }
     // An identity whose disk is gone: neither this letter nor those that follow it are for this
     // member.
-    final boolean own = message.to == RaftMessages.shortened(raftNode.identity());
+    final boolean own = message.to == RaftMessages.identityHash(raftNode.identity());
     if (own) {
-      speakers.put(connection, message.from);
+      senders.put(connection, message.from);
     } else {
-      speakers.remove(connection);
+      senders.remove(connection);
     }
     return own;
   }
 
-  void closed(final PeerConnection connection) {
-    told.remove(connection);
-    speakers.remove(connection);
+  void onClose(final PeerConnection connection) {
+    announcedReceivers.remove(connection);
+    senders.remove(connection);
   }
 }
--- a/src/main/java/yewjunction/raft/Disk.java
+++ b/src/main/java/yewjunction/raft/Disk.java
@@ -7,7 +7,7 @@
 
   void append(String name, byte[] bytes);
 
-  void cut(String name, long length);
+  void truncate(String name, long length);
 
   void sync(String name);
 
--- a/src/main/java/yewjunction/raft/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -17,22 +17,22 @@
 /** When and how a member stands for the lead. */
 final class Election {
   private final RaftNode raftNode;
-  private final Set<String> grants = new HashSet<>();
-  private long electAtMs;
+  private final Set<String> grantedBy = new HashSet<>();
+  private long electionDueMs;
 
   /** Votes proper are being asked for, not only whether they would be given. */
-  private boolean firm;
+  private boolean requestingVotes;
 
   Election(final RaftNode raftNode) {
     this.raftNode = raftNode;
   }
 
-  void restartClock() {
-    restartClock(MIN_ELECTION_TIMEOUT_MS, MAX_ELECTION_TIMEOUT_MS);
+  void resetTimeout() {
+    resetTimeout(MIN_ELECTION_TIMEOUT_MS, MAX_ELECTION_TIMEOUT_MS);
   }
 
-  private void restartClock(final long leastMs, final long mostMs) {
-    electAtMs =
+  private void resetTimeout(final long leastMs, final long mostMs) {
+    electionDueMs =
         raftNode.context.nowMs()
             + leastMs
             + raftNode.context.luck().nextInt((int) (mostMs - leastMs));
@@ -40,40 +40,42 @@
 
   /** After a loss of power all members start together and nobody leads: the first wait is short. */
   void start() {
-    restartClock(MIN_STARTUP_ELECTION_TIMEOUT_MS, MAX_STARTUP_ELECTION_TIMEOUT_MS);
-    watch();
+    resetTimeout(MIN_STARTUP_ELECTION_TIMEOUT_MS, MAX_STARTUP_ELECTION_TIMEOUT_MS);
+    checkTimeout();
   }
 
   /**
    * The leader's link broke, as it does when its process dies: no full patience is owed, unless it
    * dials again.
    */
-  void leaderLinkBroke() {
-    restartClock(MIN_DISCONNECT_ELECTION_TIMEOUT_MS, MAX_DISCONNECT_ELECTION_TIMEOUT_MS);
-    raftNode.context.after(electAtMs - raftNode.context.nowMs(), this::standWhenDue);
+  void onLeaderDisconnected() {
+    resetTimeout(MIN_DISCONNECT_ELECTION_TIMEOUT_MS, MAX_DISCONNECT_ELECTION_TIMEOUT_MS);
+    raftNode.context.after(electionDueMs - raftNode.context.nowMs(), this::campaignIfDue);
   }
 
-  private void standWhenDue() {
-    if (!raftNode.leadsTerm() && !raftNode.stopped() && raftNode.context.nowMs() >= electAtMs) {
-      stand(false);
+  private void campaignIfDue() {
+    if (!raftNode.isLeader()
+        && !raftNode.isStopped()
+        && raftNode.context.nowMs() >= electionDueMs) {
+      campaign(false);
     }
   }
 
-  private void watch() {
-    if (raftNode.stopped()) {
+  private void checkTimeout() {
+    if (raftNode.isStopped()) {
       return;
     }
     try {
-      standWhenDue();
+      campaignIfDue();
     } finally {
       // A turn that fails must not be the last look.
       raftNode.context.after(
           Math.max(
               10,
-              raftNode.leadsTerm()
+              raftNode.isLeader()
                   ? MIN_ELECTION_TIMEOUT_MS
-                  : electAtMs - raftNode.context.nowMs()),
-          this::watch);
+                  : electionDueMs - raftNode.context.nowMs()),
+          this::checkTimeout);
     }
   }
 
@@ -81,86 +83,86 @@
    * Asks for votes: first only whether they would be given, so that a member cut off raises no
    * terms.
    */
-  void stand(final boolean handedOver) {
-    restartClock();
-    if (!raftNode.groupMembership.seated()) {
-      raftNode.groupMembership.patienceEnded();
+  void campaign(final boolean handedOver) {
+    resetTimeout();
+    if (!raftNode.groupMembership.isVoter()) {
+      raftNode.groupMembership.onElectionTimeoutAsLearner();
       return;
     }
     if (handedOver) {
-      standFirmly(true);
+      requestVotes(true);
       return;
     }
-    raftNode.follow(null);
-    grants.add(raftNode.identity());
-    askAll(true, false);
-    count(true);
+    raftNode.becomeFollower(null);
+    grantedBy.add(raftNode.identity());
+    sendVoteRequests(true, false);
+    countVotes(true);
   }
 
-  private void standFirmly(final boolean handedOver) {
-    raftNode.stands();
-    firm = true;
-    grants.clear();
+  private void requestVotes(final boolean handedOver) {
+    raftNode.becomeCandidate();
+    requestingVotes = true;
+    grantedBy.clear();
     final long newTerm = raftNode.storage.term + 1;
     raftNode.storage.saveVote(
         newTerm,
         raftNode.identity(),
         () -> {
           // Asked only once the own vote is on disk.
-          if (raftNode.storage.term == newTerm && firm) {
-            grants.add(raftNode.identity());
-            askAll(false, handedOver);
-            count(false);
+          if (raftNode.storage.term == newTerm && requestingVotes) {
+            grantedBy.add(raftNode.identity());
+            sendVoteRequests(false, handedOver);
+            countVotes(false);
           }
         });
   }
 
-  private void askAll(final boolean pre, final boolean handedOver) {
+  private void sendVoteRequests(final boolean pre, final boolean handedOver) {
     for (final String voter : raftNode.voters()) {
       if (!voter.equals(raftNode.identity())) {
         final VoteRequest request = new VoteRequest();
-        request.pre = pre;
-        request.handedOver = handedOver;
+        request.preVote = pre;
+        request.leadershipTransfer = handedOver;
         request.lastIndex = raftNode.log.lastIndex();
         request.lastTerm = raftNode.log.lastTerm();
         raftNode.handshakes.send(
-            raftNode.transport.dial(RaftNode.address(voter)),
+            raftNode.transport.dial(RaftNode.addressOf(voter)),
             RaftMessages.withTerm(
-                raftNode.addressed(request, voter), raftNode.storage.term + (pre ? 1 : 0)));
+                raftNode.withHeader(request, voter), raftNode.storage.term + (pre ? 1 : 0)));
       }
     }
   }
 
-  void granted(final VoteResponse response) {
+  void onVoteResponse(final VoteResponse response) {
     final long term = raftNode.storage.term;
     if (response.term > term && !response.granted) {
-      raftNode.seen(response.term);
+      raftNode.observeTerm(response.term);
     } else if (response.granted
-        && response.pre != firm
-        && response.term == term + (response.pre ? 1 : 0)
-        && !grants.isEmpty()) {
-      grants.add(response.from);
-      count(response.pre);
+        && response.preVote != requestingVotes
+        && response.term == term + (response.preVote ? 1 : 0)
+        && !grantedBy.isEmpty()) {
+      grantedBy.add(response.from);
+      countVotes(response.preVote);
     }
   }
 
-  private void count(final boolean pre) {
+  private void countVotes(final boolean pre) {
     final List<String> voters = raftNode.voters();
-    if (voters.stream().filter(grants::contains).count() * 2 <= voters.size()) {
+    if (voters.stream().filter(grantedBy::contains).count() * 2 <= voters.size()) {
       return;
     }
     if (pre) {
-      standFirmly(false);
+      requestVotes(false);
     } else {
-      over();
+      end();
       LogEvent.LEADER_WON.info("group " + raftNode.group + " term " + raftNode.storage.term);
-      raftNode.lead();
+      raftNode.becomeLeader();
     }
   }
 
   /** This member stands no more: it leads, or follows somebody. */
-  void over() {
-    firm = false;
-    grants.clear();
+  void end() {
+    requestingVotes = false;
+    grantedBy.clear();
   }
 }
--- a/src/main/java/yewjunction/raft/FollowerState.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -13,7 +13,7 @@
 /** What a member does for a candidate or a leader. */
 final class FollowerState {
   private final RaftNode raftNode;
-  private final List<PendingResponse> waiting = new ArrayList<>();
+  private final List<PendingResponse> pendingResponses = new ArrayList<>();
 
   /** An answer owed once the disk holds the entries it speaks of. */
   private record PendingResponse(
@@ -23,147 +23,149 @@
     this.raftNode = raftNode;
   }
 
-  void join(final String peerAddress, final boolean wantsVote, final boolean leaves) {
-    final JoinRequest request = raftNode.addressed(new JoinRequest(), null);
+  void sendJoinRequest(final String peerAddress, final boolean wantsVote, final boolean leaves) {
+    final JoinRequest request = raftNode.withHeader(new JoinRequest(), null);
     request.wantsVote = wantsVote;
-    request.leaves = leaves ? true : null;
+    request.leaving = leaves ? true : null;
     raftNode.handshakes.send(raftNode.transport.dial(peerAddress), request);
   }
 
-  void ask(final PeerConnection connection, final VoteRequest request) {
+  void onVoteRequest(final PeerConnection connection, final VoteRequest request) {
     final RaftStorage storage = raftNode.storage;
-    final boolean logServes =
+    final boolean logUpToDate =
         request.lastTerm > raftNode.log.lastTerm()
             || request.lastTerm == raftNode.log.lastTerm()
                 && request.lastIndex >= raftNode.log.lastIndex();
     // Whoever hears a leader keeps to it: a peer with a bad link must not unseat a good leader.
-    if (raftNode.heardLately() && !request.handedOver) {
-      answer(connection, request, false, storage.term);
+    if (raftNode.hasRecentLeader() && !request.leadershipTransfer) {
+      respond(connection, request, false, storage.term);
       return;
     }
-    if (request.pre) {
-      final boolean granted = request.term > storage.term && logServes;
-      answer(connection, request, granted, granted ? request.term : storage.term);
+    if (request.preVote) {
+      final boolean granted = request.term > storage.term && logUpToDate;
+      respond(connection, request, granted, granted ? request.term : storage.term);
       return;
     }
-    raftNode.seen(request.term);
+    raftNode.observeTerm(request.term);
     final boolean granted =
         request.term == storage.term
-            && logServes
+            && logUpToDate
             && (storage.votedFor.isEmpty() || storage.votedFor.equals(request.from));
     if (!granted) {
-      answer(connection, request, false, storage.term);
+      respond(connection, request, false, storage.term);
       return;
     }
-    raftNode.restartClock();
+    raftNode.resetElectionTimeout();
     storage.saveVote(
-        request.term, request.from, () -> answer(connection, request, true, request.term));
+        request.term, request.from, () -> respond(connection, request, true, request.term));
   }
 
-  private void answer(
+  private void respond(
       final PeerConnection connection,
       final VoteRequest request,
       final boolean granted,
       final long term) {
     final VoteResponse response =
-        RaftMessages.withTerm(raftNode.addressed(new VoteResponse(), request.from), term);
-    response.pre = request.pre;
+        RaftMessages.withTerm(raftNode.withHeader(new VoteResponse(), request.from), term);
+    response.preVote = request.preVote;
     response.granted = granted;
     raftNode.handshakes.send(connection, response);
   }
 
   /** True when the letter comes from the leader of the current term. */
-  private boolean accepted(final RaftMessages.RaftMessage message) {
-    raftNode.seen(message.term);
+  private boolean acceptLeader(final RaftMessages.RaftMessage message) {
+    raftNode.observeTerm(message.term);
     if (message.term < raftNode.storage.term) {
       return false;
     }
     // Invariant: one leader a term.
-    if (raftNode.leadsTerm()) {
+    if (raftNode.isLeader()) {
       throw new IllegalStateException("two leaders in term " + message.term);
     }
-    raftNode.follow(message.from);
+    raftNode.becomeFollower(message.from);
     return true;
   }
 
-  void append(final PeerConnection connection, final AppendEntriesRequest request) {
+  void onAppendEntries(final PeerConnection connection, final AppendEntriesRequest request) {
     final RaftLog log = raftNode.log;
-    if (!accepted(request)) {
-      answer(connection, request, false, 0);
+    if (!acceptLeader(request)) {
+      respond(connection, request, false, 0);
       return;
     }
-    raftNode.heardOn(connection);
-    raftNode.relay.source(request.relay);
-    raftNode.groupMembership.told(request.commit);
-    final boolean behindBase = request.prevIndex < log.baseIndex();
+    raftNode.onLeaderContact(connection);
+    raftNode.relay.setSource(request.relayAddress);
+    raftNode.groupMembership.onLeaderCommitIndex(request.commitIndex);
+    final boolean behindBase = request.prevIndex < log.snapshotIndex();
     if (!behindBase && log.termAt(request.prevIndex) != request.prevTerm) {
-      answer(connection, request, false, Math.min(log.lastIndex(), request.prevIndex - 1));
+      respond(connection, request, false, Math.min(log.lastIndex(), request.prevIndex - 1));
       return;
     }
-    final List<LogEntry> fresh = new ArrayList<>();
+    final List<LogEntry> newEntries = new ArrayList<>();
     for (final LogEntry entry : request.entries) {
       // What the snapshot covers was committed and is the same everywhere.
-      if (entry.index <= log.baseIndex()) {
+      if (entry.index <= log.snapshotIndex()) {
         continue;
       }
-      if (fresh.isEmpty() && log.termAt(entry.index) == entry.term) {
+      if (newEntries.isEmpty() && log.termAt(entry.index) == entry.term) {
         continue;
       }
-      if (fresh.isEmpty() && entry.index <= log.lastIndex()) {
-        raftNode.commitTracker.cutFrom(entry.index);
+      if (newEntries.isEmpty() && entry.index <= log.lastIndex()) {
+        raftNode.commitTracker.truncateFrom(entry.index);
       }
-      fresh.add(entry);
+      newEntries.add(entry);
     }
-    raftNode.commitTracker.write(fresh);
-    long match = Math.max(request.prevIndex + request.entries.size(), log.baseIndex());
-    raftNode.commitTracker.commitTo(Math.min(request.commit, match));
+    raftNode.commitTracker.append(newEntries);
+    long matchIndex = Math.max(request.prevIndex + request.entries.size(), log.snapshotIndex());
+    raftNode.commitTracker.advanceCommitIndex(Math.min(request.commitIndex, matchIndex));
     // What was committed here on another's word the leader has, too: so it hears how far a relayed
     // member is.
-    match = request.relay == null ? match : Math.max(match, raftNode.commit());
-    if (request.quiet && request.entries.isEmpty()) {
+    matchIndex =
+        request.relayAddress == null ? matchIndex : Math.max(matchIndex, raftNode.commitIndex());
+    if (request.responseOptional && request.entries.isEmpty()) {
       return;
     }
-    if (match <= raftNode.commitTracker.syncedIndex() || request.entries.isEmpty()) {
-      answer(connection, request, true, Math.min(match, raftNode.commitTracker.syncedIndex()));
+    if (matchIndex <= raftNode.commitTracker.syncedIndex() || request.entries.isEmpty()) {
+      respond(
+          connection, request, true, Math.min(matchIndex, raftNode.commitTracker.syncedIndex()));
     } else {
-      waiting.add(new PendingResponse(connection, request, match));
+      pendingResponses.add(new PendingResponse(connection, request, matchIndex));
     }
   }
 
-  void synced() {
-    if (waiting.isEmpty()) {
+  void onSynced() {
+    if (pendingResponses.isEmpty()) {
       return;
     }
-    final List<PendingResponse> owed = new ArrayList<>(waiting);
-    waiting.clear();
+    final List<PendingResponse> owed = new ArrayList<>(pendingResponses);
+    pendingResponses.clear();
     for (final PendingResponse one : owed) {
       if (one.request.term != raftNode.storage.term) {
         continue;
       }
       if (one.match <= raftNode.commitTracker.syncedIndex()) {
-        answer(one.connection, one.request, true, one.match);
+        respond(one.connection, one.request, true, one.match);
       } else {
-        waiting.add(one);
+        pendingResponses.add(one);
       }
     }
   }
 
-  private void answer(
+  private void respond(
       final PeerConnection connection,
       final AppendEntriesRequest request,
       final boolean accepted,
       final long match) {
     final AppendEntriesResponse response =
-        raftNode.addressed(new AppendEntriesResponse(), request.from);
+        raftNode.withHeader(new AppendEntriesResponse(), request.from);
     response.accepted = accepted;
-    response.match = match;
+    response.matchIndex = match;
     // The answer bears this member's term: a round counts in it only if it was asked in it.
     response.round = request.term == response.term ? request.round : 0;
     raftNode.handshakes.send(connection, response);
   }
 
-  void image(final PeerConnection connection, final InstallSnapshotRequest request) {
-    if (!accepted(request)) {
+  void onInstallSnapshot(final PeerConnection connection, final InstallSnapshotRequest request) {
+    if (!acceptLeader(request)) {
       return;
     }
     final AppendEntriesRequest asked = new AppendEntriesRequest();
@@ -171,28 +173,28 @@
     // The entry that a snapshot ends with is here: so is all before it, and what is behind it must
     // stay.
     if (raftNode.log.termAt(request.lastIndex) == request.lastTerm) {
-      raftNode.commitTracker.commitTo(request.lastIndex);
+      raftNode.commitTracker.advanceCommitIndex(request.lastIndex);
     }
     // What is committed here the leader has too: said so, or it would send the same again and
     // again.
-    if (request.lastIndex <= raftNode.commit()) {
-      answer(
+    if (request.lastIndex <= raftNode.commitIndex()) {
+      respond(
           connection,
           asked,
           true,
-          Math.min(raftNode.commit(), raftNode.commitTracker.syncedIndex()));
+          Math.min(raftNode.commitIndex(), raftNode.commitTracker.syncedIndex()));
       return;
     }
-    final byte[] state = raftNode.leaderState.snapshotTransfer.taken(request);
+    final byte[] state = raftNode.leaderState.snapshotTransfer.onChunk(request);
     if (state == null) {
       return;
     }
-    waiting.clear();
-    raftNode.commitTracker.installed(
+    pendingResponses.clear();
+    raftNode.commitTracker.installSnapshot(
         request.lastIndex,
         request.lastTerm,
         request.voters,
         state,
-        () -> answer(connection, asked, true, request.lastIndex));
+        () -> respond(connection, asked, true, request.lastIndex));
   }
 }
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -23,9 +23,9 @@
    * What the leader had committed when this was last looked at, and since when this member has not
    * applied as much.
    */
-  private long goal;
+  private long leaderCommitIndex;
 
-  private long goalMs;
+  private long behindSinceMs;
 
   GroupMembership(final RaftNode raftNode) {
     this.raftNode = raftNode;
@@ -35,33 +35,35 @@
    * From now on. Peers: addresses of members that may lead, or know who does; whether there is a
    * seat is the leader's matter.
    */
-  public void keep(
+  public void start(
       final Supplier<List<String>> chosenPeers, final BooleanSupplier chosenWantsVote) {
     peers = chosenPeers;
     wantsVote = chosenWantsVote;
-    raftNode.context.every(REGISTRATION_INTERVAL_MS, this::seek);
+    raftNode.context.every(REGISTRATION_INTERVAL_MS, this::requestToJoin);
   }
 
   /** Whether this member votes, as far as its own log says. */
-  public boolean seated() {
+  public boolean isVoter() {
     return raftNode.voters().contains(raftNode.identity());
   }
 
-  private void seek() {
-    if (raftNode.stopped()
+  private void requestToJoin() {
+    if (raftNode.isStopped()
         || raftNode.identity() == null
-        || seated() && !leaving && !raftNode.leaderless()) {
+        || isVoter() && !leaving && !raftNode.hasNoLeader()) {
       return;
     }
     // Whoever knows another leader passes it on; with a leader in reach nobody else is troubled.
     final String leader = raftNode.leader();
-    final List<String> asked = leader == null ? peers.get() : List.of(RaftNode.address(leader));
+    final List<String> asked = leader == null ? peers.get() : List.of(RaftNode.addressOf(leader));
     asked.forEach(
-        peer -> raftNode.followerState.join(peer, !leaving && wantsVote.getAsBoolean(), leaving));
+        peer ->
+            raftNode.followerState.sendJoinRequest(
+                peer, !leaving && wantsVote.getAsBoolean(), leaving));
   }
 
   /** This member's process ends soon. */
-  boolean leaving() {
+  boolean isLeaving() {
     return leaving;
   }
 
@@ -70,55 +72,55 @@
    * stops like one that is started again: the seat passes before it ends, since the next loss may
    * come before its silence would tell.
    */
-  public void leave(final Runnable ended) {
+  public void leaveGroup(final Runnable ended) {
     leaving = true;
-    waitLeft(raftNode.context.nowMs(), ended);
+    awaitReplacement(raftNode.context.nowMs(), ended);
   }
 
-  private void waitLeft(final long startMs, final Runnable ended) {
-    final boolean owed = seated() || raftNode.electorate().changing();
+  private void awaitReplacement(final long startMs, final Runnable ended) {
+    final boolean owed = isVoter() || raftNode.reconfiguration().changeInProgress();
     // Nobody without a seat is known: what remains to be handed on is the lead.
-    final boolean taker = peers.get().size() >= raftNode.electorate().seats();
+    final boolean taker = peers.get().size() >= raftNode.reconfiguration().voterCount();
     if (!owed || !taker || raftNode.context.nowMs() - startMs > LEAVE_TIMEOUT_MS) {
-      raftNode.electorate().handOver(ended);
+      raftNode.reconfiguration().transferLeadership(ended);
       return;
     }
-    if (!raftNode.leadsTerm()) {
-      seek();
+    if (!raftNode.isLeader()) {
+      requestToJoin();
     }
-    raftNode.context.after(LEAVE_CHECK_INTERVAL_MS, () -> waitLeft(startMs, ended));
+    raftNode.context.after(LEAVE_CHECK_INTERVAL_MS, () -> awaitReplacement(startMs, ended));
   }
 
   /**
    * An election is due and this member has no vote: it lets go of its leader, or it would go on
    * asking a former one.
    */
-  void patienceEnded() {
-    raftNode.follow(null);
-    seek();
+  void onElectionTimeoutAsLearner() {
+    raftNode.becomeFollower(null);
+    requestToJoin();
   }
 
   /**
    * Another leader than before was heard: it may know this member as one of its log, but not what
    * it wants.
    */
-  void leaderFound() {
-    if (!seated()) {
-      seek();
+  void onLeaderChanged() {
+    if (!isVoter()) {
+      requestToJoin();
     }
   }
 
-  void told(final long leaderCommit) {
-    if (raftNode.applied() >= goal) {
-      goal = leaderCommit;
-      goalMs = raftNode.context.nowMs();
+  void onLeaderCommitIndex(final long leaderCommit) {
+    if (raftNode.appliedIndex() >= leaderCommitIndex) {
+      leaderCommitIndex = leaderCommit;
+      behindSinceMs = raftNode.context.nowMs();
     }
   }
 
   /** ms for which this member has lacked what its leader had committed; 0 while it keeps up. */
-  public long behindMs() {
-    return raftNode.leadsTerm() || raftNode.applied() >= goal
+  public long lagMs() {
+    return raftNode.isLeader() || raftNode.appliedIndex() >= leaderCommitIndex
         ? 0
-        : raftNode.context.nowMs() - goalMs;
+        : raftNode.context.nowMs() - behindSinceMs;
   }
 }
--- a/src/main/java/yewjunction/raft/InMemoryDisk.java
+++ b/src/main/java/yewjunction/raft/InMemoryDisk.java
@@ -25,7 +25,7 @@
   }
 
   @Override
-  public void cut(final String name, final long length) {
+  public void truncate(final String name, final long length) {
     files.put(name, Arrays.copyOf(files.get(name), (int) length));
   }
 
--- a/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
+++ b/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
@@ -14,8 +14,8 @@
 final class LeaderLatencyMonitor {
   private final RaftNode raftNode;
   private final LeaderState leaderState;
-  private long beatRound;
-  private long sinceMs;
+  private long lastHeartbeatRound;
+  private long leadingSinceMs;
 
   LeaderLatencyMonitor(final RaftNode raftNode, final LeaderState leaderState) {
     this.raftNode = raftNode;
@@ -23,31 +23,31 @@
   }
 
   void reset() {
-    sinceMs = raftNode.context.nowMs();
-    beatRound = 0;
+    leadingSinceMs = raftNode.context.nowMs();
+    lastHeartbeatRound = 0;
   }
 
   /** At each beat: who has not answered the one before. */
-  void beat(final long newRound) {
+  void onHeartbeat(final long newRound) {
     for (final PeerProgress progress : leaderState.progressByMember.values()) {
-      final boolean late = progress.round < beatRound;
-      progress.late += LATE_HEARTBEAT_WEIGHT * ((late ? 1 : 0) - progress.late);
+      final boolean late = progress.confirmedRound < lastHeartbeatRound;
+      progress.lateShare += LATE_HEARTBEAT_WEIGHT * ((late ? 1 : 0) - progress.lateShare);
     }
-    beatRound = newRound;
+    lastHeartbeatRound = newRound;
   }
 
   /** Another would lead better: all others are there, and all of them are late. */
-  boolean drags() {
+  boolean isSlow() {
     final long nowMs = raftNode.context.nowMs();
     final List<String> voters = raftNode.voters();
-    if (voters.size() < 3 || nowMs - sinceMs < MIN_LEADERSHIP_MS) {
+    if (voters.size() < 3 || nowMs - leadingSinceMs < MIN_LEADERSHIP_MS) {
       return false;
     }
     for (final String voter : voters) {
-      final PeerProgress progress = leaderState.standing(voter);
+      final PeerProgress progress = leaderState.progressOf(voter);
       if (!voter.equals(raftNode.identity())
-          && (progress.late < LATE_HEARTBEAT_SHARE
-              || nowMs - progress.heardMs > MAX_ELECTION_TIMEOUT_MS)) {
+          && (progress.lateShare < LATE_HEARTBEAT_SHARE
+              || nowMs - progress.lastContactMs > MAX_ELECTION_TIMEOUT_MS)) {
         return false;
       }
     }
--- a/src/main/java/yewjunction/raft/LeaderState.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -21,18 +21,18 @@
   private final ReadIndexRequests readIndexRequests;
   private final LeaderLatencyMonitor latencyMonitor;
   final SnapshotTransfer snapshotTransfer;
-  private long firstIndex;
-  private long era;
-  private boolean sending;
+  private long firstIndexOfTerm;
+  private long leadershipNumber;
+  private boolean sendScheduled;
 
   /** The next letters ask for an answer: a beat, or a question whether this member still leads. */
-  private boolean wanted;
+  private boolean responseWanted;
 
-  private boolean announced;
-  private boolean telling;
+  private boolean leadershipAnnounced;
+  private boolean commitNoticeScheduled;
 
   /** The commit that all have been told. */
-  private long toldCommit;
+  private long announcedCommitIndex;
 
   LeaderState(final RaftNode raftNode) {
     this.raftNode = raftNode;
@@ -42,50 +42,50 @@
     snapshotTransfer = new SnapshotTransfer(raftNode, this);
   }
 
-  void begin() {
-    era++;
+  void start() {
+    leadershipNumber++;
     progressByMember.clear();
     reconfiguration.reset();
     latencyMonitor.reset();
-    announced = false;
-    raftNode.voters().forEach(this::standing);
-    firstIndex = raftNode.log.lastIndex() + 1;
-    append(LogEntry.NOTHING, new byte[0]);
-    beat(era);
+    leadershipAnnounced = false;
+    raftNode.voters().forEach(this::progressOf);
+    firstIndexOfTerm = raftNode.log.lastIndex() + 1;
+    append(LogEntry.NO_OP, new byte[0]);
+    heartbeat(leadershipNumber);
   }
 
-  void end() {
-    era++;
+  void stop() {
+    leadershipNumber++;
     reconfiguration.reset();
-    snapshotTransfer.drop();
-    readIndexRequests.drop();
+    snapshotTransfer.abandonAll();
+    readIndexRequests.failAll();
   }
 
-  long firstIndex() {
-    return firstIndex;
+  long firstIndexOfTerm() {
+    return firstIndexOfTerm;
   }
 
-  PeerProgress standing(final String identity) {
+  PeerProgress progressOf(final String identity) {
     return progressByMember.computeIfAbsent(
         identity,
         key -> {
           final PeerProgress fresh = new PeerProgress();
-          fresh.next = raftNode.log.lastIndex() + 1;
-          fresh.heardMs = raftNode.context.nowMs();
+          fresh.nextIndex = raftNode.log.lastIndex() + 1;
+          fresh.lastContactMs = raftNode.context.nowMs();
           return fresh;
         });
   }
 
-  private boolean self(final String identity) {
+  private boolean isSelf(final String identity) {
     return identity.equals(raftNode.identity());
   }
 
-  private void beat(final long ofEra) {
-    if (ofEra != era || !raftNode.leadsTerm()) {
+  private void heartbeat(final long ofLeadership) {
+    if (ofLeadership != leadershipNumber || !raftNode.isLeader()) {
       return;
     }
     // Armed first: a turn that fails must not be the last beat.
-    raftNode.context.after(HEARTBEAT_INTERVAL_MS, () -> beat(ofEra));
+    raftNode.context.after(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
     final long nowMs = raftNode.context.nowMs();
     // A leader that a majority no longer answers steps down, so that others are not led astray.
     final List<String> voters = raftNode.voters();
@@ -93,43 +93,44 @@
         voters.stream()
             .filter(
                 voter ->
-                    self(voter) || nowMs - standing(voter).heardMs < 2 * MAX_ELECTION_TIMEOUT_MS)
+                    isSelf(voter)
+                        || nowMs - progressOf(voter).lastContactMs < 2 * MAX_ELECTION_TIMEOUT_MS)
             .count();
     if (heard * 2 <= voters.size()) {
-      raftNode.follow(null);
-      raftNode.restartClock();
+      raftNode.becomeFollower(null);
+      raftNode.resetElectionTimeout();
       return;
     }
-    latencyMonitor.beat(readIndexRequests.next());
-    snapshotTransfer.tidy(nowMs);
-    reconfiguration.relays(nowMs);
-    wanted = true;
-    sendAll();
-    reconfiguration.settle();
-    if (raftNode.leads()
-        && !reconfiguration.handing()
-        && (latencyMonitor.drags() && !snapshotTransfer.hold(nowMs)
-            || raftNode.commitTracker.owedMs() > SLOW_DISK_TRANSFER_MS)) {
-      reconfiguration.handOver(latencyMonitor::reset);
+    latencyMonitor.onHeartbeat(readIndexRequests.nextRound());
+    snapshotTransfer.abandonStale(nowMs);
+    reconfiguration.assignRelays(nowMs);
+    responseWanted = true;
+    replicateToAll();
+    reconfiguration.adjustVoters();
+    if (raftNode.isReadyLeader()
+        && !reconfiguration.isTransferring()
+        && (latencyMonitor.isSlow() && !snapshotTransfer.keepsLeadership(nowMs)
+            || raftNode.commitTracker.oldestPendingWriteMs() > SLOW_DISK_TRANSFER_MS)) {
+      reconfiguration.transferLeadership(latencyMonitor::reset);
     }
   }
 
   long append(final int kind, final byte[] data) {
     final LogEntry entry =
         new LogEntry(raftNode.log.lastIndex() + 1, raftNode.storage.term, kind, data);
-    raftNode.commitTracker.write(List.of(entry));
-    sendSoon();
+    raftNode.commitTracker.append(List.of(entry));
+    scheduleSend();
     return entry.index;
   }
 
   /** What one turn of the owner appends goes out in one letter. */
-  private void sendSoon() {
-    if (!sending) {
-      sending = true;
+  private void scheduleSend() {
+    if (!sendScheduled) {
+      sendScheduled = true;
       raftNode.context.post(
           () -> {
-            sending = false;
-            sendAll();
+            sendScheduled = false;
+            replicateToAll();
           });
     }
   }
@@ -138,29 +139,29 @@
    * Rides on the next entries where some follow at once; alone it is a letter to everyone, across
    * zones.
    */
-  private void tellCommit() {
-    if (!telling) {
-      telling = true;
+  private void scheduleCommitNotice() {
+    if (!commitNoticeScheduled) {
+      commitNoticeScheduled = true;
       raftNode.context.after(
           COMMIT_NOTICE_DELAY_MS,
           () -> {
-            telling = false;
-            if (toldCommit < raftNode.commit()) {
-              sendAll();
+            commitNoticeScheduled = false;
+            if (announcedCommitIndex < raftNode.commitIndex()) {
+              replicateToAll();
             }
           });
     }
   }
 
-  private void sendAll() {
-    if (raftNode.leadsTerm()) {
-      toldCommit = raftNode.commit();
+  private void replicateToAll() {
+    if (raftNode.isLeader()) {
+      announcedCommitIndex = raftNode.commitIndex();
       for (final Map.Entry<String, PeerProgress> one : List.copyOf(progressByMember.entrySet())) {
-        if (!self(one.getKey())) {
-          send(one.getKey(), one.getValue());
+        if (!isSelf(one.getKey())) {
+          replicateTo(one.getKey(), one.getValue());
         }
       }
-      wanted = false;
+      responseWanted = false;
     }
   }
 
@@ -168,109 +169,111 @@
    * What was lost with a link shows at the next beat: it names an entry that the peer lacks, and is
    * denied.
    */
-  private void send(final String identity, final PeerProgress progress) {
+  private void replicateTo(final String identity, final PeerProgress progress) {
     final long nowMs = raftNode.context.nowMs();
     final RaftLog log = raftNode.log;
-    if (progress.relay != null) {
-      raftNode.relay.tell(identity, progress, readIndexRequests.newest());
+    if (progress.relayAddress != null) {
+      raftNode.relay.sendHeartbeat(identity, progress, readIndexRequests.newestRound());
       return;
     }
-    final boolean silent = nowMs - progress.heardMs > APPEND_RETRY_MS;
+    final boolean silent = nowMs - progress.lastContactMs > APPEND_RETRY_MS;
     // A newcomer with nothing also needs to learn who votes, which only a snapshot tells.
     // None is built for a silent peer: it gets a beat, which it denies once it is back.
     final boolean behind =
-        progress.next <= log.baseIndex()
-            || progress.next == 1 && !raftNode.voters().contains(identity);
-    if (behind && (!silent || snapshotTransfer.sends(identity))) {
-      snapshotTransfer.send(identity, nowMs);
+        progress.nextIndex <= log.snapshotIndex()
+            || progress.nextIndex == 1 && !raftNode.voters().contains(identity);
+    if (behind && (!silent || snapshotTransfer.isSendingTo(identity))) {
+      snapshotTransfer.startOrProbe(identity, nowMs);
       return;
     }
     final AppendEntriesRequest request = new AppendEntriesRequest();
-    request.prevIndex = progress.next - 1;
+    request.prevIndex = progress.nextIndex - 1;
     request.prevTerm = log.termAt(request.prevIndex);
-    request.commit = raftNode.commit();
-    request.round = readIndexRequests.newest();
-    request.quiet = !wanted;
+    request.commitIndex = raftNode.commitIndex();
+    request.round = readIndexRequests.newestRound();
+    request.responseOptional = !responseWanted;
     // A silent peer gets beats only: what it misses would pile up on its link.
     if (!silent) {
-      request.entries = progress.slice(log, nowMs);
+      request.entries = progress.nextEntries(log, nowMs);
     }
-    progress.next += request.entries.size();
+    progress.nextIndex += request.entries.size();
     raftNode.sendTo(identity, request);
   }
 
-  void answered(final AppendEntriesResponse response) {
-    raftNode.seen(response.term);
+  void onAppendEntriesResponse(final AppendEntriesResponse response) {
+    raftNode.observeTerm(response.term);
     final PeerProgress progress = progressByMember.get(response.from);
-    if (!raftNode.leadsTerm() || response.term != raftNode.storage.term || progress == null) {
+    if (!raftNode.isLeader() || response.term != raftNode.storage.term || progress == null) {
       return;
     }
-    final boolean wasSilent = raftNode.context.nowMs() - progress.heardMs > APPEND_RETRY_MS;
-    progress.heardMs = raftNode.context.nowMs();
-    progress.round = Math.max(progress.round, response.round);
+    final boolean wasSilent = raftNode.context.nowMs() - progress.lastContactMs > APPEND_RETRY_MS;
+    progress.lastContactMs = raftNode.context.nowMs();
+    progress.confirmedRound = Math.max(progress.confirmedRound, response.round);
     if (response.accepted) {
-      progress.accepted(response.match, progress.heardMs);
+      progress.onAccepted(response.matchIndex, progress.lastContactMs);
     } else {
-      progress.next = Math.max(progress.match, Math.min(progress.next - 2, response.match)) + 1;
+      progress.nextIndex =
+          Math.max(progress.matchIndex, Math.min(progress.nextIndex - 2, response.matchIndex)) + 1;
     }
-    if (progress.next <= raftNode.log.lastIndex()
-        && (!response.accepted || wasSilent || progress.match == progress.next - 1)) {
-      send(response.from, progress);
+    if (progress.nextIndex <= raftNode.log.lastIndex()
+        && (!response.accepted || wasSilent || progress.matchIndex == progress.nextIndex - 1)) {
+      replicateTo(response.from, progress);
     }
-    advance();
-    readIndexRequests.look(this);
-    reconfiguration.handOn(response.from, progress);
+    advanceCommitIndex();
+    readIndexRequests.completeConfirmed(this);
+    reconfiguration.continueTransfer(response.from, progress);
   }
 
-  void synced() {
-    if (raftNode.leadsTerm()) {
-      advance();
+  void onSynced() {
+    if (raftNode.isLeader()) {
+      advanceCommitIndex();
     }
   }
 
-  private void advance() {
+  private void advanceCommitIndex() {
     final List<String> voters = raftNode.voters();
-    final long[] matches = new long[voters.size()];
-    for (int i = 0; i < matches.length; i++) {
-      matches[i] =
-          self(voters.get(i))
+    final long[] matchIndexes = new long[voters.size()];
+    for (int i = 0; i < matchIndexes.length; i++) {
+      matchIndexes[i] =
+          isSelf(voters.get(i))
               ? raftNode.commitTracker.syncedIndex()
-              : standing(voters.get(i)).match;
+              : progressOf(voters.get(i)).matchIndex;
     }
-    java.util.Arrays.sort(matches);
-    final long majority = matches[(matches.length - 1) / 2];
+    java.util.Arrays.sort(matchIndexes);
+    final long majorityIndex = matchIndexes[(matchIndexes.length - 1) / 2];
     // Only entries of the own term are counted; older ones are committed along with them.
-    if (majority > raftNode.commit() && raftNode.log.termAt(majority) == raftNode.storage.term) {
-      raftNode.commitTracker.commitTo(majority);
-      tellCommit();
+    if (majorityIndex > raftNode.commitIndex()
+        && raftNode.log.termAt(majorityIndex) == raftNode.storage.term) {
+      raftNode.commitTracker.advanceCommitIndex(majorityIndex);
+      scheduleCommitNotice();
     }
   }
 
-  void advanced() {
-    if (!announced && raftNode.applied() >= firstIndex) {
-      announced = true;
-      raftNode.announceLeading();
+  void onCommitIndexAdvanced() {
+    if (!leadershipAnnounced && raftNode.appliedIndex() >= firstIndexOfTerm) {
+      leadershipAnnounced = true;
+      raftNode.announceLeadership();
     }
     // A leader that voted itself out goes once that is committed.
-    if (raftNode.log.lastVotersIndex() <= raftNode.commit()
+    if (raftNode.log.lastVoterChangeIndex() <= raftNode.commitIndex()
         && !raftNode.voters().contains(raftNode.identity())) {
-      raftNode.follow(null);
+      raftNode.becomeFollower(null);
     }
   }
 
-  void confirm(final Consumer<Boolean> done) {
-    readIndexRequests.ask(done);
-    wanted = true;
+  void confirmLeadership(final Consumer<Boolean> done) {
+    readIndexRequests.add(done);
+    responseWanted = true;
     if (raftNode.voters().size() == 1) {
-      readIndexRequests.look(this);
+      readIndexRequests.completeConfirmed(this);
     } else {
-      sendSoon();
+      scheduleSend();
     }
   }
 
-  void learn(final RaftMessages.JoinRequest request) {
-    if (raftNode.leadsTerm()) {
-      standing(request.from).said(request, raftNode.context.nowMs());
+  void onJoinRequest(final RaftMessages.JoinRequest request) {
+    if (raftNode.isLeader()) {
+      progressOf(request.from).onJoinRequest(request, raftNode.context.nowMs());
     }
   }
 }
--- a/src/main/java/yewjunction/raft/LocalDisk.java
+++ b/src/main/java/yewjunction/raft/LocalDisk.java
@@ -19,7 +19,7 @@
 /** The real disk: files in one folder. Used by one thread at a time. */
 public final class LocalDisk implements Disk {
   private final Path folder;
-  private final Map<String, FileChannel> open = new HashMap<>();
+  private final Map<String, FileChannel> openFiles = new HashMap<>();
 
   public LocalDisk(final Path folder) {
     this.folder = folder;
@@ -34,7 +34,7 @@
     T run() throws IOException;
   }
 
-  private static <T> T guard(final String what, final IoOperation<T> step) {
+  private static <T> T withStorageErrors(final String what, final IoOperation<T> step) {
     try {
       return step.run();
     } catch (final IOException failure) {
@@ -43,18 +43,18 @@
   }
 
   private FileChannel channel(final String name) throws IOException {
-    FileChannel channel = open.get(name);
+    FileChannel channel = openFiles.get(name);
     if (channel == null) {
       channel = FileChannel.open(folder.resolve(name), CREATE, READ, WRITE);
       channel.position(channel.size());
-      open.put(name, channel);
+      openFiles.put(name, channel);
     }
     return channel;
   }
 
   @Override
   public byte[] read(final String name) {
-    return guard(
+    return withStorageErrors(
         "read " + name,
         () -> Files.exists(folder.resolve(name)) ? Files.readAllBytes(folder.resolve(name)) : null);
   }
@@ -62,13 +62,13 @@
   @Override
   public void append(final String name, final byte[] bytes) {
     // Outside of what may be cut back: a file that cannot be opened keeps its length.
-    final FileChannel channel = guard("open " + name, () -> channel(name));
-    final long before = guard("position of " + name, channel::position);
+    final FileChannel channel = withStorageErrors("open " + name, () -> channel(name));
+    final long before = withStorageErrors("position of " + name, channel::position);
     try {
       write(channel, bytes);
     } catch (final IOException failure) {
       // What was written in part goes again, so that the same can be tried once there is room.
-      guard("cut back " + name, () -> channel.truncate(before).position(before));
+      withStorageErrors("cut back " + name, () -> channel.truncate(before).position(before));
       throw new StorageException(
           STORAGE_FULL, "append " + name + ": " + failure.getMessage(), failure);
     }
@@ -82,13 +82,13 @@
   }
 
   @Override
-  public void cut(final String name, final long length) {
-    guard("cut " + name, () -> channel(name).truncate(length).position(length));
+  public void truncate(final String name, final long length) {
+    withStorageErrors("cut " + name, () -> channel(name).truncate(length).position(length));
   }
 
   @Override
   public void sync(final String name) {
-    guard(
+    withStorageErrors(
         "sync " + name,
         () -> {
           channel(name).force(false);
@@ -109,7 +109,7 @@
       // The old file stands as it was; the new one gives its room back, which an open file would
       // keep.
       final FileChannel given = written;
-      guard(
+      withStorageErrors(
           "remove " + fresh,
           () -> {
             if (given != null) {
@@ -121,14 +121,14 @@
           STORAGE_FULL, "replace " + name + ": " + failure.getMessage(), failure);
     }
     final FileChannel channel = written;
-    guard(
+    withStorageErrors(
         "replace " + name,
         () -> {
           try (FileChannel folderChannel = FileChannel.open(folder, READ)) {
             folderChannel.force(true);
           }
           // The moved file stays open under its new name.
-          final FileChannel old = open.put(name, channel);
+          final FileChannel old = openFiles.put(name, channel);
           if (old != null) {
             old.close();
           }
--- a/src/main/java/yewjunction/raft/LogEntry.java
+++ b/src/main/java/yewjunction/raft/LogEntry.java
@@ -2,7 +2,7 @@
 
 /** One entry of the log. */
 public final class LogEntry {
-  static final int NOTHING = 0;
+  static final int NO_OP = 0;
   static final int DATA = 1;
   static final int VOTERS = 2;
 
--- a/src/main/java/yewjunction/raft/LogRecord.java
+++ b/src/main/java/yewjunction/raft/LogRecord.java
@@ -11,8 +11,8 @@
  * Flyweight over a checksummed record: length, sum, how far the file was synced then, kind, body.
  */
 final class LogRecord {
-  static final int HEAD = 4 + 4 + 8 + 1;
-  private static final int MOST = 64 << 20;
+  static final int HEADER_BYTES = 4 + 4 + 8 + 1;
+  private static final int MAX_BODY_BYTES = 64 << 20;
   private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
   private int offset;
 
@@ -20,23 +20,23 @@
    * What a file holds: good records, where the good part ends, and whether synced records lie
    * behind that.
    */
-  record ScanResult(List<Content> pieces, int goodBytes, boolean damaged) {}
+  record ScanResult(List<Content> records, int validBytes, boolean damaged) {}
 
   /** Kind and body of a record. */
   record Content(int kind, byte[] body) {}
 
-  static byte[] wrapBody(final int kind, final byte[] body, final long syncedTo) {
-    final byte[] whole = new byte[HEAD + body.length];
+  static byte[] encode(final int kind, final byte[] body, final long syncedTo) {
+    final byte[] whole = new byte[HEADER_BYTES + body.length];
     final UnsafeBuffer out = new UnsafeBuffer(whole);
     out.putInt(0, body.length, BIG_ENDIAN);
     out.putLong(8, syncedTo, BIG_ENDIAN);
     out.putByte(16, (byte) kind);
-    out.putBytes(HEAD, body);
-    out.putInt(4, sum(whole, 8, whole.length - 8), BIG_ENDIAN);
+    out.putBytes(HEADER_BYTES, body);
+    out.putInt(4, checksum(whole, 8, whole.length - 8), BIG_ENDIAN);
     return whole;
   }
 
-  private static int sum(final byte[] bytes, final int offset, final int length) {
+  private static int checksum(final byte[] bytes, final int offset, final int length) {
     final CRC32C crc = new CRC32C();
     crc.update(bytes, offset, length);
     return (int) crc.getValue();
@@ -52,32 +52,33 @@
     return buffer.getInt(offset, BIG_ENDIAN);
   }
 
-  private boolean good(final byte[] bytes) {
-    if (offset + HEAD > bytes.length) {
+  private boolean isValid(final byte[] bytes) {
+    if (offset + HEADER_BYTES > bytes.length) {
       return false;
     }
     final int length = length();
     return length >= 0
-        && length <= MOST
-        && offset + HEAD + length <= bytes.length
-        && buffer.getInt(offset + 4, BIG_ENDIAN) == sum(bytes, offset + 8, HEAD - 8 + length);
+        && length <= MAX_BODY_BYTES
+        && offset + HEADER_BYTES + length <= bytes.length
+        && buffer.getInt(offset + 4, BIG_ENDIAN)
+            == checksum(bytes, offset + 8, HEADER_BYTES - 8 + length);
   }
 
-  static ScanResult read(final byte[] bytes) {
+  static ScanResult scan(final byte[] bytes) {
     final LogRecord record = new LogRecord();
     final List<Content> pieces = new ArrayList<>();
     int at = 0;
-    while (at < bytes.length && record.wrap(bytes, at).good(bytes)) {
+    while (at < bytes.length && record.wrap(bytes, at).isValid(bytes)) {
       final byte[] body = new byte[record.length()];
-      System.arraycopy(bytes, at + HEAD, body, 0, body.length);
+      System.arraycopy(bytes, at + HEADER_BYTES, body, 0, body.length);
       pieces.add(new Content(bytes[at + 16], body));
-      at += HEAD + body.length;
+      at += HEADER_BYTES + body.length;
     }
     // A bad record is a torn tail, unless a later good one says that this place had been synced.
     boolean damaged = false;
     for (int later = at + 1; later < bytes.length && !damaged; later++) {
       damaged =
-          record.wrap(bytes, later).good(bytes)
+          record.wrap(bytes, later).isValid(bytes)
               && record.buffer.getLong(later + 8, BIG_ENDIAN) > at;
     }
     return new ScanResult(pieces, at, damaged);
--- a/src/main/java/yewjunction/raft/MessageRouter.java
+++ b/src/main/java/yewjunction/raft/MessageRouter.java
@@ -31,41 +31,43 @@
     this.election = election;
   }
 
-  void listen() {
-    raftNode.transport.onClose(raftNode::closed);
-    on(FetchRequest.class, raftNode.relay::asked);
-    on(FetchResponse.class, (connection, response) -> raftNode.relay.taken(response));
-    on(VoteRequest.class, followerState::ask);
-    on(VoteResponse.class, (connection, response) -> election.granted(response));
-    on(AppendEntriesRequest.class, followerState::append);
-    on(AppendEntriesResponse.class, (connection, response) -> leaderState.answered(response));
-    on(InstallSnapshotRequest.class, followerState::image);
-    on(
+  void registerHandlers() {
+    raftNode.transport.onClose(raftNode::onClose);
+    handle(FetchRequest.class, raftNode.relay::onFetchRequest);
+    handle(FetchResponse.class, (connection, response) -> raftNode.relay.onFetchResponse(response));
+    handle(VoteRequest.class, followerState::onVoteRequest);
+    handle(VoteResponse.class, (connection, response) -> election.onVoteResponse(response));
+    handle(AppendEntriesRequest.class, followerState::onAppendEntries);
+    handle(
+        AppendEntriesResponse.class,
+        (connection, response) -> leaderState.onAppendEntriesResponse(response));
+    handle(InstallSnapshotRequest.class, followerState::onInstallSnapshot);
+    handle(
         InstallSnapshotResponse.class,
-        (connection, response) -> leaderState.snapshotTransfer.answered(response));
-    on(
+        (connection, response) -> leaderState.snapshotTransfer.onInstallSnapshotResponse(response));
+    handle(
         JoinRequest.class,
         (connection, request) -> {
-          if (raftNode.leadsTerm()) {
-            leaderState.learn(request);
-          } else if (request.passedOn == null && raftNode.leader() != null) {
+          if (raftNode.isLeader()) {
+            leaderState.onJoinRequest(request);
+          } else if (request.forwarded == null && raftNode.leader() != null) {
             // The newcomer may not know the leader's machine yet; passed on once, so that it never
             // runs in circles.
-            request.passedOn = true;
-            raftNode.transport.dial(RaftNode.address(raftNode.leader())).send(request);
+            request.forwarded = true;
+            raftNode.transport.dial(RaftNode.addressOf(raftNode.leader())).send(request);
           }
         });
-    on(
+    handle(
         TimeoutNowRequest.class,
         (connection, request) -> {
           // Only the leader of this very term may name its follower.
           if (request.term == raftNode.storage.term) {
-            election.stand(true);
+            election.campaign(true);
           }
         });
   }
 
-  private <T extends RaftMessages.RaftMessage> void on(
+  private <T extends RaftMessages.RaftMessage> void handle(
       final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
     raftNode.transport.on(
         kind,
@@ -74,8 +76,8 @@
           final boolean forThis =
               letter.group == raftNode.group
                   && raftNode.identity() != null
-                  && raftNode.handshakes.heard(connection, letter);
-          if (forThis && !raftNode.stopped()) {
+                  && raftNode.handshakes.accept(connection, letter);
+          if (forThis && !raftNode.isStopped()) {
             handler.accept(connection, letter);
           }
         });
--- a/src/main/java/yewjunction/raft/PeerProgress.java
+++ b/src/main/java/yewjunction/raft/PeerProgress.java
@@ -10,41 +10,41 @@
 
 /** How far a peer is. */
 final class PeerProgress {
-  long next;
-  long match;
-  long round;
-  long heardMs;
-  double late;
+  long nextIndex;
+  long matchIndex;
+  long confirmedRound;
+  long lastContactMs;
+  double lateShare;
   boolean wantsVote;
 
   /** When it last said that its process ends, 0 when it did not. */
-  long leavesMs;
+  long leavingSinceMs;
 
   /**
    * Who hands entries on to it inside its zone, null while the leader does; and when it was told so
    * last.
    */
-  String relay;
+  String relayAddress;
 
-  long relayToldMs;
+  long relayAnnouncedMs;
 
   /** What was committed when this was last looked at, and since when the peer has not taken it. */
-  private long goal;
+  private long targetIndex;
 
-  private long goalMs;
+  private long targetSinceMs;
 
   /**
    * Far behind; where what it was sent last ends, 0 when that was answered; and when it was sent.
    */
-  private boolean behind;
+  private boolean catchingUp;
 
-  private long windowEnd;
+  private long inFlightEnd;
   private long sentMs;
   private final AdaptiveChunkSize chunkSize = new AdaptiveChunkSize(MAX_APPEND_BYTES);
 
-  void said(final RaftMessages.JoinRequest request, final long nowMs) {
+  void onJoinRequest(final RaftMessages.JoinRequest request, final long nowMs) {
     wantsVote = request.wantsVote;
-    leavesMs = request.leaves == null ? 0 : nowMs;
+    leavingSinceMs = request.leaving == null ? 0 : nowMs;
   }
 
   /**
@@ -52,45 +52,45 @@
    * beat: it gets a little at a time, each after the answer to the one before, or after a denial
    * when that was lost.
    */
-  List<LogEntry> slice(final RaftLog log, final long nowMs) {
-    if (windowEnd > match && next == windowEnd + 1) {
+  List<LogEntry> nextEntries(final RaftLog log, final long nowMs) {
+    if (inFlightEnd > matchIndex && nextIndex == inFlightEnd + 1) {
       return List.of();
     }
-    windowEnd = 0;
+    inFlightEnd = 0;
     // One that was far behind stays so until the rest is small, too: all of it at once would hold
     // beats up at the end.
-    behind =
-        behind
-            ? log.exceeds(next, MAX_APPEND_ENTRIES, CAUGHT_UP_BYTES)
-            : log.exceeds(next, RETAINED_TAIL_ENTRIES, MAX_APPEND_BYTES);
-    if (!behind) {
-      return log.slice(next, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES);
+    catchingUp =
+        catchingUp
+            ? log.exceeds(nextIndex, MAX_APPEND_ENTRIES, CAUGHT_UP_BYTES)
+            : log.exceeds(nextIndex, RETAINED_TAIL_ENTRIES, MAX_APPEND_BYTES);
+    if (!catchingUp) {
+      return log.slice(nextIndex, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES);
     }
-    final List<LogEntry> entries = log.slice(next, MAX_APPEND_ENTRIES, chunkSize.bytes());
-    windowEnd = next - 1 + entries.size();
+    final List<LogEntry> entries = log.slice(nextIndex, MAX_APPEND_ENTRIES, chunkSize.bytes());
+    inFlightEnd = nextIndex - 1 + entries.size();
     sentMs = nowMs;
     return entries;
   }
 
   /** It holds more than before. */
-  void accepted(final long newMatch, final long nowMs) {
-    match = Math.max(match, newMatch);
-    next = Math.max(next, match + 1);
-    if (windowEnd > 0 && match >= windowEnd) {
-      windowEnd = 0;
-      chunkSize.took(nowMs - sentMs);
+  void onAccepted(final long newMatch, final long nowMs) {
+    matchIndex = Math.max(matchIndex, newMatch);
+    nextIndex = Math.max(nextIndex, matchIndex + 1);
+    if (inFlightEnd > 0 && matchIndex >= inFlightEnd) {
+      inFlightEnd = 0;
+      chunkSize.onAcknowledged(nowMs - sentMs);
     }
   }
 
-  void keepUp(final long commit, final long nowMs) {
-    if (match >= goal || goalMs == 0) {
-      goal = commit;
-      goalMs = nowMs;
+  void updateTarget(final long commit, final long nowMs) {
+    if (matchIndex >= targetIndex || targetSinceMs == 0) {
+      targetIndex = commit;
+      targetSinceMs = nowMs;
     }
   }
 
   /** Answers, perhaps, but its disk does not take what a majority's disks took long ago. */
-  boolean lags(final long nowMs) {
-    return match < goal && nowMs - goalMs > VOTER_LAG_TIMEOUT_MS;
+  boolean isLagging(final long nowMs) {
+    return matchIndex < targetIndex && nowMs - targetSinceMs > VOTER_LAG_TIMEOUT_MS;
   }
 }
--- a/src/main/java/yewjunction/raft/RaftLog.java
+++ b/src/main/java/yewjunction/raft/RaftLog.java
@@ -10,40 +10,40 @@
   /** Those of the entries that change voters: few, and asked for at every turn. */
   private final ArrayList<LogEntry> voterChanges = new ArrayList<>();
 
-  private long baseIndex;
-  private long baseTerm;
-  private List<String> baseVoters = List.of();
+  private long snapshotIndex;
+  private long snapshotTerm;
+  private List<String> snapshotVoters = List.of();
 
   void reset(final long index, final long term, final List<String> voters) {
     entries.clear();
     voterChanges.clear();
-    baseIndex = index;
-    baseTerm = term;
-    baseVoters = List.copyOf(voters);
+    snapshotIndex = index;
+    snapshotTerm = term;
+    snapshotVoters = List.copyOf(voters);
   }
 
-  long baseIndex() {
-    return baseIndex;
+  long snapshotIndex() {
+    return snapshotIndex;
   }
 
   long lastIndex() {
-    return baseIndex + entries.size();
+    return snapshotIndex + entries.size();
   }
 
   long lastTerm() {
-    return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term;
+    return entries.isEmpty() ? snapshotTerm : entries.get(entries.size() - 1).term;
   }
 
   /** The term at an index, or -1 where the log does not reach. */
   long termAt(final long index) {
-    if (index == baseIndex) {
-      return baseTerm;
+    if (index == snapshotIndex) {
+      return snapshotTerm;
     }
-    return index < baseIndex || index > lastIndex() ? -1 : get(index).term;
+    return index < snapshotIndex || index > lastIndex() ? -1 : get(index).term;
   }
 
   LogEntry get(final long index) {
-    return entries.get((int) (index - baseIndex - 1));
+    return entries.get((int) (index - snapshotIndex - 1));
   }
 
   void append(final LogEntry entry) {
@@ -58,23 +58,23 @@
     }
   }
 
-  void cutFrom(final long index) {
+  void truncateFrom(final long index) {
     while (lastIndex() >= index && !entries.isEmpty()) {
       entries.remove(entries.size() - 1);
     }
     voterChanges.removeIf(entry -> entry.index >= index);
   }
 
-  void dropTo(final long index) {
+  void discardThrough(final long index) {
     final long newTerm = termAt(index);
-    if (newTerm < 0 || index <= baseIndex) {
+    if (newTerm < 0 || index <= snapshotIndex) {
       return;
     }
-    baseVoters = votersAt(index);
-    entries.subList(0, (int) (index - baseIndex)).clear();
+    snapshotVoters = votersAt(index);
+    entries.subList(0, (int) (index - snapshotIndex)).clear();
     voterChanges.removeIf(entry -> entry.index <= index);
-    baseIndex = index;
-    baseTerm = newTerm;
+    snapshotIndex = index;
+    snapshotTerm = newTerm;
     entries.trimToSize();
   }
 
@@ -90,10 +90,10 @@
   }
 
   /** How far back of an index the log reaches within so many entries and bytes. */
-  long reachBack(final long index, final int mostEntries, final int mostBytes) {
+  long startOfTail(final long index, final int mostEntries, final int mostBytes) {
     long start = index;
     long bytes = 0;
-    while (start > baseIndex && index - start < mostEntries && bytes < mostBytes) {
+    while (start > snapshotIndex && index - start < mostEntries && bytes < mostBytes) {
       bytes += get(start).data.length;
       start--;
     }
@@ -102,16 +102,16 @@
 
   /** The voters in force when the log ends at that index. */
   List<String> votersAt(final long index) {
-    for (int place = voterChanges.size() - 1; place >= 0; place--) {
-      if (voterChanges.get(place).index <= index) {
-        return RaftStorage.votersOf(voterChanges.get(place).data);
+    for (int position = voterChanges.size() - 1; position >= 0; position--) {
+      if (voterChanges.get(position).index <= index) {
+        return RaftStorage.decodeVoters(voterChanges.get(position).data);
       }
     }
-    return baseVoters;
+    return snapshotVoters;
   }
 
-  long lastVotersIndex() {
-    return voterChanges.isEmpty() ? baseIndex : voterChanges.get(voterChanges.size() - 1).index;
+  long lastVoterChangeIndex() {
+    return voterChanges.isEmpty() ? snapshotIndex : voterChanges.get(voterChanges.size() - 1).index;
   }
 
   List<LogEntry> slice(final long from, final int mostEntries, final int mostBytes) {
--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -8,7 +8,7 @@
 public final class RaftMessages {
   private RaftMessages() {}
 
-  public static void know(final MessageCodec codec) {
+  public static void register(final MessageCodec codec) {
     codec
         .know(10, VoteRequest.class)
         .know(11, VoteResponse.class)
@@ -44,7 +44,7 @@
   }
 
   /** 0 stands for anyone. */
-  static long shortened(final String identity) {
+  static long identityHash(final String identity) {
     long hash = 0xcbf29ce484222325L;
     for (int at = 0; at < identity.length(); at++) {
       hash = (hash ^ identity.charAt(at)) * 0x100000001b3L;
@@ -54,35 +54,35 @@
 
   /** For a vote, or, when pre is set, whether a vote would be given. */
   static final class VoteRequest extends RaftMessage {
-    boolean pre;
-    boolean handedOver;
+    boolean preVote;
+    boolean leadershipTransfer;
     long lastIndex;
     long lastTerm;
   }
 
   static final class VoteResponse extends RaftMessage {
-    boolean pre;
+    boolean preVote;
     boolean granted;
   }
 
   static final class AppendEntriesRequest extends RaftMessage {
     long prevIndex;
     long prevTerm;
-    long commit;
+    long commitIndex;
     long round;
 
     /** No answer is needed when all is as the leader thinks. */
-    boolean quiet;
+    boolean responseOptional;
 
     List<LogEntry> entries = new ArrayList<>();
 
     /** Where the receiver fetches committed entries; null for one whom the leader serves itself. */
-    String relay;
+    String relayAddress;
   }
 
   /** A member without a vote asks one of its zone for what is committed behind its own end. */
   static final class FetchRequest extends RaftMessage {
-    long next;
+    long nextIndex;
     long lastTerm;
   }
 
@@ -94,7 +94,7 @@
 
   static final class AppendEntriesResponse extends RaftMessage {
     boolean accepted;
-    long match;
+    long matchIndex;
     long round;
   }
 
@@ -107,13 +107,13 @@
     /** Where this piece begins, and how long the whole is. */
     int offset;
 
-    int length;
-    byte[] piece = new byte[0];
+    int totalBytes;
+    byte[] chunk = new byte[0];
 
     /**
      * Which of the sender's snapshots in its term: two of the same index may differ in their bytes.
      */
-    long number;
+    long snapshotNumber;
 
     /** Which letter of this snapshot; one without a piece only asks what is held. */
     int attempt;
@@ -122,10 +122,10 @@
   /** How much of a snapshot a peer holds. */
   static final class InstallSnapshotResponse extends RaftMessage {
     long lastIndex;
-    int held;
+    int receivedBytes;
 
     /** Of the letter that it answers. */
-    long number;
+    long snapshotNumber;
 
     int attempt;
   }
@@ -140,9 +140,9 @@
     boolean wantsVote;
 
     /** By a member that does not lead itself. */
-    Boolean passedOn;
+    Boolean forwarded;
 
     /** Its process ends: a voter's seat is for somebody else. */
-    Boolean leaves;
+    Boolean leaving;
   }
 }
--- a/src/main/java/yewjunction/raft/RaftNode.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -15,9 +15,9 @@
 public final class RaftNode {
   /** What a member is in its current term. */
   enum Role {
-    FOLLOWS,
-    STANDS,
-    LEADS
+    FOLLOWER,
+    CANDIDATE,
+    LEADER
   }
 
   final int group;
@@ -33,10 +33,10 @@
   final ConnectionHandshakes handshakes;
   final ZoneRelay relay;
   final GroupMembership groupMembership;
-  private Role role = Role.FOLLOWS;
+  private Role role = Role.FOLLOWER;
   private String leaderIdentity;
   private PeerConnection leaderConnection;
-  private long heardMs;
+  private long leaderContactMs;
   private boolean stopped;
 
   public RaftNode(
@@ -60,7 +60,7 @@
     followerState = new FollowerState(this);
     election = new Election(this);
     commitTracker = new CommitTracker(this, stateMachine);
-    heardMs = -MAX_ELECTION_TIMEOUT_MS;
+    leaderContactMs = -MAX_ELECTION_TIMEOUT_MS;
     LogEvent.LEDGER_OPENED.info(
         "group "
             + group
@@ -75,16 +75,16 @@
   }
 
   /** Names a member whose disk was empty. */
-  public void name(final String identity) {
+  public void assignIdentity(final String identity) {
     storage.saveIdentity(identity, () -> {});
   }
 
   /** The first voters; has no effect on a log that has some. */
-  public void found(final List<String> firstVoters) {
+  public void bootstrap(final List<String> firstVoters) {
     if (voters().isEmpty() && log.lastIndex() == 0) {
       log.reset(0, 0, firstVoters);
       storage.rewrite(0, stateMachine.snapshot(), () -> {});
-      restartClock();
+      resetElectionTimeout();
     }
   }
 
@@ -101,12 +101,12 @@
   }
 
   /** A short name for an identity, from what was drawn at the start: it travels in every letter. */
-  public static String drawnName(final long drawn) {
+  public static String identitySuffix(final long drawn) {
     final String whole = Long.toString(drawn >>> 1, Character.MAX_RADIX);
     return whole.substring(Math.max(0, whole.length() - 7));
   }
 
-  public static String address(final String identity) {
+  public static String addressOf(final String identity) {
     return identity.substring(0, identity.indexOf('#'));
   }
 
@@ -118,25 +118,27 @@
     return leaderIdentity;
   }
 
-  public long commit() {
-    return commitTracker.commit();
+  public long commitIndex() {
+    return commitTracker.commitIndex();
   }
 
-  public long applied() {
-    return commitTracker.applied();
+  public long appliedIndex() {
+    return commitTracker.appliedIndex();
   }
 
   /** True when this member leads and has applied all that was committed before its term. */
-  public boolean leads() {
-    return role == Role.LEADS && commitTracker.applied() >= leaderState.firstIndex() && !stopped;
+  public boolean isReadyLeader() {
+    return role == Role.LEADER
+        && commitTracker.appliedIndex() >= leaderState.firstIndexOfTerm()
+        && !stopped;
   }
 
-  boolean stopped() {
+  boolean isStopped() {
     return stopped;
   }
 
-  boolean leadsTerm() {
-    return role == Role.LEADS && !stopped;
+  boolean isLeader() {
+    return role == Role.LEADER && !stopped;
   }
 
   /**
@@ -144,128 +146,128 @@
    * first.
    */
   public boolean propose(final byte[] data, final Consumer<Boolean> done) {
-    if (!leads() || leaderState.reconfiguration.handing()) {
+    if (!isReadyLeader() || leaderState.reconfiguration.isTransferring()) {
       return false;
     }
     final long index = leaderState.append(LogEntry.DATA, data);
-    commitTracker.await(index, storage.term, done);
+    commitTracker.onceApplied(index, storage.term, done);
     return true;
   }
 
   /** Asks a majority whether this member still leads; true comes only after that. */
-  public void confirm(final Consumer<Boolean> done) {
-    if (leads()) {
-      leaderState.confirm(done);
+  public void confirmLeadership(final Consumer<Boolean> done) {
+    if (isReadyLeader()) {
+      leaderState.confirmLeadership(done);
     } else {
       done.accept(false);
     }
   }
 
   /** How far entries are synced, committed and applied here. */
-  public CommitTracker course() {
+  public CommitTracker commitTracker() {
     return commitTracker;
   }
 
   /** Who votes, decided by the leader. */
-  public VoterReconfiguration electorate() {
+  public VoterReconfiguration reconfiguration() {
     return leaderState.reconfiguration;
   }
 
   /** This member's own side of its membership. */
-  public GroupMembership membership() {
+  public GroupMembership groupMembership() {
     return groupMembership;
   }
 
   /** Takes the group's letters from the post. */
-  public void listen() {
-    new MessageRouter(this, followerState, leaderState, election).listen();
+  public void registerHandlers() {
+    new MessageRouter(this, followerState, leaderState, election).registerHandlers();
   }
 
-  <T extends RaftMessages.RaftMessage> T addressed(final T letter, final String to) {
+  <T extends RaftMessages.RaftMessage> T withHeader(final T letter, final String to) {
     letter.group = group;
     letter.from = storage.identity;
-    letter.to = to == null ? 0 : RaftMessages.shortened(to);
+    letter.to = to == null ? 0 : RaftMessages.identityHash(to);
     letter.term = storage.term;
     return letter;
   }
 
   void sendTo(final String identity, final RaftMessages.RaftMessage message) {
-    handshakes.send(transport.dial(address(identity)), addressed(message, identity));
+    handshakes.send(transport.dial(addressOf(identity)), withHeader(message, identity));
   }
 
-  void restartClock() {
-    election.restartClock();
+  void resetElectionTimeout() {
+    election.resetTimeout();
   }
 
   /** Heard of no leader for a while: none is in reach, or this member is no longer told. */
-  public boolean leaderless() {
-    return leaderIdentity == null && context.nowMs() - heardMs > LEADER_SEARCH_AFTER_MS;
+  public boolean hasNoLeader() {
+    return leaderIdentity == null && context.nowMs() - leaderContactMs > LEADER_SEARCH_AFTER_MS;
   }
 
-  boolean heardLately() {
-    return role == Role.LEADS
-        || leaderIdentity != null && context.nowMs() - heardMs < MIN_ELECTION_TIMEOUT_MS;
+  boolean hasRecentLeader() {
+    return role == Role.LEADER
+        || leaderIdentity != null && context.nowMs() - leaderContactMs < MIN_ELECTION_TIMEOUT_MS;
   }
 
-  void heardOn(final PeerConnection connection) {
+  void onLeaderContact(final PeerConnection connection) {
     leaderConnection = connection;
   }
 
-  void closed(final PeerConnection connection) {
-    handshakes.closed(connection);
-    relay.closed(connection);
-    if (connection == leaderConnection && role == Role.FOLLOWS && !stopped) {
+  void onClose(final PeerConnection connection) {
+    handshakes.onClose(connection);
+    relay.onClose(connection);
+    if (connection == leaderConnection && role == Role.FOLLOWER && !stopped) {
       leaderConnection = null;
-      heardMs = context.nowMs() - MIN_ELECTION_TIMEOUT_MS;
-      election.leaderLinkBroke();
+      leaderContactMs = context.nowMs() - MIN_ELECTION_TIMEOUT_MS;
+      election.onLeaderDisconnected();
     }
   }
 
-  void stands() {
-    role = Role.STANDS;
+  void becomeCandidate() {
+    role = Role.CANDIDATE;
   }
 
-  void lead() {
-    role = Role.LEADS;
+  void becomeLeader() {
+    role = Role.LEADER;
     leaderIdentity = storage.identity;
-    leaderState.begin();
+    leaderState.start();
   }
 
   /** A later term was seen: whatever this member was, it follows now. */
-  void seen(final long newTerm) {
+  void observeTerm(final long newTerm) {
     if (newTerm > storage.term) {
       storage.saveVote(newTerm, "", () -> {});
-      follow(null);
+      becomeFollower(null);
     }
   }
 
-  void follow(final String newLeader) {
-    final boolean led = role == Role.LEADS;
-    role = Role.FOLLOWS;
+  void becomeFollower(final String newLeader) {
+    final boolean led = role == Role.LEADER;
+    role = Role.FOLLOWER;
     if (led) {
       // Whoever is told no here must not find a leader any more: it would propose in a term that is
       // another's.
       LogEvent.LEADER_LOST.info("group " + group + " term " + storage.term);
-      leaderState.end();
+      leaderState.stop();
     }
-    election.over();
+    election.end();
     if (newLeader == null && leaderIdentity != null) {
       leaderIdentity = null;
-      commitTracker.dropProposals();
-      stateMachine.leader(null, false);
+      commitTracker.failProposals();
+      stateMachine.onLeaderChange(null, false);
     } else if (newLeader != null) {
-      heardMs = context.nowMs();
-      restartClock();
+      leaderContactMs = context.nowMs();
+      resetElectionTimeout();
       if (!newLeader.equals(leaderIdentity)) {
         leaderIdentity = newLeader;
-        commitTracker.dropProposals();
-        stateMachine.leader(newLeader, false);
-        groupMembership.leaderFound();
+        commitTracker.failProposals();
+        stateMachine.onLeaderChange(newLeader, false);
+        groupMembership.onLeaderChanged();
       }
     }
   }
 
-  void announceLeading() {
-    stateMachine.leader(storage.identity, true);
+  void announceLeadership() {
+    stateMachine.onLeaderChange(storage.identity, true);
   }
 }
--- a/src/main/java/yewjunction/raft/RaftStorage.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -12,8 +12,8 @@
   private static final int IDENTITY = 1;
   private static final int VOTE = 2;
   private static final int ENTRY = 3;
-  private static final int CUT = 4;
-  private static final int IMAGE = 5;
+  private static final int TRUNCATION = 4;
+  private static final int SNAPSHOT = 5;
   private final AppendOnlyFile file;
 
   long term;
@@ -24,15 +24,15 @@
    * As it was read at the start, until it is taken: whoever owns the state needs no second one in
    * memory.
    */
-  private byte[] state;
+  private byte[] snapshotState;
 
-  private long stateIndex;
+  private long snapshotIndex;
   final RaftLog log = new RaftLog();
 
   RaftStorage(final AppendOnlyFile file) {
     this.file = file;
-    for (final LogRecord.Content piece : file.open()) {
-      replay(piece.kind(), ByteBuffer.wrap(piece.body()));
+    for (final LogRecord.Content record : file.open()) {
+      replay(record.kind(), ByteBuffer.wrap(record.body()));
     }
   }
 
@@ -45,18 +45,18 @@
       }
       case ENTRY -> {
         final LogEntry entry = new LogEntry(body.getLong(), body.getLong(), body.get(), null);
-        entry.data = rest(body);
+        entry.data = remaining(body);
         log.append(entry);
       }
-      case CUT -> log.cutFrom(body.getLong());
-      case IMAGE -> {
-        stateIndex = body.getLong();
+      case TRUNCATION -> log.truncateFrom(body.getLong());
+      case SNAPSHOT -> {
+        snapshotIndex = body.getLong();
         final long baseIndex = body.getLong();
         final long baseTerm = body.getLong();
         final byte[] voters = new byte[body.getInt()];
         body.get(voters);
-        state = rest(body);
-        log.reset(baseIndex, baseTerm, votersOf(voters));
+        snapshotState = remaining(body);
+        log.reset(baseIndex, baseTerm, decodeVoters(voters));
       }
       default -> {
         // Written by a newer release: skipping it could lose a vote, so the ledger stays shut.
@@ -66,31 +66,31 @@
   }
 
   private static String text(final ByteBuffer body) {
-    return new String(rest(body), UTF_8);
+    return new String(remaining(body), UTF_8);
   }
 
-  private static byte[] rest(final ByteBuffer body) {
+  private static byte[] remaining(final ByteBuffer body) {
     final byte[] bytes = new byte[body.remaining()];
     body.get(bytes);
     return bytes;
   }
 
-  static byte[] votersData(final List<String> voters) {
+  static byte[] encodeVoters(final List<String> voters) {
     return String.join("\n", voters).getBytes(UTF_8);
   }
 
-  static List<String> votersOf(final byte[] data) {
+  static List<String> decodeVoters(final byte[] data) {
     return data.length == 0 ? List.of() : Arrays.asList(new String(data, UTF_8).split("\n"));
   }
 
-  long stateIndex() {
-    return stateIndex;
+  long snapshotIndex() {
+    return snapshotIndex;
   }
 
   /** The state that was read, once; null where there was none. */
-  byte[] takeState() {
-    final byte[] taken = state;
-    state = null;
+  byte[] takeSnapshotState() {
+    final byte[] taken = snapshotState;
+    snapshotState = null;
     return taken;
   }
 
@@ -131,12 +131,12 @@
     }
   }
 
-  void cutFrom(final long index) {
-    log.cutFrom(index);
-    file.append(CUT, ByteBuffer.allocate(8).putLong(index).array(), () -> {});
+  void truncateFrom(final long index) {
+    log.truncateFrom(index);
+    file.append(TRUNCATION, ByteBuffer.allocate(8).putLong(index).array(), () -> {});
   }
 
-  long bytes() {
+  long fileBytes() {
     return file.length();
   }
 
@@ -145,26 +145,26 @@
     final List<LogRecord.Content> content = new ArrayList<>();
     content.add(new LogRecord.Content(IDENTITY, identity.getBytes(UTF_8)));
     content.add(new LogRecord.Content(VOTE, voteBody()));
-    final byte[] voters = votersData(log.votersAt(log.baseIndex()));
+    final byte[] voters = encodeVoters(log.votersAt(log.snapshotIndex()));
     content.add(
         new LogRecord.Content(
-            IMAGE,
+            SNAPSHOT,
             ByteBuffer.allocate(28 + voters.length + newState.length)
                 .putLong(newStateIndex)
-                .putLong(log.baseIndex())
-                .putLong(log.termAt(log.baseIndex()))
+                .putLong(log.snapshotIndex())
+                .putLong(log.termAt(log.snapshotIndex()))
                 .putInt(voters.length)
                 .put(voters)
                 .put(newState)
                 .array()));
-    for (long at = log.baseIndex() + 1; at <= log.lastIndex(); at++) {
+    for (long at = log.snapshotIndex() + 1; at <= log.lastIndex(); at++) {
       content.add(new LogRecord.Content(ENTRY, entryBody(log.get(at))));
     }
     file.rewrite(content, synced);
   }
 
   /** Takes over a snapshot from the leader: nothing of the own log stays. */
-  void install(
+  void installSnapshot(
       final long index,
       final long newTerm,
       final List<String> voters,
--- a/src/main/java/yewjunction/raft/ReadIndexRequests.java
+++ b/src/main/java/yewjunction/raft/ReadIndexRequests.java
@@ -11,30 +11,30 @@
  */
 final class ReadIndexRequests {
   private final RaftNode raftNode;
-  private final List<PendingRead> questions = new ArrayList<>();
-  private long newest;
+  private final List<PendingRead> pending = new ArrayList<>();
+  private long newestRound;
 
-  private record PendingRead(long round, Consumer<Boolean> done) {}
+  private record PendingRead(long round, Consumer<Boolean> onConfirmed) {}
 
   ReadIndexRequests(final RaftNode raftNode) {
     this.raftNode = raftNode;
   }
 
-  long newest() {
-    return newest;
+  long newestRound() {
+    return newestRound;
   }
 
-  long next() {
-    return ++newest;
+  long nextRound() {
+    return ++newestRound;
   }
 
-  void ask(final Consumer<Boolean> done) {
-    questions.add(new PendingRead(next(), done));
+  void add(final Consumer<Boolean> done) {
+    pending.add(new PendingRead(nextRound(), done));
   }
 
   /** Answers what a majority has answered by now. */
-  void look(final LeaderState leaderState) {
-    if (questions.isEmpty()) {
+  void completeConfirmed(final LeaderState leaderState) {
+    if (pending.isEmpty()) {
       return;
     }
     final List<String> voters = raftNode.voters();
@@ -42,21 +42,21 @@
     for (int i = 0; i < rounds.length; i++) {
       rounds[i] =
           voters.get(i).equals(raftNode.identity())
-              ? newest
-              : leaderState.standing(voters.get(i)).round;
+              ? newestRound
+              : leaderState.progressOf(voters.get(i)).confirmedRound;
     }
     Arrays.sort(rounds);
     final long majority = rounds[(rounds.length - 1) / 2];
     final List<PendingRead> answered =
-        questions.stream().filter(question -> question.round <= majority).toList();
-    questions.removeAll(answered);
-    answered.forEach(question -> question.done.accept(true));
+        pending.stream().filter(question -> question.round <= majority).toList();
+    pending.removeAll(answered);
+    answered.forEach(question -> question.onConfirmed.accept(true));
   }
 
   /** The leadership is over: whoever asked is told no. */
-  void drop() {
-    final List<PendingRead> owed = new ArrayList<>(questions);
-    questions.clear();
-    owed.forEach(question -> question.done.accept(false));
+  void failAll() {
+    final List<PendingRead> owed = new ArrayList<>(pending);
+    pending.clear();
+    owed.forEach(question -> question.onConfirmed.accept(false));
   }
 }
--- a/src/main/java/yewjunction/raft/SnapshotTransfer.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -27,7 +27,7 @@
   private final RaftNode raftNode;
   private final LeaderState leaderState;
   private final Map<String, OutgoingSnapshot> transfers = new HashMap<>();
-  private long snapshots;
+  private long snapshotCount;
   private IncomingSnapshot incoming;
 
   /**
@@ -44,15 +44,15 @@
     final AdaptiveChunkSize chunkSize = new AdaptiveChunkSize(MAX_SNAPSHOT_CHUNK_BYTES);
 
     /** Counts letters; and which of them was the last that carried a piece. */
-    int attempt;
+    int lastAttempt;
 
-    int pieceAttempt;
+    int lastChunkAttempt;
     long sentMs;
-    final long beganMs;
+    final long startedMs;
 
     OutgoingSnapshot(final Snapshot snapshot, final long beganMs) {
       this.snapshot = snapshot;
-      this.beganMs = beganMs;
+      this.startedMs = beganMs;
     }
   }
 
@@ -60,17 +60,17 @@
   private static final class IncomingSnapshot {
     final String from;
     final long term;
-    final long number;
+    final long snapshotNumber;
     final long lastIndex;
     final byte[] state;
-    int held;
+    int receivedBytes;
 
     IncomingSnapshot(final InstallSnapshotRequest request) {
       from = request.from;
       term = request.term;
-      number = request.number;
+      snapshotNumber = request.snapshotNumber;
       lastIndex = request.lastIndex;
-      state = new byte[request.length];
+      state = new byte[request.totalBytes];
     }
   }
 
@@ -79,11 +79,11 @@
     this.leaderState = leaderState;
   }
 
-  void drop() {
+  void abandonAll() {
     transfers.clear();
   }
 
-  boolean sends(final String identity) {
+  boolean isSendingTo(final String identity) {
     return transfers.containsKey(identity);
   }
 
@@ -91,23 +91,23 @@
    * Begins, or asks after the piece that was not answered for a while: never from the first byte
    * again.
    */
-  void send(final String identity, final long nowMs) {
+  void startOrProbe(final String identity, final long nowMs) {
     OutgoingSnapshot transfer = transfers.get(identity);
     if (transfer == null) {
-      transfer = new OutgoingSnapshot(snapshot(), nowMs);
+      transfer = new OutgoingSnapshot(currentOrNewSnapshot(), nowMs);
       transfers.put(identity, transfer);
     } else if (nowMs - transfer.sentMs < SNAPSHOT_PROBE_INTERVAL_MS) {
       return;
     }
     // What is held is asked for first: a piece that is late would only be doubled on a slow link.
-    letter(identity, transfer, transfer.offset, nowMs);
+    sendChunk(identity, transfer, transfer.offset, nowMs);
   }
 
   /**
    * Whether this leader had better stay: the next one would begin a snapshot anew that is under way
    * here.
    */
-  boolean hold(final long nowMs) {
+  boolean keepsLeadership(final long nowMs) {
     return transfers.entrySet().stream()
         .anyMatch(
             one -> {
@@ -117,8 +117,8 @@
               // broken link shows.
               return progress != null
                   && transfer.offset < transfer.snapshot.state.length
-                  && nowMs - transfer.beganMs < MAX_SNAPSHOT_LEADERSHIP_MS
-                  && nowMs - progress.heardMs
+                  && nowMs - transfer.startedMs < MAX_SNAPSHOT_LEADERSHIP_MS
+                  && nowMs - progress.lastContactMs
                       < CONNECTION_TIMEOUT_MS + 2 * SNAPSHOT_PROBE_INTERVAL_MS;
             });
   }
@@ -127,75 +127,75 @@
    * The newest one under way, unless the log behind it has grown so long that its receiver may
    * never reach the end.
    */
-  private Snapshot snapshot() {
+  private Snapshot currentOrNewSnapshot() {
     final List<Snapshot> under =
         transfers.values().stream()
             .map(transfer -> transfer.snapshot)
             .distinct()
             .sorted(Comparator.comparingLong(Snapshot::number).reversed())
             .toList();
-    final long applied = raftNode.applied();
+    final long applied = raftNode.appliedIndex();
     if (!under.isEmpty()
         && (under.size() >= MAX_CONCURRENT_SNAPSHOTS
-            || raftNode.log.reachBack(
+            || raftNode.log.startOfTail(
                     applied, MAX_CATCH_UP_TAIL_ENTRIES / 2, MAX_CATCH_UP_TAIL_BYTES / 2)
                 <= under.get(0).lastIndex)) {
       return under.get(0);
     }
     return new Snapshot(
-        ++snapshots,
+        ++snapshotCount,
         applied,
         raftNode.log.termAt(applied),
         raftNode.log.votersAt(applied),
-        raftNode.commitTracker.image());
+        raftNode.commitTracker.snapshot());
   }
 
-  private void letter(
+  private void sendChunk(
       final String identity,
       final OutgoingSnapshot transfer,
       final int endOffset,
       final long nowMs) {
     transfer.sentMs = nowMs;
-    transfer.attempt++;
+    transfer.lastAttempt++;
     final Snapshot snapshot = transfer.snapshot;
     final InstallSnapshotRequest request = new InstallSnapshotRequest();
     request.lastIndex = snapshot.lastIndex;
     request.lastTerm = snapshot.lastTerm;
     request.voters = snapshot.voters;
     request.offset = transfer.offset;
-    request.length = snapshot.state.length;
-    request.piece = Arrays.copyOfRange(snapshot.state, transfer.offset, endOffset);
-    request.number = snapshot.number;
-    request.attempt = transfer.attempt;
+    request.totalBytes = snapshot.state.length;
+    request.chunk = Arrays.copyOfRange(snapshot.state, transfer.offset, endOffset);
+    request.snapshotNumber = snapshot.number;
+    request.attempt = transfer.lastAttempt;
     raftNode.sendTo(identity, request);
   }
 
-  void answered(final InstallSnapshotResponse response) {
-    raftNode.seen(response.term);
+  void onInstallSnapshotResponse(final InstallSnapshotResponse response) {
+    raftNode.observeTerm(response.term);
     final PeerProgress progress = leaderState.progressByMember.get(response.from);
     final OutgoingSnapshot transfer = transfers.get(response.from);
-    if (!raftNode.leadsTerm()
+    if (!raftNode.isLeader()
         || response.term != raftNode.storage.term
         || progress == null
         || transfer == null
-        || transfer.snapshot.number != response.number
-        || response.held < 0
-        || response.held > transfer.snapshot.state.length) {
+        || transfer.snapshot.number != response.snapshotNumber
+        || response.receivedBytes < 0
+        || response.receivedBytes > transfer.snapshot.state.length) {
       return;
     }
     final long nowMs = raftNode.context.nowMs();
-    progress.heardMs = nowMs;
+    progress.lastContactMs = nowMs;
     // Letters keep their order: an answer to one before the last piece does not say whether that
     // piece came.
-    if (response.held <= transfer.offset && response.attempt < transfer.pieceAttempt) {
+    if (response.receivedBytes <= transfer.offset && response.attempt < transfer.lastChunkAttempt) {
       return;
     }
-    if (response.attempt == transfer.attempt) {
-      transfer.chunkSize.took(nowMs - transfer.sentMs);
+    if (response.attempt == transfer.lastAttempt) {
+      transfer.chunkSize.onAcknowledged(nowMs - transfer.sentMs);
     }
-    transfer.offset = response.held;
-    if (response.held < transfer.snapshot.state.length) {
-      letter(
+    transfer.offset = response.receivedBytes;
+    if (response.receivedBytes < transfer.snapshot.state.length) {
+      sendChunk(
           response.from,
           transfer,
           (int)
@@ -203,7 +203,7 @@
                   (long) transfer.offset + transfer.chunkSize.bytes(),
                   transfer.snapshot.state.length),
           nowMs);
-      transfer.pieceAttempt = transfer.attempt;
+      transfer.lastChunkAttempt = transfer.lastAttempt;
     }
     // The rest is the ledger's: the peer answers once it has the whole on disk, and is asked until
     // then.
@@ -213,7 +213,7 @@
    * Ends what is done or can no longer help: its receiver has it, or is gone, or the log no longer
    * begins before its end.
    */
-  void tidy(final long nowMs) {
+  void abandonStale(final long nowMs) {
     transfers
         .entrySet()
         .removeIf(
@@ -221,9 +221,9 @@
               final PeerProgress progress = leaderState.progressByMember.get(one.getKey());
               final long lastIndex = one.getValue().snapshot.lastIndex;
               return progress == null
-                  || progress.match >= lastIndex
-                  || nowMs - progress.heardMs > SNAPSHOT_RECEIVER_TIMEOUT_MS
-                  || lastIndex < raftNode.log.baseIndex();
+                  || progress.matchIndex >= lastIndex
+                  || nowMs - progress.lastContactMs > SNAPSHOT_RECEIVER_TIMEOUT_MS
+                  || lastIndex < raftNode.log.snapshotIndex();
             });
   }
 
@@ -231,15 +231,16 @@
    * Up to where nobody that catches up needs the log: the end of a snapshot under way, then what
    * its receiver holds.
    */
-  long unneeded(final long nowMs) {
+  long unneededThrough(final long nowMs) {
     long unneeded = Long.MAX_VALUE;
-    if (raftNode.leadsTerm()) {
+    if (raftNode.isLeader()) {
       for (final Map.Entry<String, PeerProgress> one : leaderState.progressByMember.entrySet()) {
         final OutgoingSnapshot transfer = transfers.get(one.getKey());
-        final long held = transfer == null ? one.getValue().match : transfer.snapshot.lastIndex;
+        final long held =
+            transfer == null ? one.getValue().matchIndex : transfer.snapshot.lastIndex;
         if (!one.getKey().equals(raftNode.identity())
-            && held >= raftNode.log.baseIndex()
-            && nowMs - one.getValue().heardMs <= SNAPSHOT_RECEIVER_TIMEOUT_MS) {
+            && held >= raftNode.log.snapshotIndex()
+            && nowMs - one.getValue().lastContactMs <= SNAPSHOT_RECEIVER_TIMEOUT_MS) {
           unneeded = Math.min(unneeded, held);
         }
       }
@@ -248,32 +249,33 @@
   }
 
   /** Takes a piece; the whole state once the last one is there, else null. */
-  byte[] taken(final InstallSnapshotRequest request) {
+  byte[] onChunk(final InstallSnapshotRequest request) {
     final boolean sameLeader =
         incoming != null && incoming.from.equals(request.from) && incoming.term == request.term;
     // A late letter of one that its sender gave up, or nothing that a ledger could hold.
-    if (sameLeader && request.number < incoming.number
-        || request.length < 0
-        || request.length > MAX_SNAPSHOT_BYTES) {
+    if (sameLeader && request.snapshotNumber < incoming.snapshotNumber
+        || request.totalBytes < 0
+        || request.totalBytes > MAX_SNAPSHOT_BYTES) {
       return null;
     }
-    if (!sameLeader || request.number > incoming.number) {
+    if (!sameLeader || request.snapshotNumber > incoming.snapshotNumber) {
       incoming = new IncomingSnapshot(request);
     }
     // One that was lost with a link leaves a gap: the answer names what is missing.
-    if (request.offset == incoming.held
-        && request.piece.length <= incoming.state.length - incoming.held) {
-      System.arraycopy(request.piece, 0, incoming.state, incoming.held, request.piece.length);
-      incoming.held += request.piece.length;
+    if (request.offset == incoming.receivedBytes
+        && request.chunk.length <= incoming.state.length - incoming.receivedBytes) {
+      System.arraycopy(
+          request.chunk, 0, incoming.state, incoming.receivedBytes, request.chunk.length);
+      incoming.receivedBytes += request.chunk.length;
     }
     final InstallSnapshotResponse response =
-        raftNode.addressed(new InstallSnapshotResponse(), request.from);
+        raftNode.withHeader(new InstallSnapshotResponse(), request.from);
     response.lastIndex = request.lastIndex;
-    response.held = incoming.held;
-    response.number = request.number;
+    response.receivedBytes = incoming.receivedBytes;
+    response.snapshotNumber = request.snapshotNumber;
     response.attempt = request.attempt;
     raftNode.sendTo(request.from, response);
-    if (incoming.held < incoming.state.length) {
+    if (incoming.receivedBytes < incoming.state.length) {
       return null;
     }
     final byte[] state = incoming.state;
@@ -282,7 +284,7 @@
   }
 
   /** All up to there is committed here: a snapshot that ends before it is no longer of use. */
-  void committed(final long commit) {
+  void onCommitted(final long commit) {
     if (incoming != null && incoming.lastIndex <= commit) {
       incoming = null;
     }
--- a/src/main/java/yewjunction/raft/StateMachine.java
+++ b/src/main/java/yewjunction/raft/StateMachine.java
@@ -11,8 +11,8 @@
   /**
    * The leader changed; null while none is known. Self only once all earlier entries are applied.
    */
-  default void leader(final String identity, final boolean self) {}
+  default void onLeaderChange(final String identity, final boolean self) {}
 
   /** All entries up to this index are applied. */
-  default void settled(final long commit) {}
+  default void onCommitted(final long commit) {}
 }
--- a/src/main/java/yewjunction/raft/StorageInspection.java
+++ b/src/main/java/yewjunction/raft/StorageInspection.java
@@ -8,19 +8,19 @@
 import java.util.List;
 
 /** A ledger file as the daemons would read it; only read. */
-public record StorageInspection(String file, long bytes, long goodBytes, boolean damaged) {
+public record StorageInspection(String file, long bytes, long validBytes, boolean damaged) {
   /** All ledger files of a folder. */
-  public static List<StorageInspection> look(final Path folder) {
+  public static List<StorageInspection> inspect(final Path folder) {
     final List<StorageInspection> found = new ArrayList<>();
     for (final String name : List.of("charter", "messages")) {
       final Path file = folder.resolve(name);
       if (Files.isRegularFile(file)) {
         try {
           final byte[] bytes = Files.readAllBytes(file);
-          final LogRecord.ScanResult reading = LogRecord.read(bytes);
+          final LogRecord.ScanResult reading = LogRecord.scan(bytes);
           found.add(
               new StorageInspection(
-                  file.toString(), bytes.length, reading.goodBytes(), reading.damaged()));
+                  file.toString(), bytes.length, reading.validBytes(), reading.damaged()));
         } catch (final IOException failure) {
           throw new UncheckedIOException(failure);
         }
--- a/src/main/java/yewjunction/raft/VoterPlacement.java
+++ b/src/main/java/yewjunction/raft/VoterPlacement.java
@@ -9,6 +9,7 @@
  * Without a number of seats whoever wants a vote gets one.
  */
 public record VoterPlacement(
-    int seats, Supplier<Set<String>> leaving, UnaryOperator<String> zoneOf) {
-  static final VoterPlacement OPEN = new VoterPlacement(Integer.MAX_VALUE, Set::of, address -> "");
+    int voterCount, Supplier<Set<String>> leavingAddresses, UnaryOperator<String> zoneOf) {
+  static final VoterPlacement UNBOUNDED =
+      new VoterPlacement(Integer.MAX_VALUE, Set::of, address -> "");
 }
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -23,44 +23,44 @@
 public final class VoterReconfiguration {
   private final RaftNode raftNode;
   private final LeaderState leaderState;
-  private boolean handing;
-  private boolean handed;
-  private VoterPlacement seating = VoterPlacement.OPEN;
+  private boolean transferring;
+  private boolean transferSent;
+  private VoterPlacement placement = VoterPlacement.UNBOUNDED;
 
   VoterReconfiguration(final RaftNode raftNode, final LeaderState leaderState) {
     this.raftNode = raftNode;
     this.leaderState = leaderState;
   }
 
-  public void seat(final VoterPlacement chosenSeating) {
-    seating = chosenSeating;
+  public void setPlacement(final VoterPlacement chosenSeating) {
+    placement = chosenSeating;
   }
 
   void reset() {
-    handing = false;
-    handed = false;
+    transferring = false;
+    transferSent = false;
   }
 
-  boolean handing() {
-    return handing;
+  boolean isTransferring() {
+    return transferring;
   }
 
   /** Whether a member is within a few entries of this leader's end. */
-  public boolean nearEnd(final String identity) {
+  public boolean isCaughtUp(final String identity) {
     final PeerProgress progress = leaderState.progressByMember.get(identity);
-    return progress != null && progress.match + CAUGHT_UP_ENTRIES >= raftNode.log.lastIndex();
+    return progress != null && progress.matchIndex + CAUGHT_UP_ENTRIES >= raftNode.log.lastIndex();
   }
 
   /** Whether a change of the voters is under way: what it decides may still not come to be. */
-  public boolean changing() {
-    return raftNode.log.lastVotersIndex() > raftNode.commit();
+  public boolean changeInProgress() {
+    return raftNode.log.lastVoterChangeIndex() > raftNode.commitIndex();
   }
 
-  public void change(final List<String> newVoters) {
+  public void proposeVoters(final List<String> newVoters) {
     // One change at a time, and only by a leader that has committed in its own term.
-    if (raftNode.leads() && !changing() && !newVoters.equals(raftNode.voters())) {
-      newVoters.forEach(leaderState::standing);
-      leaderState.append(LogEntry.VOTERS, RaftStorage.votersData(newVoters));
+    if (raftNode.isReadyLeader() && !changeInProgress() && !newVoters.equals(raftNode.voters())) {
+      newVoters.forEach(leaderState::progressOf);
+      leaderState.append(LogEntry.VOTERS, RaftStorage.encodeVoters(newVoters));
     }
   }
 
@@ -70,8 +70,8 @@
    * ends, or whose disk no longer takes what others have taken, loses its seat to a newcomer that
    * does better, and goes last: whoever was only away counts until then.
    */
-  void settle() {
-    if (!raftNode.leads() || handing || changing()) {
+  void adjustVoters() {
+    if (!raftNode.isReadyLeader() || transferring || changeInProgress()) {
       return;
     }
     final List<String> voters = raftNode.voters();
@@ -82,55 +82,59 @@
         .removeIf(
             one ->
                 !voters.contains(one.getKey())
-                    && nowMs - one.getValue().heardMs > 20 * MAX_ELECTION_TIMEOUT_MS);
+                    && nowMs - one.getValue().lastContactMs > 20 * MAX_ELECTION_TIMEOUT_MS);
     leaderState.progressByMember.forEach(
-        (identity, progress) -> progress.keepUp(raftNode.commit(), nowMs));
+        (identity, progress) -> progress.updateTarget(raftNode.commitIndex(), nowMs));
     final List<String> newVoters = new ArrayList<>(voters);
-    final String surplus = surplus(voters, nowMs);
+    final String surplus = surplusVoter(voters, nowMs);
     if (raftNode.identity().equals(surplus)) {
       // A leader that is to go hands over before.
-      handOver(() -> {});
+      transferLeadership(() -> {});
       return;
     }
-    final String newcomer = surplus == null ? newcomer(voters, nowMs) : null;
+    final String newcomer = surplus == null ? newVoter(voters, nowMs) : null;
     if (surplus != null) {
       newVoters.remove(surplus);
     } else if (newcomer != null
-        && !newVoters.removeIf(voter -> RaftNode.address(voter).equals(RaftNode.address(newcomer)))
-        && (voters.size() < seating.seats()
-            || voters.stream().anyMatch(voter -> weak(voter, nowMs)))) {
+        && !newVoters.removeIf(
+            voter -> RaftNode.addressOf(voter).equals(RaftNode.addressOf(newcomer)))
+        && (voters.size() < placement.voterCount()
+            || voters.stream().anyMatch(voter -> shouldBeReplaced(voter, nowMs)))) {
       newVoters.add(newcomer);
     }
     // A change that a majority of the new voters cannot take would hold up all others, and may
     // never be undone.
-    if (newVoters.stream().filter(voter -> answers(voter, nowMs)).count() * 2 > newVoters.size()) {
-      change(newVoters);
+    if (newVoters.stream().filter(voter -> isResponsive(voter, nowMs)).count() * 2
+        > newVoters.size()) {
+      proposeVoters(newVoters);
     }
   }
 
-  private boolean answers(final String voter, final long nowMs) {
+  private boolean isResponsive(final String voter, final long nowMs) {
     return voter.equals(raftNode.identity())
-        || nearEnd(voter) && nowMs - leaderState.standing(voter).heardMs <= APPEND_RETRY_MS;
+        || isCaughtUp(voter)
+            && nowMs - leaderState.progressOf(voter).lastContactMs <= APPEND_RETRY_MS;
   }
 
   /** A voter that does not do what it sits there for. */
-  private boolean weak(final String voter, final long nowMs) {
-    final PeerProgress progress = leaderState.standing(voter);
-    return leaves(voter)
+  private boolean shouldBeReplaced(final String voter, final long nowMs) {
+    final PeerProgress progress = leaderState.progressOf(voter);
+    return isLeaving(voter)
         || !voter.equals(raftNode.identity())
-            && (nowMs - progress.heardMs > VOTER_SILENCE_TIMEOUT_MS || progress.lags(nowMs));
+            && (nowMs - progress.lastContactMs > VOTER_SILENCE_TIMEOUT_MS
+                || progress.isLagging(nowMs));
   }
 
   /** The voter that goes since its successor has come; null when none has to. */
-  private String surplus(final List<String> voters, final long nowMs) {
-    if (voters.size() <= seating.seats()) {
+  private String surplusVoter(final List<String> voters, final long nowMs) {
+    if (voters.size() <= placement.voterCount()) {
       return null;
     }
     // The last to come is the first to go where all are well again: whoever was away is back.
     return voters.stream()
-        .filter(this::leaves)
+        .filter(this::isLeaving)
         .findFirst()
-        .or(() -> voters.stream().filter(voter -> weak(voter, nowMs)).findFirst())
+        .or(() -> voters.stream().filter(voter -> shouldBeReplaced(voter, nowMs)).findFirst())
         .or(
             () ->
                 voters.stream()
@@ -140,37 +144,37 @@
   }
 
   /** Its machine is to be emptied, or its process said a moment ago that it ends. */
-  private boolean leaves(final String identity) {
+  private boolean isLeaving(final String identity) {
     final PeerProgress progress = leaderState.progressByMember.get(identity);
-    return seating.leaving().get().contains(RaftNode.address(identity))
-        || identity.equals(raftNode.identity()) && raftNode.groupMembership.leaving()
+    return placement.leavingAddresses().get().contains(RaftNode.addressOf(identity))
+        || identity.equals(raftNode.identity()) && raftNode.groupMembership.isLeaving()
         || progress != null
-            && progress.leavesMs > 0
-            && raftNode.context.nowMs() - progress.leavesMs < LEAVE_NOTICE_VALID_MS;
+            && progress.leavingSinceMs > 0
+            && raftNode.context.nowMs() - progress.leavingSinceMs < LEAVE_NOTICE_VALID_MS;
   }
 
-  int seats() {
-    return seating.seats();
+  int voterCount() {
+    return placement.voterCount();
   }
 
   /**
    * Of those that want a vote, the one whose machine voted before, else one in the zone with the
    * fewest voters.
    */
-  private String newcomer(final List<String> voters, final long nowMs) {
+  private String newVoter(final List<String> voters, final long nowMs) {
     return leaderState.progressByMember.entrySet().stream()
         // Only one that answers right now: an identity whose disk is gone again stays out.
         .filter(
             one ->
                 one.getValue().wantsVote
                     && !voters.contains(one.getKey())
-                    && nearEnd(one.getKey())
-                    && !one.getValue().lags(nowMs)
-                    && nowMs - one.getValue().heardMs <= APPEND_RETRY_MS
-                    && !leaves(one.getKey()))
+                    && isCaughtUp(one.getKey())
+                    && !one.getValue().isLagging(nowMs)
+                    && nowMs - one.getValue().lastContactMs <= APPEND_RETRY_MS
+                    && !isLeaving(one.getKey()))
         .map(Map.Entry::getKey)
         .min(
-            Comparator.comparingLong((String identity) -> votersLike(voters, identity))
+            Comparator.comparingLong((String identity) -> votersInZoneOf(voters, identity))
                 .thenComparing(identity -> identity))
         .orElse(null);
   }
@@ -179,93 +183,93 @@
    * Who hands committed entries on to each member without a vote inside its zone; null for whom the
    * leader serves itself.
    */
-  void relays(final long nowMs) {
+  void assignRelays(final long nowMs) {
     final List<String> voters = raftNode.voters();
     // While a seat is to be filled, candidates are brought to the very end.
     final boolean seated =
-        voters.stream().filter(voter -> !leaves(voter)).count() >= seating.seats()
+        voters.stream().filter(voter -> !isLeaving(voter)).count() >= placement.voterCount()
             && voters.stream()
                 .allMatch(
                     voter ->
                         voter.equals(raftNode.identity())
-                            || nowMs - leaderState.standing(voter).heardMs < APPEND_RETRY_MS
-                                && !leaderState.standing(voter).lags(nowMs));
+                            || nowMs - leaderState.progressOf(voter).lastContactMs < APPEND_RETRY_MS
+                                && !leaderState.progressOf(voter).isLagging(nowMs));
     leaderState.progressByMember.forEach(
         (identity, progress) ->
-            progress.relay =
+            progress.relayAddress =
                 seated
                         && !voters.contains(identity)
-                        && progress.match + MAX_RELAYED_LAG_ENTRIES >= raftNode.commit()
-                        && raftNode.log.termAt(progress.match) >= 0
-                        && !progress.lags(nowMs)
-                    ? relay(RaftNode.address(identity), voters, nowMs)
+                        && progress.matchIndex + MAX_RELAYED_LAG_ENTRIES >= raftNode.commitIndex()
+                        && raftNode.log.termAt(progress.matchIndex) >= 0
+                        && !progress.isLagging(nowMs)
+                    ? relayFor(RaftNode.addressOf(identity), voters, nowMs)
                     : null);
   }
 
-  private String relay(final String address, final List<String> voters, final long nowMs) {
-    final String zone = seating.zoneOf().apply(address);
+  private String relayFor(final String address, final List<String> voters, final long nowMs) {
+    final String zone = placement.zoneOf().apply(address);
     if (zone.isEmpty()) {
       return null;
     }
     final List<String> near = new ArrayList<>(voters);
-    near.removeIf(voter -> !seating.zoneOf().apply(RaftNode.address(voter)).equals(zone));
+    near.removeIf(voter -> !placement.zoneOf().apply(RaftNode.addressOf(voter)).equals(zone));
     if (near.isEmpty()) {
       // No voter there: the first of the others that answers is served from here and serves the
       // rest.
       leaderState.progressByMember.forEach(
           (one, progress) -> {
-            if (seating.zoneOf().apply(RaftNode.address(one)).equals(zone)
-                && nowMs - progress.heardMs < 2 * APPEND_RETRY_MS) {
+            if (placement.zoneOf().apply(RaftNode.addressOf(one)).equals(zone)
+                && nowMs - progress.lastContactMs < 2 * APPEND_RETRY_MS) {
               near.add(one);
             }
           });
     }
     final String first =
-        near.stream().map(RaftNode::address).min(Comparator.naturalOrder()).orElse(address);
+        near.stream().map(RaftNode::addressOf).min(Comparator.naturalOrder()).orElse(address);
     return first.equals(address) ? null : first;
   }
 
-  private long votersLike(final List<String> voters, final String identity) {
-    final String address = RaftNode.address(identity);
-    if (voters.stream().anyMatch(voter -> RaftNode.address(voter).equals(address))) {
+  private long votersInZoneOf(final List<String> voters, final String identity) {
+    final String address = RaftNode.addressOf(identity);
+    if (voters.stream().anyMatch(voter -> RaftNode.addressOf(voter).equals(address))) {
       return -1;
     }
-    final String zone = seating.zoneOf().apply(address);
+    final String zone = placement.zoneOf().apply(address);
     return voters.stream()
-        .filter(voter -> seating.zoneOf().apply(RaftNode.address(voter)).equals(zone))
+        .filter(voter -> placement.zoneOf().apply(RaftNode.addressOf(voter)).equals(zone))
         .count();
   }
 
-  public void handOver(final Runnable done) {
-    if (!raftNode.leadsTerm() || raftNode.voters().size() == 1) {
+  public void transferLeadership(final Runnable done) {
+    if (!raftNode.isLeader() || raftNode.voters().size() == 1) {
       done.run();
       return;
     }
-    handing = true;
-    handed = false;
+    transferring = true;
+    transferSent = false;
     LogEvent.LEADER_HANDED.info("group " + raftNode.group);
-    leaderState.progressByMember.forEach(this::handOn);
-    waitHanded(raftNode.context.nowMs(), done);
+    leaderState.progressByMember.forEach(this::continueTransfer);
+    awaitTransfer(raftNode.context.nowMs(), done);
   }
 
-  private void waitHanded(final long startMs, final Runnable done) {
-    if (!raftNode.leadsTerm() || raftNode.context.nowMs() - startMs > LEADER_TRANSFER_TIMEOUT_MS) {
+  private void awaitTransfer(final long startMs, final Runnable done) {
+    if (!raftNode.isLeader() || raftNode.context.nowMs() - startMs > LEADER_TRANSFER_TIMEOUT_MS) {
       reset();
       done.run();
     } else {
-      raftNode.context.after(20, () -> waitHanded(startMs, done));
+      raftNode.context.after(20, () -> awaitTransfer(startMs, done));
     }
   }
 
   /** The first peer that holds everything is told to stand. */
-  void handOn(final String identity, final PeerProgress progress) {
-    if (handing
-        && !handed
+  void continueTransfer(final String identity, final PeerProgress progress) {
+    if (transferring
+        && !transferSent
         && !identity.equals(raftNode.identity())
-        && progress.match == raftNode.log.lastIndex()
+        && progress.matchIndex == raftNode.log.lastIndex()
         && raftNode.voters().contains(identity)
-        && raftNode.context.nowMs() - progress.heardMs < 3 * HEARTBEAT_INTERVAL_MS) {
-      handed = true;
+        && raftNode.context.nowMs() - progress.lastContactMs < 3 * HEARTBEAT_INTERVAL_MS) {
+      transferSent = true;
       raftNode.sendTo(identity, new TimeoutNowRequest());
     }
   }
--- a/src/main/java/yewjunction/raft/ZoneRelay.java
+++ b/src/main/java/yewjunction/raft/ZoneRelay.java
@@ -22,91 +22,92 @@
   private final RaftNode raftNode;
 
   /** Who asked for what is not committed here yet: answered the moment it is. */
-  private final Map<PeerConnection, FetchRequest> waiting = new LinkedHashMap<>();
+  private final Map<PeerConnection, FetchRequest> pendingFetches = new LinkedHashMap<>();
 
   /** Where this member fetches from, null while the leader itself sends. */
-  private String source;
+  private String sourceAddress;
 
-  private long askedMs;
+  private long lastFetchMs;
 
   ZoneRelay(final RaftNode raftNode) {
     this.raftNode = raftNode;
   }
 
   /** The leader's word on who serves this member. */
-  void source(final String address) {
-    final boolean other = address != null && !address.equals(source);
-    source = address;
-    if (source != null && (other || raftNode.context.nowMs() - askedMs > RELAY_RETRY_MS)) {
-      fetch();
+  void setSource(final String address) {
+    final boolean other = address != null && !address.equals(sourceAddress);
+    sourceAddress = address;
+    if (sourceAddress != null
+        && (other || raftNode.context.nowMs() - lastFetchMs > RELAY_RETRY_MS)) {
+      sendFetchRequest();
     }
   }
 
-  private void fetch() {
-    final FetchRequest request = raftNode.addressed(new FetchRequest(), null);
-    request.next = raftNode.log.lastIndex() + 1;
+  private void sendFetchRequest() {
+    final FetchRequest request = raftNode.withHeader(new FetchRequest(), null);
+    request.nextIndex = raftNode.log.lastIndex() + 1;
     request.lastTerm = raftNode.log.lastTerm();
-    askedMs = raftNode.context.nowMs();
-    raftNode.handshakes.send(raftNode.transport.dial(source), request);
+    lastFetchMs = raftNode.context.nowMs();
+    raftNode.handshakes.send(raftNode.transport.dial(sourceAddress), request);
   }
 
   /**
    * To a member whose zone has the entries: it only needs to hear who leads, and to say how far it
    * is.
    */
-  void tell(final String identity, final PeerProgress progress, final long round) {
+  void sendHeartbeat(final String identity, final PeerProgress progress, final long round) {
     final long nowMs = raftNode.context.nowMs();
-    if (nowMs - progress.relayToldMs >= RELAYED_HEARTBEAT_INTERVAL_MS) {
-      progress.relayToldMs = nowMs;
+    if (nowMs - progress.relayAnnouncedMs >= RELAYED_HEARTBEAT_INTERVAL_MS) {
+      progress.relayAnnouncedMs = nowMs;
       final AppendEntriesRequest request = new AppendEntriesRequest();
-      request.prevIndex = progress.match;
-      request.prevTerm = raftNode.log.termAt(progress.match);
-      request.commit = raftNode.commit();
+      request.prevIndex = progress.matchIndex;
+      request.prevTerm = raftNode.log.termAt(progress.matchIndex);
+      request.commitIndex = raftNode.commitIndex();
       request.round = round;
-      request.relay = progress.relay;
+      request.relayAddress = progress.relayAddress;
       raftNode.sendTo(identity, request);
     }
   }
 
-  void asked(final PeerConnection connection, final FetchRequest request) {
-    waiting.put(connection, request);
-    serve(connection, request);
+  void onFetchRequest(final PeerConnection connection, final FetchRequest request) {
+    pendingFetches.put(connection, request);
+    respondIfCommitted(connection, request);
   }
 
   /** More is committed here now. */
-  void committed() {
-    if (!waiting.isEmpty()) {
-      new LinkedHashMap<>(waiting).forEach(this::serve);
+  void onCommitted() {
+    if (!pendingFetches.isEmpty()) {
+      new LinkedHashMap<>(pendingFetches).forEach(this::respondIfCommitted);
     }
   }
 
-  private void serve(final PeerConnection connection, final FetchRequest request) {
-    final long commit = raftNode.commit();
-    if (request.next > commit) {
+  private void respondIfCommitted(final PeerConnection connection, final FetchRequest request) {
+    final long commit = raftNode.commitIndex();
+    if (request.nextIndex > commit) {
       return;
     }
-    waiting.remove(connection);
+    pendingFetches.remove(connection);
     // Behind this member's snapshot, or with a tail that was never committed: the leader's matter,
     // which sees it lag.
-    if (raftNode.log.termAt(request.next - 1) != request.lastTerm) {
+    if (raftNode.log.termAt(request.nextIndex - 1) != request.lastTerm) {
       return;
     }
-    final FetchResponse response = raftNode.addressed(new FetchResponse(), request.from);
-    response.prevIndex = request.next - 1;
+    final FetchResponse response = raftNode.withHeader(new FetchResponse(), request.from);
+    response.prevIndex = request.nextIndex - 1;
     response.prevTerm = request.lastTerm;
     response.entries =
         raftNode.log.slice(
-            request.next,
-            (int) Math.min(MAX_APPEND_ENTRIES, commit - request.next + 1),
+            request.nextIndex,
+            (int) Math.min(MAX_APPEND_ENTRIES, commit - request.nextIndex + 1),
             MAX_APPEND_BYTES);
     raftNode.handshakes.send(connection, response);
   }
 
-  void taken(final FetchResponse response) {
+  void onFetchResponse(final FetchResponse response) {
     // What is taken may be of a later term than the one heard of: a leader of an earlier one must
     // not cut it again.
-    raftNode.seen(response.term);
-    if (source == null || raftNode.leadsTerm()) {
+    raftNode.observeTerm(response.term);
+    if (sourceAddress == null || raftNode.isLeader()) {
       return;
     }
     final List<LogEntry> entries = response.entries;
@@ -114,13 +115,13 @@
     if (!entries.isEmpty()
         && response.prevIndex == raftNode.log.lastIndex()
         && response.prevTerm == raftNode.log.lastTerm()) {
-      raftNode.commitTracker.write(entries);
-      raftNode.commitTracker.commitTo(entries.get(entries.size() - 1).index);
+      raftNode.commitTracker.append(entries);
+      raftNode.commitTracker.advanceCommitIndex(entries.get(entries.size() - 1).index);
     }
-    fetch();
+    sendFetchRequest();
   }
 
-  void closed(final PeerConnection connection) {
-    waiting.remove(connection);
+  void onClose(final PeerConnection connection) {
+    pendingFetches.remove(connection);
   }
 }
--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public void work(final Runnable blocking, final Runnable afterwards) {
+  public void execute(final Runnable blocking, final Runnable afterwards) {
     pool.execute(
         () -> {
           try {
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -56,7 +56,7 @@
     final long life = new java.security.SecureRandom().nextLong() >>> 1;
     agent = new EventLoopAgent(life ^ System.nanoTime());
     final MessageCodec codec = new MessageCodec();
-    yewjunction.raft.RaftMessages.know(codec);
+    yewjunction.raft.RaftMessages.register(codec);
     yewjunction.membership.MembershipMessages.know(codec);
     yewjunction.control.LeaseMessages.know(codec);
     yewjunction.store.AdmissionMessages.know(codec);
--- a/src/main/java/yewjunction/store/AdmissionController.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -61,7 +61,7 @@
     final Requester requester = new Requester(connection, request.request);
     final StoredMessage message = request.message;
     if (request.revoked != null
-        && raftNode.leads()
+        && raftNode.isReadyLeader()
         && !inFlight.containsKey(key(message))
         && !messageStore.acceptedNumbers.accepted(message.client, message.topic, message.number)) {
       deny(key(message), requester);
@@ -73,7 +73,7 @@
   /** In turn: it waited until all that paid had passed, and may borrow now. */
   private void decide(
       final Requester requester, final StoredMessage message, final boolean inTurn) {
-    if (!raftNode.leads()) {
+    if (!raftNode.isReadyLeader()) {
       answer(requester, ELSEWHERE);
       return;
     }
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -209,12 +209,12 @@
   }
 
   @Override
-  public void leader(final String identity, final boolean self) {
+  public void onLeaderChange(final String identity, final boolean self) {
     watcher.leaderIs(identity, self);
   }
 
   @Override
-  public void settled(final long commit) {
+  public void onCommitted(final long commit) {
     watcher.settledTo(commit);
   }
 }
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -89,7 +89,8 @@
       return waits(tenant);
     }
     // Lent only while nobody else is held up by it.
-    return underWay < MAX_IN_FLIGHT_TO_LEND && raftNode.course().owedMs() < MAX_DISK_LAG_TO_LEND_MS
+    return underWay < MAX_IN_FLIGHT_TO_LEND
+            && raftNode.commitTracker().oldestPendingWriteMs() < MAX_DISK_LAG_TO_LEND_MS
         ? Decision.BORROWS
         : Decision.DENIES;
   }
@@ -157,7 +158,7 @@
    * owes.
    */
   public void look(final Configuration configuration) {
-    if (!raftNode.leads()
+    if (!raftNode.isReadyLeader()
         || configuration == null
         || ahead == null
             && messageStore.accounts.none()
--- a/src/test/java/yewjunction/raft/LogReader.java
+++ b/src/test/java/yewjunction/raft/LogReader.java
@@ -13,11 +13,11 @@
   /**
    * Adds what that disk holds up to an index; where two disks hold the same entry they must agree.
    */
-  public static void gather(
+  public static void readData(
       final Disk disk, final String name, final long upTo, final Map<Long, byte[]> entries) {
     final RaftStorage storage =
         new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> {}, name));
-    for (long index = storage.log.baseIndex() + 1;
+    for (long index = storage.log.snapshotIndex() + 1;
         index <= Math.min(upTo, storage.log.lastIndex());
         index++) {
       final LogEntry entry = storage.log.get(index);
@@ -34,7 +34,7 @@
   public static List<String> voters(final Disk disk, final String name) {
     final RaftLog log =
         new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> {}, name)).log;
-    return log.votersAt(log.lastIndex()).stream().map(RaftNode::address).toList();
+    return log.votersAt(log.lastIndex()).stream().map(RaftNode::addressOf).toList();
   }
 
   /** Plants a fault: a member that asks to be brought up to date is not understood. */
--- a/src/test/java/yewjunction/raft/LogRecordTest.java
+++ b/src/test/java/yewjunction/raft/LogRecordTest.java
@@ -19,7 +19,7 @@
   private static byte[] file(final int count, final boolean synced) {
     final ByteArrayOutputStream file = new ByteArrayOutputStream();
     for (int i = 0; i < count; i++) {
-      file.writeBytes(LogRecord.wrapBody(3, ("body " + i).getBytes(), synced ? file.size() : 0));
+      file.writeBytes(LogRecord.encode(3, ("body " + i).getBytes(), synced ? file.size() : 0));
     }
     return file.toByteArray();
   }
@@ -29,9 +29,9 @@
     final byte[] whole = file(5, true);
     final int oneLength = whole.length / 5;
     for (int length = 0; length <= whole.length; length++) {
-      final LogRecord.ScanResult reading = LogRecord.read(Arrays.copyOf(whole, length));
-      assertEquals(length / oneLength, reading.pieces().size(), "length " + length);
-      assertEquals(length / oneLength * oneLength, reading.goodBytes());
+      final LogRecord.ScanResult reading = LogRecord.scan(Arrays.copyOf(whole, length));
+      assertEquals(length / oneLength, reading.records().size(), "length " + length);
+      assertEquals(length / oneLength * oneLength, reading.validBytes());
       assertFalse(reading.damaged());
     }
   }
@@ -42,7 +42,7 @@
     for (int attempt = 0; attempt < 200; attempt++) {
       final byte[] bytes = file(6, true);
       bytes[random.nextInt(bytes.length / 6 * 4)] ^= 1 << random.nextInt(8);
-      assertTrue(LogRecord.read(bytes).damaged(), "attempt " + attempt);
+      assertTrue(LogRecord.scan(bytes).damaged(), "attempt " + attempt);
     }
   }
 
@@ -51,10 +51,10 @@
     final byte[] bytes = file(6, false);
     final int oneLength = bytes.length / 6;
     Arrays.fill(bytes, 3 * oneLength, 4 * oneLength, (byte) 0);
-    final LogRecord.ScanResult reading = LogRecord.read(bytes);
+    final LogRecord.ScanResult reading = LogRecord.scan(bytes);
     assertFalse(reading.damaged());
-    assertEquals(3, reading.pieces().size());
-    assertArrayEquals("body 2".getBytes(), reading.pieces().get(2).body());
+    assertEquals(3, reading.records().size());
+    assertArrayEquals("body 2".getBytes(), reading.records().get(2).body());
   }
 
   @Test
--- a/src/test/java/yewjunction/raft/ModelCheckTest.java
+++ b/src/test/java/yewjunction/raft/ModelCheckTest.java
@@ -159,7 +159,7 @@
         1,
         new ModelWorld(setup, ModelFault.NONE)
             .run(schedule).hosts.stream()
-                .filter(host -> host.up() && host.raftNode.leadsTerm())
+                .filter(host -> host.up() && host.raftNode.isLeader())
                 .count());
   }
 }
--- a/src/test/java/yewjunction/raft/ModelDisk.java
+++ b/src/test/java/yewjunction/raft/ModelDisk.java
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public void cut(final String name, final long length) {
+  public void truncate(final String name, final long length) {
     synced = Arrays.copyOf(read(name), (int) length);
     written.clear();
   }
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -101,20 +101,21 @@
     post = new ModelTransport(this);
     tale = new RecordingStateMachine();
     raftNode = new RaftNode(7, this, post, disk, this::work, "ledger", tale);
-    raftNode.listen();
+    raftNode.registerHandlers();
     raftNode
-        .electorate()
-        .seat(new VoterPlacement(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
+        .reconfiguration()
+        .setPlacement(
+            new VoterPlacement(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
     if (raftNode.identity() == null) {
       final boolean oldName =
           founder || world.fault == ModelFault.OLD_NAME_AFTER_WIPE && number < world.setup.voters();
-      raftNode.name(address + "#" + (oldName ? "f" : "d" + drawn++));
+      raftNode.assignIdentity(address + "#" + (oldName ? "f" : "d" + drawn++));
       if (founder) {
-        raftNode.found(world.setup.founders());
+        raftNode.bootstrap(world.setup.founders());
       }
     }
     raftNode.start();
-    raftNode.membership().keep(this::peers, () -> true);
+    raftNode.groupMembership().start(this::peers, () -> true);
     leaving = false;
     runCommands();
   }
@@ -129,17 +130,17 @@
    */
   void leave() {
     leaving = true;
-    raftNode.membership().leave(() -> {});
+    raftNode.groupMembership().leaveGroup(() -> {});
     runCommands();
   }
 
   private void forgetVotes() {
     final ByteArrayOutputStream kept = new ByteArrayOutputStream();
-    for (final LogRecord.Content piece : LogRecord.read(disk.read("")).pieces()) {
+    for (final LogRecord.Content piece : LogRecord.scan(disk.read("")).records()) {
       // Kind 2 is a vote: the term stays, as it would in a file that was written without the name.
       final byte[] body =
           piece.kind() == 2 ? java.util.Arrays.copyOf(piece.body(), 8) : piece.body();
-      kept.writeBytes(LogRecord.wrapBody(piece.kind(), body, 0));
+      kept.writeBytes(LogRecord.encode(piece.kind(), body, 0));
     }
     disk.replace("", kept.toByteArray());
   }
--- a/src/test/java/yewjunction/raft/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -69,20 +69,20 @@
       last[1] = host.tale.restoredTo;
       host.tale.told.forEach((index, value) -> same(host, index, history.get(index), value));
     }
-    if (raftNode.leadsTerm()) {
+    if (raftNode.isLeader()) {
       if (raftNode.storage.term >= newestTerm) {
         newestTerm = raftNode.storage.term;
         newestVoters = raftNode.voters();
       }
     }
     boolean news = false;
-    for (long index = Math.max(last[0], raftNode.log.baseIndex()) + 1;
-        index <= raftNode.applied();
+    for (long index = Math.max(last[0], raftNode.log.snapshotIndex()) + 1;
+        index <= raftNode.appliedIndex();
         index++) {
       news |= applied(host, index, raftNode.log.get(index));
     }
-    last[0] = raftNode.applied();
-    if (raftNode.leadsTerm() && last[2] != raftNode.storage.term) {
+    last[0] = raftNode.appliedIndex();
+    if (raftNode.isLeader() && last[2] != raftNode.storage.term) {
       last[2] = raftNode.storage.term;
       final String known = leaders.putIfAbsent(raftNode.storage.term, raftNode.identity());
       if (known != null && !known.equals(raftNode.identity())) {
@@ -98,13 +98,13 @@
     }
     if (news) {
       world.hosts.stream()
-          .filter(other -> other.up() && other.raftNode.leadsTerm())
+          .filter(other -> other.up() && other.raftNode.isLeader())
           .forEach(this::complete);
     }
   }
 
   private boolean diskGone(final String voter) {
-    final ModelHost host = world.at(RaftNode.address(voter));
+    final ModelHost host = world.at(RaftNode.addressOf(voter));
     return host.wipes > 0 && !voter.equals(onDisk(host).identity);
   }
 
@@ -154,7 +154,7 @@
     history.forEach(
         (index, committed) -> {
           final boolean held =
-              index <= raftNode.log.baseIndex() || raftNode.log.termAt(index) == committed.term;
+              index <= raftNode.log.snapshotIndex() || raftNode.log.termAt(index) == committed.term;
           if (committed.inTerm < raftNode.storage.term && !held) {
             violated(
                 "nothing committed is lost: "
@@ -176,7 +176,7 @@
     final List<String> voters = raftNode.voters();
     int held = 0;
     for (final String voter : voters) {
-      final RaftStorage storage = onDisk(world.at(RaftNode.address(voter)));
+      final RaftStorage storage = onDisk(world.at(RaftNode.addressOf(voter)));
       // A disk that was lost after it had taken the entry counts as one of the losses that are
       // borne.
       held +=
@@ -196,7 +196,7 @@
   }
 
   private static boolean holds(final RaftStorage storage, final long index, final long term) {
-    return storage.log.baseIndex() >= index || storage.log.termAt(index) == term;
+    return storage.log.snapshotIndex() >= index || storage.log.termAt(index) == term;
   }
 
   private static RaftStorage onDisk(final ModelHost host) {
@@ -213,7 +213,7 @@
     // log.
     for (final ModelHost host : world.hosts) {
       if (host.up()
-          && host.raftNode.applied() >= index
+          && host.raftNode.appliedIndex() >= index
           && !Long.valueOf(value).equals(host.tale.told.get(index))) {
         broken.add(
             "acknowledged is applied: "
@@ -233,7 +233,7 @@
     final long term = host.raftNode.storage.term;
     final boolean deposed =
         history.values().stream().anyMatch(committed -> committed.inTerm > term);
-    host.raftNode.confirm(
+    host.raftNode.confirmLeadership(
         yes -> {
           if (yes && deposed) {
             broken.add(
@@ -287,11 +287,12 @@
 
   boolean seatsFilled() {
     final ModelHost leader =
-        world.hosts.stream().filter(host -> host.raftNode.leads()).findFirst().orElse(null);
+        world.hosts.stream().filter(host -> host.raftNode.isReadyLeader()).findFirst().orElse(null);
     return leader != null
         && leader.raftNode.voters().size() == world.setup.seats()
         && leader.raftNode.voters().stream()
-            .allMatch(voter -> voter.equals(world.at(RaftNode.address(voter)).raftNode.identity()));
+            .allMatch(
+                voter -> voter.equals(world.at(RaftNode.addressOf(voter)).raftNode.identity()));
   }
 
   List<String> standing() {
@@ -308,9 +309,9 @@
                     + "/"
                     + one.log.lastTerm()
                     + " commit "
-                    + one.commit()
+                    + one.commitIndex()
                     + " leads "
-                    + one.leads()
+                    + one.isReadyLeader()
                     + " leader "
                     + one.leader()
                     + " voters "
--- a/src/test/java/yewjunction/raft/ModelRecovery.java
+++ b/src/test/java/yewjunction/raft/ModelRecovery.java
@@ -73,7 +73,7 @@
         return false;
       }
       if (atMs % PROPOSE_MS == 0) {
-        world.hosts.stream().filter(host -> host.raftNode.leads()).forEach(world::propose);
+        world.hosts.stream().filter(host -> host.raftNode.isReadyLeader()).forEach(world::propose);
       }
       tick();
     }
--- a/src/test/java/yewjunction/raft/ModelTransport.java
+++ b/src/test/java/yewjunction/raft/ModelTransport.java
@@ -20,7 +20,7 @@
       ThreadLocal.withInitial(
           () -> {
             final MessageCodec codec = new MessageCodec();
-            RaftMessages.know(codec);
+            RaftMessages.register(codec);
             return codec;
           });
 
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -87,10 +87,15 @@
           steps.append(of(ModelStep.CRASH, host.number, 0, fate));
         }
       }
-      final boolean leads = host.raftNode.leads();
-      bounded(steps, ModelStep.PROPOSE, host, leads && !host.raftNode.electorate().handing());
+      final boolean leads = host.raftNode.isReadyLeader();
+      bounded(
+          steps,
+          ModelStep.PROPOSE,
+          host,
+          leads && !host.raftNode.reconfiguration().isTransferring());
       bounded(steps, ModelStep.CONFIRM, host, leads);
-      bounded(steps, ModelStep.HAND, host, leads && !host.raftNode.electorate().handing());
+      bounded(
+          steps, ModelStep.HAND, host, leads && !host.raftNode.reconfiguration().isTransferring());
       bounded(steps, ModelStep.LEAVE, host, !host.leaving);
     }
     return steps.toString();
@@ -200,7 +205,7 @@
       case ModelStep.PROPOSE -> propose(host);
       case ModelStep.CONFIRM -> monitor.confirms(host);
       case ModelStep.HAND -> {
-        host.raftNode.electorate().handOver(() -> {});
+        host.raftNode.reconfiguration().transferLeadership(() -> {});
         host.runCommands();
       }
       case ModelStep.LEAVE -> host.leave();
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -100,18 +100,20 @@
     host.tampering = tampering;
     final RecordingStateMachine tale = new RecordingStateMachine();
     final RaftNode raftNode = new RaftNode(7, host, post, host.disk, host.clerk(), "ledger", tale);
-    raftNode.listen();
-    raftNode.electorate().seat(new VoterPlacement(3, leaving::keySet, one -> one.substring(0, 1)));
+    raftNode.registerHandlers();
+    raftNode
+        .reconfiguration()
+        .setPlacement(new VoterPlacement(3, leaving::keySet, one -> one.substring(0, 1)));
     if (raftNode.identity() == null) {
-      raftNode.name(address + "#" + (founder ? "founder" : "drawn" + drawn++));
+      raftNode.assignIdentity(address + "#" + (founder ? "founder" : "drawn" + drawn++));
       if (founder) {
-        raftNode.found(addresses.stream().map(one -> one + "#founder").toList());
+        raftNode.bootstrap(addresses.stream().map(one -> one + "#founder").toList());
       }
     }
     raftNode.start();
     raftNode
-        .membership()
-        .keep(
+        .groupMembership()
+        .start(
             () ->
                 ledgers.keySet().stream()
                     .filter(one -> !one.equals(address) && !forgotten.contains(one))
@@ -130,8 +132,8 @@
           final List<String> all = List.copyOf(ledgers.keySet());
           final RaftNode raftNode = ledgers.get(all.get(network.random.nextInt(all.size())));
           if (!quiet
-              && network.host(RaftNode.address(raftNode.identity())).up()
-              && raftNode.leads()) {
+              && network.host(RaftNode.addressOf(raftNode.identity())).up()
+              && raftNode.isReadyLeader()) {
             final long value = ++proposed;
             raftNode.propose(
                 ByteBuffer.allocate(8).putLong(value).array(),
@@ -142,7 +144,7 @@
                 });
           }
           for (final RaftNode one : ledgers.values()) {
-            if (one.leadsTerm() && network.host(RaftNode.address(one.identity())).up()) {
+            if (one.isLeader() && network.host(RaftNode.addressOf(one.identity())).up()) {
               final String known = leaders.putIfAbsent(one.storage.term, one.identity());
               assertTrue(
                   known == null || known.equals(one.identity()),
@@ -162,7 +164,7 @@
 
   RaftNode leader() {
     return ledgers.values().stream()
-        .filter(one -> network.host(RaftNode.address(one.identity())).up() && one.leads())
+        .filter(one -> network.host(RaftNode.addressOf(one.identity())).up() && one.isReadyLeader())
         .findFirst()
         .orElse(null);
   }
@@ -190,9 +192,9 @@
                             + "/"
                             + one.log.lastTerm()
                             + " commit "
-                            + one.commit()
+                            + one.commitIndex()
                             + " leads "
-                            + one.leads()
+                            + one.isReadyLeader()
                             + " leader "
                             + one.leader()
                             + " voters "
--- a/src/test/java/yewjunction/raft/RaftSimulationTest.java
+++ b/src/test/java/yewjunction/raft/RaftSimulationTest.java
@@ -39,7 +39,7 @@
             network.cut(victim, other);
           }
         }
-        case 4 -> ledgers.get(victim).electorate().handOver(() -> {});
+        case 4 -> ledgers.get(victim).reconfiguration().transferLeadership(() -> {});
         default -> addresses.forEach(address -> network.host(address).powerOff());
       }
       network.runFor(200 + network.random.nextInt(2_000));
@@ -59,7 +59,7 @@
   void aWipedMemberNeverVotesUnderItsOldName() {
     begin(42);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
-    final String victim = RaftNode.address(leader().identity());
+    final String victim = RaftNode.addressOf(leader().identity());
     // The leader loses its disk while one other loses power: one disk alone holds the newest
     // entries for sure.
     final SimulatedHost wiped = network.host(victim);
@@ -85,7 +85,7 @@
     network.loss = 0;
     final RaftNode old = leader();
     final long startMs = network.nowMs();
-    old.electorate().handOver(() -> {});
+    old.reconfiguration().transferLeadership(() -> {});
     assertTrue(network.runUntil(() -> leader() != null && leader() != old, 2_000));
     assertTrue(network.nowMs() - startMs < 150, "took " + (network.nowMs() - startMs) + " ms");
   }
@@ -97,7 +97,7 @@
     network.loss = 0;
     final RaftNode old = leader();
     final long startMs = network.nowMs();
-    network.host(RaftNode.address(old.identity())).kill();
+    network.host(RaftNode.addressOf(old.identity())).kill();
     assertTrue(network.runUntil(() -> leader() != null, 5_000));
     assertTrue(network.nowMs() - startMs < 450, "took " + (network.nowMs() - startMs) + " ms");
   }
@@ -107,12 +107,13 @@
     begin(12);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     network.loss = 0;
-    final String slow = RaftNode.address(leader().identity());
+    final String slow = RaftNode.addressOf(leader().identity());
     // Every piece to or from this machine takes far longer than a beat.
     network.drag(slow, 150);
     assertTrue(
         network.runUntil(
-            () -> leader() != null && !RaftNode.address(leader().identity()).equals(slow), 10_000));
+            () -> leader() != null && !RaftNode.addressOf(leader().identity()).equals(slow),
+            10_000));
     final String next = leader().identity();
     network.runFor(8_000);
     assertEquals(next, leader().identity());
--- a/src/test/java/yewjunction/raft/RaftWireFormatTest.java
+++ b/src/test/java/yewjunction/raft/RaftWireFormatTest.java
@@ -23,36 +23,36 @@
   private static List<LogEntry> entries() {
     return List.of(
         new LogEntry(101, 7, LogEntry.DATA, new byte[] {1, 2, 3}),
-        new LogEntry(102, 8, LogEntry.VOTERS, RaftStorage.votersData(List.of("a:1#x", "b:2#y"))),
-        new LogEntry(103, 9, LogEntry.NOTHING, new byte[0]));
+        new LogEntry(102, 8, LogEntry.VOTERS, RaftStorage.encodeVoters(List.of("a:1#x", "b:2#y"))),
+        new LogEntry(103, 9, LogEntry.NO_OP, new byte[0]));
   }
 
   static Map<String, Object> messages() {
     final Map<String, Object> messages = new LinkedHashMap<>();
     final RaftMessages.VoteRequest voteRequest = headed(new RaftMessages.VoteRequest(), 1);
-    voteRequest.pre = true;
-    voteRequest.handedOver = false;
+    voteRequest.preVote = true;
+    voteRequest.leadershipTransfer = false;
     voteRequest.lastIndex = 501;
     voteRequest.lastTerm = 12;
     messages.put("10", voteRequest);
     final RaftMessages.VoteResponse askAnswer = headed(new RaftMessages.VoteResponse(), 2);
-    askAnswer.pre = true;
+    askAnswer.preVote = true;
     askAnswer.granted = false;
     messages.put("11", askAnswer);
     final RaftMessages.AppendEntriesRequest appendRequest =
         headed(new RaftMessages.AppendEntriesRequest(), 3);
     appendRequest.prevIndex = 100;
     appendRequest.prevTerm = 6;
-    appendRequest.commit = 99;
+    appendRequest.commitIndex = 99;
     appendRequest.round = 41;
-    appendRequest.quiet = true;
+    appendRequest.responseOptional = true;
     appendRequest.entries = entries();
-    appendRequest.relay = "10.0.0.9:7000#zz";
+    appendRequest.relayAddress = "10.0.0.9:7000#zz";
     messages.put("12", appendRequest);
     final RaftMessages.AppendEntriesResponse appendAnswer =
         headed(new RaftMessages.AppendEntriesResponse(), 4);
     appendAnswer.accepted = true;
-    appendAnswer.match = 777;
+    appendAnswer.matchIndex = 777;
     appendAnswer.round = 42;
     messages.put("13", appendAnswer);
     final RaftMessages.InstallSnapshotRequest snapshotRequest =
@@ -61,26 +61,26 @@
     snapshotRequest.lastTerm = 13;
     snapshotRequest.voters = List.of("a:1#x", "b:2#y", "c:3#z");
     snapshotRequest.offset = 64;
-    snapshotRequest.length = 4096;
-    snapshotRequest.piece = new byte[] {9, 8, 7};
-    snapshotRequest.number = 21;
+    snapshotRequest.totalBytes = 4096;
+    snapshotRequest.chunk = new byte[] {9, 8, 7};
+    snapshotRequest.snapshotNumber = 21;
     snapshotRequest.attempt = 3;
     messages.put("14", snapshotRequest);
     messages.put("15", headed(new RaftMessages.TimeoutNowRequest(), 6));
     final RaftMessages.JoinRequest joinRequest = headed(new RaftMessages.JoinRequest(), 7);
     joinRequest.wantsVote = true;
-    joinRequest.passedOn = true;
-    joinRequest.leaves = false;
+    joinRequest.forwarded = true;
+    joinRequest.leaving = false;
     messages.put("16", joinRequest);
     final RaftMessages.InstallSnapshotResponse imageAnswer =
         headed(new RaftMessages.InstallSnapshotResponse(), 8);
     imageAnswer.lastIndex = 1001;
-    imageAnswer.held = 128;
-    imageAnswer.number = 22;
+    imageAnswer.receivedBytes = 128;
+    imageAnswer.snapshotNumber = 22;
     imageAnswer.attempt = 4;
     messages.put("17", imageAnswer);
     final RaftMessages.FetchRequest fetchRequest = headed(new RaftMessages.FetchRequest(), 9);
-    fetchRequest.next = 104;
+    fetchRequest.nextIndex = 104;
     fetchRequest.lastTerm = 9;
     messages.put("18", fetchRequest);
     final RaftMessages.FetchResponse fetchResponse = headed(new RaftMessages.FetchResponse(), 10);
@@ -94,7 +94,7 @@
   @Test
   void messagesKeepTheirBytes() {
     final MessageCodec codec = new MessageCodec();
-    RaftMessages.know(codec);
+    RaftMessages.register(codec);
     GoldenBytes.assertUnchanged("raft.txt", GoldenBytes.encode(codec, messages()));
   }
 
@@ -103,7 +103,7 @@
     final Map<String, byte[]> records = new LinkedHashMap<>();
     for (int kind = 1; kind <= 5; kind++) {
       records.put(
-          "record-" + kind, LogRecord.wrapBody(kind, new byte[] {(byte) kind, 2, 3}, 1_000 + kind));
+          "record-" + kind, LogRecord.encode(kind, new byte[] {(byte) kind, 2, 3}, 1_000 + kind));
     }
     GoldenBytes.assertUnchanged("records.txt", records);
   }
--- a/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
+++ b/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
@@ -27,10 +27,10 @@
     assertTrue(
         network.runUntil(
             () -> {
-              if (leader() != null && !RaftNode.address(leader().identity()).equals(address)) {
-                leader().electorate().handOver(() -> {});
+              if (leader() != null && !RaftNode.addressOf(leader().identity()).equals(address)) {
+                leader().reconfiguration().transferLeadership(() -> {});
               }
-              return leader() != null && RaftNode.address(leader().identity()).equals(address);
+              return leader() != null && RaftNode.addressOf(leader().identity()).equals(address);
             },
             60_000),
         address + " never led");
@@ -77,7 +77,7 @@
     response.term = leader.storage.term;
     response.accepted = true;
     response.round = round;
-    leader.leaderState.answered(response);
+    leader.leaderState.onAppendEntriesResponse(response);
   }
 
   /**
@@ -88,9 +88,9 @@
     final List<Boolean> said = new ArrayList<>();
     network.cut("a:1", "b:1");
     network.cut("a:1", "c:1");
-    leader.confirm(said::add);
+    leader.confirmLeadership(said::add);
     for (final AppendEntriesResponse response : answers) {
-      late(leader, RaftNode.address(response.from), response.round + ahead);
+      late(leader, RaftNode.addressOf(response.from), response.round + ahead);
     }
     return List.copyOf(said);
   }
@@ -127,7 +127,7 @@
     final AppendEntriesRequest old = appends.get("c:1");
     old.from = leader.identity();
     old.to = 0;
-    ledgers.get("c:1").followerState.append(ledgers.get("c:1").transport.dial("a:1"), old);
+    ledgers.get("c:1").followerState.onAppendEntries(ledgers.get("c:1").transport.dial("a:1"), old);
     network.runFor(50);
     final List<AppendEntriesResponse> refusals =
         told.stream().filter(response -> !response.accepted).toList();
--- a/src/test/java/yewjunction/raft/SnapshotChunksTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotChunksTest.java
@@ -22,8 +22,8 @@
     boot("d:1", false);
     network.runFor(8_000);
     final long numbers = snapshots;
-    leader().leaderState.snapshotTransfer.drop();
-    final boolean whole = network.runUntil(() -> ledgers.get("d:1").applied() > 0, 60_000);
+    leader().leaderState.snapshotTransfer.abandonAll();
+    final boolean whole = network.runUntil(() -> ledgers.get("d:1").appliedIndex() > 0, 60_000);
     assertEquals(numbers + 1, snapshots);
     return whole;
   }
@@ -40,10 +40,10 @@
     tampering =
         message -> {
           if (message instanceof RaftMessages.InstallSnapshotRequest request) {
-            number[0] = Math.max(number[0], request.number);
-            request.number = 1;
+            number[0] = Math.max(number[0], request.snapshotNumber);
+            request.snapshotNumber = 1;
           } else if (message instanceof RaftMessages.InstallSnapshotResponse response) {
-            response.number = number[0];
+            response.snapshotNumber = number[0];
           }
         };
     assertTrue(
@@ -57,21 +57,23 @@
     begin(10);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     final RaftNode follower =
-        ledgers.values().stream().filter(one -> !one.leadsTerm()).findFirst().orElseThrow();
-    assertTrue(network.runUntil(() -> follower.log.lastIndex() > follower.commit() + 1, 10_000));
+        ledgers.values().stream().filter(one -> !one.isLeader()).findFirst().orElseThrow();
+    assertTrue(
+        network.runUntil(() -> follower.log.lastIndex() > follower.commitIndex() + 1, 10_000));
     final long last = follower.log.lastIndex();
     final RaftMessages.InstallSnapshotRequest request = new RaftMessages.InstallSnapshotRequest();
     request.from = leader().identity();
     request.term = leader().storage.term;
-    request.lastIndex = follower.commit() + 1;
+    request.lastIndex = follower.commitIndex() + 1;
     request.lastTerm = follower.log.termAt(request.lastIndex);
-    request.number = 1;
+    request.snapshotNumber = 1;
     // All of it in one piece: to be installed, were the entries not here.
-    request.piece = tales.get(RaftNode.address(leader().identity())).snapshot();
-    request.length = request.piece.length;
-    follower.followerState.image(follower.transport.dial(RaftNode.address(request.from)), request);
+    request.chunk = tales.get(RaftNode.addressOf(leader().identity())).snapshot();
+    request.totalBytes = request.chunk.length;
+    follower.followerState.onInstallSnapshot(
+        follower.transport.dial(RaftNode.addressOf(request.from)), request);
     assertEquals(
         last, follower.log.lastIndex(), "entries that may have been acknowledged are gone");
-    assertEquals(request.lastIndex, follower.commit());
+    assertEquals(request.lastIndex, follower.commitIndex());
   }
 }
--- a/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
@@ -19,8 +19,8 @@
   private static final List<String> LATE = List.of("d:1", "e:1");
 
   private boolean caughtUp(final String address) {
-    final long applied = ledgers.get(address).applied();
-    return leader() != null && applied > 0 && applied + 100 >= leader().applied();
+    final long applied = ledgers.get(address).appliedIndex();
+    return leader() != null && applied > 0 && applied + 100 >= leader().appliedIndex();
   }
 
   private boolean all(final long withinMs) {
@@ -43,7 +43,10 @@
     // As it was: a piece that is late on the shared link, and the whole is begun again.
     network.every(
         1_000,
-        () -> ledgers.values().forEach(raftNode -> raftNode.leaderState.snapshotTransfer.drop()));
+        () ->
+            ledgers
+                .values()
+                .forEach(raftNode -> raftNode.leaderState.snapshotTransfer.abandonAll()));
     LATE.forEach(address -> boot(address, false));
     assertFalse(all(60_000), "caught up with a sender that begins anew");
   }
@@ -59,20 +62,20 @@
   void theLogKeepsWhatFollowsASnapshotUnderWay() {
     rewrittenMeanwhile(2);
     assertTrue(
-        network.runUntil(() -> leader() != null && leader().log.baseIndex() > 0, 60_000),
+        network.runUntil(() -> leader() != null && leader().log.snapshotIndex() > 0, 60_000),
         "never rewritten");
     assertFalse(caughtUp("d:1"), "caught up before the log was cut");
     final RaftNode cutting = leader();
     assertTrue(
-        cutting.applied() - cutting.log.baseIndex() > RETAINED_TAIL_ENTRIES,
+        cutting.appliedIndex() - cutting.log.snapshotIndex() > RETAINED_TAIL_ENTRIES,
         "no more than the usual tail is kept");
     assertTrue(network.runUntil(() -> caughtUp("d:1"), 120_000), "not caught up");
     // What was kept lies in the rewritten file, too.
-    final long base = cutting.log.baseIndex();
-    final String address = RaftNode.address(cutting.identity());
+    final long base = cutting.log.snapshotIndex();
+    final String address = RaftNode.addressOf(cutting.identity());
     network.host(address).powerOff();
     boot(address, false);
-    assertEquals(base, ledgers.get(address).log.baseIndex());
+    assertEquals(base, ledgers.get(address).log.snapshotIndex());
   }
 
   @Test
@@ -82,7 +85,7 @@
         500,
         () -> {
           if (leader() != null) {
-            leader().log.dropTo(leader().applied() - RETAINED_TAIL_ENTRIES);
+            leader().log.discardThrough(leader().appliedIndex() - RETAINED_TAIL_ENTRIES);
           }
         });
     assertFalse(
@@ -95,7 +98,7 @@
     boot("d:1", false);
     network.runFor(8_000);
     assertTrue(
-        leader().leaderState.snapshotTransfer.sends(ledgers.get("d:1").identity()),
+        leader().leaderState.snapshotTransfer.isSendingTo(ledgers.get("d:1").identity()),
         "not under way");
     return leader();
   }
@@ -135,7 +138,7 @@
   void aSenderThatDiesIsFollowedByOneThatBeginsAnew() {
     final RaftNode sender = halfWay(5);
     final int built = snapshots;
-    network.host(RaftNode.address(sender.identity())).kill();
+    network.host(RaftNode.addressOf(sender.identity())).kill();
     finishes(built + 1);
   }
 
@@ -150,9 +153,9 @@
     finishes(built);
     network.runFor(15_000);
     assertFalse(
-        sender.leaderState.snapshotTransfer.sends(before),
+        sender.leaderState.snapshotTransfer.isSendingTo(before),
         "a snapshot is held for a name that is gone");
-    assertFalse(sender.leaderState.snapshotTransfer.sends(ledgers.get("d:1").identity()));
+    assertFalse(sender.leaderState.snapshotTransfer.isSendingTo(ledgers.get("d:1").identity()));
   }
 
   @ParameterizedTest
@@ -162,7 +165,7 @@
     final int built = snapshots;
     // The whole is there, and on its way to a disk that takes a second for it.
     network.host("d:1").syncMicros = 1_000_000;
-    assertTrue(network.runUntil(() -> ledgers.get("d:1").applied() > 0, 30_000));
+    assertTrue(network.runUntil(() -> ledgers.get("d:1").appliedIndex() > 0, 30_000));
     network.runFor(lateMs);
     network.host("d:1").powerOff();
     network.host("d:1").syncMicros = 2_000;
@@ -170,7 +173,7 @@
     boot("d:1", false);
     // Whoever leads may go once all pieces are there: where the new is lost the next leader builds
     // one, and nobody else.
-    final boolean kept = ledgers.get("d:1").applied() > 0;
+    final boolean kept = ledgers.get("d:1").appliedIndex() > 0;
     assertTrue(network.runUntil(() -> caughtUp("d:1"), 60_000), "not caught up");
     finishes(kept ? built : built + (int) (leader().storage.term - term));
   }
@@ -181,13 +184,13 @@
     network.host("c:1").powerOff();
     network.every(5, () -> propose(300));
     assertTrue(
-        network.runUntil(() -> leader() != null && leader().log.baseIndex() > 0, 60_000),
+        network.runUntil(() -> leader() != null && leader().log.snapshotIndex() > 0, 60_000),
         "never rewritten");
     // The other one rewrites its file at the same entry.
     network.runFor(500);
     // As after a change of the leader, or a cut by the bound: nothing is known to be there.
-    leader().leaderState.progressByMember.get("c:1#founder").next = 1;
-    leader().leaderState.progressByMember.get("c:1#founder").match = 0;
+    leader().leaderState.progressByMember.get("c:1#founder").nextIndex = 1;
+    leader().leaderState.progressByMember.get("c:1#founder").matchIndex = 0;
     final int built = snapshots;
     network.runFor(5_000);
     assertEquals(built, snapshots);
@@ -202,7 +205,7 @@
     network.loss = 0;
     final String away =
         addresses.stream()
-            .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+            .filter(one -> !one.equals(RaftNode.addressOf(leader().identity())))
             .findFirst()
             .orElseThrow();
     addresses.forEach(one -> network.cut(away, one));
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -127,12 +127,12 @@
               (blocking, afterwards) -> afterwards.run(),
               "x" + round,
               stateMachine);
-      raftNode.name("a:1#x");
+      raftNode.assignIdentity("a:1#x");
       // Founding writes the state as a rewrite does: a snapshot and a whole file.
       timed(
           "turn in all",
           () -> {
-            raftNode.found(List.of("a:1#x"));
+            raftNode.bootstrap(List.of("a:1#x"));
             return null;
           });
       System.out.println("snapshot bytes " + snapshot[0].length);
--- a/src/test/java/yewjunction/raft/StoredDataFixture.java
+++ b/src/test/java/yewjunction/raft/StoredDataFixture.java
@@ -59,19 +59,19 @@
     }
     storage.saveVote(4, IDENTITY, () -> {});
     storage.append(List.of(new LogEntry(index + 1, 3, LogEntry.DATA, new byte[] {1})), () -> {});
-    storage.cutFrom(index + 1);
-    storage.log.dropTo(index - 1);
+    storage.truncateFrom(index + 1);
+    storage.log.discardThrough(index - 1);
     storage.rewrite(index, stateMachine.snapshot(), () -> {});
     for (final byte[] command : commands.subList(inSnapshot, commands.size())) {
       storage.append(List.of(new LogEntry(++index, 4, LogEntry.DATA, command)), () -> {});
     }
     storage.append(
-        List.of(new LogEntry(++index, 4, LogEntry.VOTERS, RaftStorage.votersData(LAST_VOTERS))),
+        List.of(new LogEntry(++index, 4, LogEntry.VOTERS, RaftStorage.encodeVoters(LAST_VOTERS))),
         () -> {});
-    storage.append(List.of(new LogEntry(++index, 5, LogEntry.NOTHING, new byte[0])), () -> {});
+    storage.append(List.of(new LogEntry(++index, 5, LogEntry.NO_OP, new byte[0])), () -> {});
     final Path file = folder.resolve(name);
     final long length = Files.size(file);
-    final byte[] torn = LogRecord.wrapBody(3, new byte[] {1, 2, 3}, length);
+    final byte[] torn = LogRecord.encode(3, new byte[] {1, 2, 3}, length);
     Files.write(file, Arrays.copyOf(torn, TORN_BYTES), StandardOpenOption.APPEND);
   }
 
--- a/src/test/java/yewjunction/raft/StoredDataTest.java
+++ b/src/test/java/yewjunction/raft/StoredDataTest.java
@@ -28,9 +28,9 @@
     final Path file = folder.resolve(name);
     Files.copy(Path.of("src/test/resources/stored-data", node, name), file);
     final long written = Files.size(file);
-    final StorageInspection health = StorageInspection.look(folder).get(0);
+    final StorageInspection health = StorageInspection.inspect(folder).get(0);
     assertFalse(health.damaged());
-    assertEquals(written - StoredDataFixture.TORN_BYTES, health.goodBytes());
+    assertEquals(written - StoredDataFixture.TORN_BYTES, health.validBytes());
 
     final RaftStorage storage = StoredDataFixture.open(folder, name);
     assertEquals(written - StoredDataFixture.TORN_BYTES, Files.size(file));
@@ -39,17 +39,17 @@
     assertEquals(StoredDataFixture.IDENTITY, storage.votedFor);
     final int inSnapshot = commands.size() / 2;
     final RaftLog log = storage.log;
-    assertEquals(inSnapshot, storage.stateIndex());
-    assertEquals(inSnapshot - 1, log.baseIndex());
-    assertEquals(3, log.termAt(log.baseIndex()));
+    assertEquals(inSnapshot, storage.snapshotIndex());
+    assertEquals(inSnapshot - 1, log.snapshotIndex());
+    assertEquals(3, log.termAt(log.snapshotIndex()));
     assertEquals(commands.size() + 2, log.lastIndex());
     assertEquals(5, log.lastTerm());
     assertEquals(StoredDataFixture.FIRST_VOTERS, log.votersAt(commands.size()));
     assertEquals(StoredDataFixture.LAST_VOTERS, log.votersAt(log.lastIndex()));
     assertEquals(LogEntry.VOTERS, log.get(commands.size() + 1).kind);
-    assertEquals(LogEntry.NOTHING, log.get(commands.size() + 2).kind);
+    assertEquals(LogEntry.NO_OP, log.get(commands.size() + 2).kind);
 
-    stateMachine.restore(storage.stateIndex(), storage.takeState());
+    stateMachine.restore(storage.snapshotIndex(), storage.takeSnapshotState());
     for (int index = inSnapshot + 1; index <= commands.size(); index++) {
       final LogEntry entry = log.get(index);
       assertEquals(LogEntry.DATA, entry.kind);
