--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -25,7 +25,7 @@
   private List<String> voters() {
     return leader() == null
         ? List.of()
-        : leader().voters().stream().map(RaftNode::address).sorted().toList();
+        : leader().voters().stream().map(RaftNode::addressOf).sorted().toList();
   }
 
   private void awaitProgress(final long more, final long withinMs) {
@@ -81,7 +81,7 @@
     beginWith(7, "d:1");
     final String away =
         addresses.stream()
-            .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+            .filter(one -> !one.equals(RaftNode.addressOf(leader().identity())))
             .findFirst()
             .orElseThrow();
     ledgers.keySet().forEach(other -> network.cut(away, other));
@@ -104,11 +104,11 @@
   @Test
   void aVoterWhoseDiskStallsGivesItsSeatToASpareAndALeaderHandsOverFirst() {
     beginWith(8, "d:1");
-    final String stalled = RaftNode.address(leader().identity());
+    final String stalled = RaftNode.addressOf(leader().identity());
     network.host(stalled).syncMicros = 60_000_000;
     assertTrue(
         network.runUntil(
-            () -> leader() != null && !RaftNode.address(leader().identity()).equals(stalled),
+            () -> leader() != null && !RaftNode.addressOf(leader().identity()).equals(stalled),
             4_000));
     assertTrue(
         network.runUntil(() -> !voters().contains(stalled) && voters().contains("d:1"), 8_000),
@@ -142,16 +142,16 @@
     network.runFor(2_000);
     final String gone =
         leads
-            ? RaftNode.address(leader().identity())
+            ? RaftNode.addressOf(leader().identity())
             : addresses.stream()
-                .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+                .filter(one -> !one.equals(RaftNode.addressOf(leader().identity())))
                 .findFirst()
                 .orElseThrow();
     final boolean[] ended = new boolean[1];
     ledgers
         .get(gone)
-        .membership()
-        .leave(
+        .groupMembership()
+        .leaveGroup(
             () -> {
               ended[0] = true;
               network.host(gone).powerOff();
@@ -180,7 +180,7 @@
     final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
     network.runFor(100);
     assertTrue(
-        tales.get(RaftNode.address(leader().identity())).told.values().containsAll(owed),
+        tales.get(RaftNode.addressOf(leader().identity())).told.values().containsAll(owed),
         "an acknowledged entry is gone");
   }
 
@@ -196,7 +196,7 @@
       one.tampering =
           message -> {
             if (message instanceof RaftMessages.JoinRequest request) {
-              request.leaves = null;
+              request.leaving = null;
             }
           };
       late += one.replacedAsPlanned(seed, false) ? 0 : 1;
@@ -209,11 +209,11 @@
     beginWith(2);
     final String gone =
         addresses.stream()
-            .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+            .filter(one -> !one.equals(RaftNode.addressOf(leader().identity())))
             .findFirst()
             .orElseThrow();
     final boolean[] ended = new boolean[1];
-    ledgers.get(gone).membership().leave(() -> ended[0] = true);
+    ledgers.get(gone).groupMembership().leaveGroup(() -> ended[0] = true);
     network.runFor(1);
     assertTrue(ended[0], "it waits for nothing");
     assertEquals(addresses, voters());
@@ -224,7 +224,7 @@
   void aSpareThatKnowsOnlyTheFormerLeaderIsSeenToStayOutside() {
     forgotten.addAll(addresses);
     beginWith(1, "d:9");
-    final String gone = RaftNode.address(leader().identity());
+    final String gone = RaftNode.addressOf(leader().identity());
     network.host(gone).powerOff();
     assertTrue(
         !network.runUntil(() -> voters().contains("d:9"), 6_000),
@@ -246,7 +246,7 @@
     network.loss = 0;
     final List<String> others =
         addresses.stream()
-            .filter(one -> !one.equals(RaftNode.address(leader().identity())))
+            .filter(one -> !one.equals(RaftNode.addressOf(leader().identity())))
             .toList();
     ledgers.keySet().forEach(other -> network.cut(others.get(0), other));
     network.runFor(awayMs);
@@ -256,7 +256,7 @@
     network.join();
     awaitProgress(50, 12_000);
     assertTrue(
-        tales.get(RaftNode.address(leader().identity())).told.values().containsAll(acknowledged),
+        tales.get(RaftNode.addressOf(leader().identity())).told.values().containsAll(acknowledged),
         "an acknowledged entry is gone");
   }
 
@@ -265,19 +265,19 @@
     beginWith(3, "d:1");
     network.loss = 0;
     network.runFor(1_000);
-    assertTrue(ledgers.get("d:1").membership().behindMs() < 100, "behind while all is well");
+    assertTrue(ledgers.get("d:1").groupMembership().lagMs() < 100, "behind while all is well");
     // It hears how far the others are, but not the entries.
     network.host("d:1").tampering =
         message -> {
           if (message instanceof RaftMessages.AppendEntriesRequest request) {
             request.entries.clear();
-            request.relay = null;
+            request.relayAddress = null;
           } else if (message instanceof RaftMessages.FetchResponse response) {
             response.entries.clear();
           }
         };
-    assertTrue(network.runUntil(() -> ledgers.get("d:1").membership().behindMs() > 1_000, 3_000));
+    assertTrue(network.runUntil(() -> ledgers.get("d:1").groupMembership().lagMs() > 1_000, 3_000));
     network.host("d:1").tampering = message -> {};
-    assertTrue(network.runUntil(() -> ledgers.get("d:1").membership().behindMs() == 0, 3_000));
+    assertTrue(network.runUntil(() -> ledgers.get("d:1").groupMembership().lagMs() == 0, 3_000));
   }
 }
--- a/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
@@ -12,7 +12,7 @@
 /** Members without a vote learn from their zone, whoever of it fails. */
 class ZoneRelaySimulationTest extends RaftSimulation {
   private String relay(final String address) {
-    return leader().leaderState.progressByMember.get(ledgers.get(address).identity()).relay;
+    return leader().leaderState.progressByMember.get(ledgers.get(address).identity()).relayAddress;
   }
 
   private void allLearn(final String when) {
@@ -40,13 +40,15 @@
     allLearn("all is well");
     // Close behind the end, or a seat could not be filled from them.
     SPARES.forEach(
-        spare -> assertTrue(leader().electorate().nearEnd(ledgers.get(spare).identity()), spare));
+        spare ->
+            assertTrue(
+                leader().reconfiguration().isCaughtUp(ledgers.get(spare).identity()), spare));
   }
 
   @Test
   void whoeverServesAZoneMayGo() {
     beginWithSpares(2);
-    final String served = RaftNode.address(leader().identity()).equals("a:1") ? "b:1" : "a:1";
+    final String served = RaftNode.addressOf(leader().identity()).equals("a:1") ? "b:1" : "a:1";
     network.host(served).powerOff();
     allLearn("without " + served);
     boot(served, false);
--- a/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -34,17 +34,16 @@
     handedOn.term = named ? term + 1 : 0;
     handedOn.prevIndex = prevIndex;
     handedOn.prevTerm = prevTerm;
-    handedOn.entries =
-        List.of(new LogEntry(prevIndex + 1, term + 1, LogEntry.NOTHING, new byte[0]));
-    spare.relay.taken(handedOn);
-    assertEquals(prevIndex + 1, spare.commit());
+    handedOn.entries = List.of(new LogEntry(prevIndex + 1, term + 1, LogEntry.NO_OP, new byte[0]));
+    spare.relay.onFetchResponse(handedOn);
+    assertEquals(prevIndex + 1, spare.commitIndex());
     final AppendEntriesRequest late = new AppendEntriesRequest();
     late.from = former;
     late.term = term;
     late.prevIndex = prevIndex;
     late.prevTerm = prevTerm;
-    late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NOTHING, new byte[0]));
-    spare.followerState.append(spare.transport.dial("a:1"), late);
+    late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NO_OP, new byte[0]));
+    spare.followerState.onAppendEntries(spare.transport.dial("a:1"), late);
     return spare.log.termAt(prevIndex + 1) - term;
   }
 
--- a/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
+++ b/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
@@ -54,9 +54,9 @@
    * forgotten.
    */
   private boolean answeredOrEnded(final TaskExecutor executor) throws InterruptedException {
-    executor.work(BlockingTaskExecutorTest::fail, () -> {});
+    executor.execute(BlockingTaskExecutorTest::fail, () -> {});
     // The one thread takes things in order: once this is answered, the one before has had its turn.
-    executor.work(() -> {}, () -> codes.add(-1));
+    executor.execute(() -> {}, () -> codes.add(-1));
     final Runnable response = posted.poll(10, TimeUnit.SECONDS);
     assertTrue(response != null, "the next work was not answered");
     return posted.poll(200, TimeUnit.MILLISECONDS) != null || !codes.isEmpty();
@@ -97,7 +97,7 @@
   @Test
   void aFailedSyncEndsTheProcessAndNobodyIsToldThatItWorked() throws InterruptedException {
     final BlockingTaskExecutor worker = new BlockingTaskExecutor(context, codes::add);
-    worker.work(
+    worker.execute(
         () -> {
           throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FAILED, "sync failed");
         },
@@ -111,7 +111,7 @@
     final BlockingTaskExecutor worker = new BlockingTaskExecutor(context, codes::add);
     final List<String> written = new ArrayList<>();
     final int[] tries = new int[1];
-    worker.work(
+    worker.execute(
         () -> {
           if (tries[0]++ < 2) {
             throw new yewjunction.raft.StorageException(ErrorCode.STORAGE_FULL, "no room");
@@ -119,7 +119,7 @@
           written.add("one");
         },
         () -> written.add("one answered"));
-    worker.work(() -> written.add("two"), () -> written.add("two answered"));
+    worker.execute(() -> written.add("two"), () -> written.add("two answered"));
     for (int answered = 0; answered < 2; answered++) {
       final Runnable response = posted.poll(10, TimeUnit.SECONDS);
       assertTrue(response != null, "not answered");
--- a/src/test/java/yewjunction/server/HttpEndpointTest.java
+++ b/src/test/java/yewjunction/server/HttpEndpointTest.java
@@ -181,12 +181,12 @@
     server = HttpEndpoint.operator("127.0.0.1:0", context, this::take);
     final CountDownLatch back = new CountDownLatch(2);
     final var executor = HttpEndpoint.reader(context);
-    executor.work(
+    executor.execute(
         () -> {
           throw new IllegalStateException("planted");
         },
         back::countDown);
-    executor.work(() -> {}, back::countDown);
+    executor.execute(() -> {}, back::countDown);
     assertTrue(back.await(20, TimeUnit.SECONDS));
   }
 
--- a/src/test/java/yewjunction/simulation/SimulatedDisk.java
+++ b/src/test/java/yewjunction/simulation/SimulatedDisk.java
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public void cut(final String name, final long length) {
+  public void truncate(final String name, final long length) {
     final byte[] all = read(name);
     written.remove(name);
     synced.put(name, new Bytes(Arrays.copyOf(all, (int) length)));
--- a/src/test/java/yewjunction/simulation/SimulatedTransport.java
+++ b/src/test/java/yewjunction/simulation/SimulatedTransport.java
@@ -26,7 +26,7 @@
   SimulatedTransport(final SimulatedHost host) {
     this.host = host;
     life = host.life();
-    yewjunction.raft.RaftMessages.know(codec);
+    yewjunction.raft.RaftMessages.register(codec);
     yewjunction.membership.MembershipMessages.know(codec);
     yewjunction.control.LeaseMessages.know(codec);
     yewjunction.store.AdmissionMessages.know(codec);
--- a/src/test/java/yewjunction/system/BorrowingSimulationTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -103,7 +103,7 @@
   private ReferenceAccounts reference() {
     final Map<Long, byte[]> entries = LogReader.none();
     for (final String store : cluster.all(NodeRole.STORE)) {
-      LogReader.gather(cluster.network.host(store).disk, "messages", Long.MAX_VALUE, entries);
+      LogReader.readData(cluster.network.host(store).disk, "messages", Long.MAX_VALUE, entries);
     }
     final ReferenceAccounts reference = new ReferenceAccounts();
     reference.replay(entries);
