--- a/src/main/java/yewjunction/cli/ServerCommand.java
+++ b/src/main/java/yewjunction/cli/ServerCommand.java
@@ -50,8 +50,8 @@
     try {
       final Settings settings = settingsFile.load();
       return new ServerProcess(settingsFile, settings, role(settings))
-          .signalled(signals)
-          .planned(calendar)
+          .withSignals(signals)
+          .withCalendar(calendar)
           .run();
     } catch (final YewjunctionException failure) {
       System.err.println(failure.code() + " " + failure.getMessage());
@@ -70,7 +70,7 @@
 
   private static int exitCode(final YewjunctionException failure) {
     if (failure.code() == ErrorCode.STORAGE_DAMAGED) {
-      LogEvent.LEDGER_DAMAGED.warn(failure.getMessage());
+      LogEvent.LOG_DAMAGED.warn(failure.getMessage());
       return ExitCode.STORAGE_DAMAGED;
     }
     return failure.code() == ErrorCode.STORAGE_FAILED ? ExitCode.DISK_FAILED : ExitCode.SETTINGS;
--- a/src/main/java/yewjunction/common/AgentContext.java
+++ b/src/main/java/yewjunction/common/AgentContext.java
@@ -8,20 +8,20 @@
   long nowMs();
 
   /** Runs the task once on the owner's thread. */
-  void after(long delayMs, Runnable task);
+  void schedule(long delayMs, Runnable task);
 
   /** Hands a command to the owner's thread from any thread. */
-  void post(Runnable command);
+  void execute(Runnable command);
 
-  Random luck();
+  Random random();
 
   /** Runs the task again and again; the first time after one period. */
-  default void every(final long periodMs, final Runnable task) {
-    after(
+  default void scheduleAtFixedRate(final long periodMs, final Runnable task) {
+    schedule(
         periodMs,
         () -> {
           // Re-arm before running, so that a defect in one turn does not end the rest.
-          every(periodMs, task);
+          scheduleAtFixedRate(periodMs, task);
           task.run();
         });
   }
--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -12,31 +12,33 @@
 
 /** Letters to bytes and back: one byte of kind, then Protostuff. One thread at a time. */
 public final class MessageCodec {
-  private final Map<Class<?>, Integer> kinds = new HashMap<>();
-  private final Map<Integer, Schema<?>> schemas = new HashMap<>();
-  private final LinkedBuffer scratch = LinkedBuffer.allocate(1024);
+  private final Map<Class<?>, Integer> numberByType = new HashMap<>();
+  private final Map<Integer, Schema<?>> schemaByNumber = new HashMap<>();
+  private final LinkedBuffer buffer = LinkedBuffer.allocate(1024);
 
   /** Kinds are numbered by hand: numbers outlive names when releases mix. */
-  public MessageCodec know(final int number, final Class<?> kind) {
-    if (schemas.containsKey(number)) {
+  public MessageCodec register(final int number, final Class<?> kind) {
+    if (schemaByNumber.containsKey(number)) {
       throw new IllegalStateException("letter number " + number + " is taken");
     }
-    kinds.put(kind, number);
-    schemas.put(number, RuntimeSchema.getSchema(kind));
+    numberByType.put(kind, number);
+    schemaByNumber.put(number, RuntimeSchema.getSchema(kind));
     return this;
   }
 
   @SuppressWarnings("unchecked")
   public byte[] encode(final Object message) {
-    final Integer number = kinds.get(message.getClass());
+    final Integer number = numberByType.get(message.getClass());
     if (number == null) {
       throw new CodecException(MESSAGE_UNKNOWN, message.getClass().getName());
     }
     final byte[] body;
     try {
-      body = ProtostuffIOUtil.toByteArray(message, (Schema<Object>) schemas.get(number), scratch);
+      body =
+          ProtostuffIOUtil.toByteArray(
+              message, (Schema<Object>) schemaByNumber.get(number), buffer);
     } finally {
-      scratch.clear();
+      buffer.clear();
     }
     final byte[] whole = new byte[body.length + 1];
     whole[0] = (byte) (int) number;
@@ -49,7 +51,7 @@
     // An unknown kind is told apart from a broken one: it may come from a newer release and is
     // skipped.
     final Schema<Object> schema =
-        length < 1 ? null : (Schema<Object>) schemas.get(bytes[offset] & 0xff);
+        length < 1 ? null : (Schema<Object>) schemaByNumber.get(bytes[offset] & 0xff);
     if (schema == null) {
       throw new CodecException(
           MESSAGE_UNKNOWN, "kind " + (length < 1 ? "none" : bytes[offset] & 0xff));
--- a/src/main/java/yewjunction/common/PeerConnection.java
+++ b/src/main/java/yewjunction/common/PeerConnection.java
@@ -7,8 +7,8 @@
 
   void close();
 
-  boolean open();
+  boolean isOpen();
 
   /** The far address, ip:port; for links taken in, the port is the peer's ephemeral one. */
-  String remote();
+  String remoteAddress();
 }
--- a/src/main/java/yewjunction/common/PeerTransport.java
+++ b/src/main/java/yewjunction/common/PeerTransport.java
@@ -6,9 +6,9 @@
 /** Letters between peers over ordered links. */
 public interface PeerTransport {
   /** The link to that address, dialled when there is none. */
-  PeerConnection dial(String address);
+  PeerConnection connect(String address);
 
-  <T> void on(Class<T> kind, BiConsumer<PeerConnection, T> handler);
+  <T> void onMessage(Class<T> kind, BiConsumer<PeerConnection, T> handler);
 
   void onClose(Consumer<PeerConnection> handler);
 }
--- a/src/main/java/yewjunction/common/PendingRequests.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -19,10 +19,10 @@
  * @param <T> what the asker wants back with the answer
  */
 public final class PendingRequests<P, T> {
-  private final Map<Long, Pending<P, T>> open = new HashMap<>();
-  private long newest;
+  private final Map<Long, Pending<P, T>> pending = new HashMap<>();
+  private long newestId;
 
-  private record Pending<P, T>(P peer, T about) {}
+  private record Pending<P, T>(P responder, T context) {}
 
   /** Life: what the process drew for itself at its start. */
   public PendingRequests(final long life) {
@@ -30,45 +30,47 @@
     long mixed = life * 0x9e3779b97f4a7c15L;
     mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
-    newest = (mixed ^ mixed >>> 31) >>> Long.SIZE - REQUEST_ID_SEED_BITS;
+    newestId = (mixed ^ mixed >>> 31) >>> Long.SIZE - REQUEST_ID_SEED_BITS;
   }
 
   /** The number that the answer is to repeat. */
-  public long ask(final P peer, final T about) {
-    open.put(++newest, new Pending<>(peer, about));
-    return newest;
+  public long add(final P peer, final T about) {
+    pending.put(++newestId, new Pending<>(peer, about));
+    return newestId;
   }
 
   /**
    * What was asked; null when nothing open by that number was asked of that peer, and then nothing
    * changes.
    */
-  public T answered(final long number, final P from) {
-    final Pending<P, T> question = open.get(number);
-    if (question == null || !question.peer.equals(from)) {
+  public T complete(final long number, final P from) {
+    final Pending<P, T> question = pending.get(number);
+    if (question == null || !question.responder.equals(from)) {
       return null;
     }
-    open.remove(number);
-    return question.about;
+    pending.remove(number);
+    return question.context;
   }
 
-  public boolean none() {
-    return open.isEmpty();
+  public boolean isEmpty() {
+    return pending.isEmpty();
   }
 
   /** No answer to it counts any more. */
-  public void drop(final long number) {
-    open.remove(number);
+  public void cancel(final long number) {
+    pending.remove(number);
   }
 
-  public void dropAll() {
-    open.clear();
+  public void cancelAll() {
+    pending.clear();
   }
 
   /** Gives up all that it holds for, and says what they were about. */
-  public List<T> drop(final Predicate<T> over) {
+  public List<T> cancel(final Predicate<T> over) {
     final List<T> dropped = new ArrayList<>();
-    open.values().removeIf(question -> over.test(question.about) && dropped.add(question.about));
+    pending
+        .values()
+        .removeIf(question -> over.test(question.context) && dropped.add(question.context));
     return dropped;
   }
 }
--- a/src/main/java/yewjunction/control/AccountBalance.java
+++ b/src/main/java/yewjunction/control/AccountBalance.java
@@ -28,7 +28,7 @@
   public long borrowed;
   public long repaid;
 
-  Map<String, Object> row() {
+  Map<String, Object> toRow() {
     final Map<String, Object> row = new LinkedHashMap<>();
     row.put("Tenant", tenant);
     row.put("Index", index);
--- a/src/main/java/yewjunction/control/CallDecision.java
+++ b/src/main/java/yewjunction/control/CallDecision.java
@@ -9,15 +9,15 @@
  */
 record CallDecision(
     OperatorApi.Response response,
-    boolean fact,
-    Runnable beside,
+    boolean needsConfirmation,
+    Runnable backgroundWork,
     ControlCommand command,
-    Runnable done) {
+    Runnable onApplied) {
   /**
    * True whatever else is agreed on meanwhile: it depends on the request alone, or stays so once it
    * is so.
    */
-  static CallDecision lasting(final OperatorApi.Response response) {
+  static CallDecision finalResponse(final OperatorApi.Response response) {
     return new CallDecision(response, false, null, null, null);
   }
 
@@ -25,15 +25,15 @@
    * True of this member's state; told only by a leader that a majority has confirmed after the call
    * came.
    */
-  static CallDecision fact(final OperatorApi.Response response) {
+  static CallDecision needsConfirmation(final OperatorApi.Response response) {
     return new CallDecision(response, true, null, null, null);
   }
 
-  static CallDecision beside(final Runnable work) {
+  static CallDecision backgroundWork(final Runnable work) {
     return new CallDecision(null, false, work, null, null);
   }
 
-  static CallDecision agree(
+  static CallDecision propose(
       final ControlCommand command, final OperatorApi.Response response, final Runnable done) {
     // Without a deed the answer would be a promise of nothing.
     return new CallDecision(response, false, null, requireNonNull(command), done);
--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -12,9 +12,9 @@
 final class ChangeQueue {
   private final AgentContext context;
   private final RaftNode raftNode;
-  private final Supplier<OperatorApi.Response> elsewhere;
+  private final Supplier<OperatorApi.Response> notLeaderResponse;
   private final ArrayDeque<PendingCall> queue = new ArrayDeque<>();
-  private boolean busy;
+  private boolean processing;
   private TaskExecutor executor =
       (blocking, afterwards) -> {
         blocking.run();
@@ -22,10 +22,10 @@
       };
 
   private record PendingCall(
-      Runnable reading,
-      Supplier<CallDecision> look,
+      Runnable preparation,
+      Supplier<CallDecision> decider,
       Consumer<OperatorApi.Response> responder,
-      long untilMs,
+      long deadlineMs,
       boolean confirmed) {}
 
   /** Elsewhere: what to say where this member does not lead. */
@@ -35,10 +35,10 @@
       final Supplier<OperatorApi.Response> elsewhere) {
     this.context = context;
     this.raftNode = raftNode;
-    this.elsewhere = elsewhere;
+    this.notLeaderResponse = elsewhere;
   }
 
-  void readBy(final TaskExecutor chosenExecutor) {
+  void setExecutor(final TaskExecutor chosenExecutor) {
     executor = chosenExecutor;
   }
 
@@ -46,57 +46,58 @@
    * Reading: done beside the owner's thread, in this turn, before the first look; null where
    * nothing is to be read.
    */
-  void take(
+  void submit(
       final long patienceMs,
       final Runnable reading,
       final Supplier<CallDecision> look,
       final Consumer<OperatorApi.Response> responder) {
-    enter(new PendingCall(reading, look, responder, context.nowMs() + patienceMs, false));
+    enqueue(new PendingCall(reading, look, responder, context.nowMs() + patienceMs, false));
   }
 
-  private void enter(final PendingCall call) {
+  private void enqueue(final PendingCall call) {
     queue.add(call);
-    if (!busy) {
-      next();
+    if (!processing) {
+      processNext();
     }
   }
 
-  private void next() {
-    busy = true;
+  private void processNext() {
+    processing = true;
     while (!queue.isEmpty()) {
-      if (!over(queue.poll())) {
+      if (!process(queue.poll())) {
         return;
       }
     }
-    busy = false;
+    processing = false;
   }
 
   /** True when the next one may go on; false while this one is read, or the ledger has its deed. */
-  private boolean over(final PendingCall call) {
-    if (context.nowMs() > call.untilMs) {
+  private boolean process(final PendingCall call) {
+    if (context.nowMs() > call.deadlineMs) {
       // Its caller has been told that there is no answer, and asks again: begun now it would only
       // be in the way.
       call.responder.accept(OperatorApi.Response.unclear("this took too long, ask again"));
       return true;
     }
     if (!raftNode.isReadyLeader()) {
-      call.responder.accept(elsewhere.get());
+      call.responder.accept(notLeaderResponse.get());
       return true;
     }
-    if (call.confirmed || call.reading == null) {
-      return looked(call, false);
+    if (call.confirmed || call.preparation == null) {
+      return decide(call, false);
     }
-    return beside(call, call.reading, false);
+    return runInBackground(call, call.preparation, false);
   }
 
   /** Works beside the owner's thread, then looks: nobody else's turn comes meanwhile. */
-  private boolean beside(final PendingCall call, final Runnable work, final boolean worked) {
+  private boolean runInBackground(
+      final PendingCall call, final Runnable work, final boolean worked) {
     try {
       executor.execute(
           work,
           () -> {
-            if (looked(call, worked)) {
-              next();
+            if (decide(call, worked)) {
+              processNext();
             }
           });
       return false;
@@ -107,67 +108,68 @@
     }
   }
 
-  private boolean looked(final PendingCall call, final boolean worked) {
+  private boolean decide(final PendingCall call, final boolean worked) {
     // Its reading took a while: what is taken now its repeat will know, but only a leader takes it.
     if (!raftNode.isReadyLeader()) {
-      call.responder.accept(elsewhere.get());
+      call.responder.accept(notLeaderResponse.get());
       return true;
     }
     final CallDecision decision;
     try {
-      decision = call.look.get();
-      if (worked && decision.beside() != null) {
+      decision = call.decider.get();
+      if (worked && decision.backgroundWork() != null) {
         throw new IllegalStateException("worked out, and still open");
       }
     } catch (final RuntimeException failure) {
       // One call that cannot be worked out must not hold up all behind it for good.
-      LogEvent.TURN_DEFECT.warn("an operator's call", failure);
+      LogEvent.UNEXPECTED_ERROR.warn("an operator's call", failure);
       call.responder.accept(OperatorApi.Response.unclear("this could not be worked out"));
       return true;
     }
-    if (decision.beside() != null && !worked) {
-      return beside(call, decision.beside(), true);
+    if (decision.backgroundWork() != null && !worked) {
+      return runInBackground(call, decision.backgroundWork(), true);
     }
     if (decision.command() != null) {
-      return !proposed(call, decision);
+      return !propose(call, decision);
     }
-    if (decision.fact() && !call.confirmed) {
+    if (decision.needsConfirmation() && !call.confirmed) {
       // Asked outside the turn: others need not wait, and what they change meanwhile the second
       // look sees.
-      raftNode.confirmLeadership(held -> context.post(() -> confirmed(call, held)));
+      raftNode.confirmLeadership(held -> context.execute(() -> onLeadershipConfirmed(call, held)));
     } else {
       call.responder.accept(decision.response());
     }
     return true;
   }
 
-  private boolean proposed(final PendingCall call, final CallDecision decision) {
+  private boolean propose(final PendingCall call, final CallDecision decision) {
     final boolean proposed =
         raftNode.propose(
-            ControlStateMachine.bytes(decision.command()),
+            ControlStateMachine.encode(decision.command()),
             done -> {
               if (done) {
-                decision.done().run();
+                decision.onApplied().run();
               }
               // Not done is not refused: the next leader may hold it, and its repeat finds out.
               call.responder.accept(
                   done
                       ? decision.response()
                       : OperatorApi.Response.unclear("the leader changed, ask again"));
-              next();
+              processNext();
             });
     if (!proposed) {
-      call.responder.accept(elsewhere.get());
+      call.responder.accept(notLeaderResponse.get());
     }
     return proposed;
   }
 
   /** Comes as a command of its own: the ledger drops questions before it has let go of its lead. */
-  private void confirmed(final PendingCall call, final boolean held) {
+  private void onLeadershipConfirmed(final PendingCall call, final boolean held) {
     if (held) {
-      enter(new PendingCall(call.reading, call.look, call.responder, call.untilMs, true));
+      enqueue(
+          new PendingCall(call.preparation, call.decider, call.responder, call.deadlineMs, true));
     } else {
-      call.responder.accept(elsewhere.get());
+      call.responder.accept(notLeaderResponse.get());
     }
   }
 }
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -10,8 +10,8 @@
 
 /** What the core has decided besides the configuration. */
 public final class ClusterState {
-  long number;
-  long newestReplica;
+  long version;
+  long newestReplicaId;
   List<Replica> replicas = new ArrayList<>();
 
   /** The first voters of the vaults' ledger; later changes are that ledger's own. */
@@ -20,11 +20,11 @@
   /** Their zones, in the same order. */
   List<String> storeZones = new ArrayList<>();
 
-  List<Retirement> retiring = new ArrayList<>();
+  List<Retirement> retirements = new ArrayList<>();
   private transient Map<String, Replica> byAddress;
 
   static final class Replica {
-    long name;
+    long id;
     String address = "";
     long life;
   }
@@ -38,20 +38,20 @@
 
   /** One decision, on top of all before it. */
   static final class Change {
-    long before;
+    long previousNumber;
     long index;
     ControlCommand command = new ControlCommand();
   }
 
-  public long number() {
-    return number;
+  public long version() {
+    return version;
   }
 
   /** The same at every crux, and at whoever is told of it; false when it changes nothing. */
   boolean apply(final Change change) {
     final boolean changed = apply(change.command);
     if (changed) {
-      number = change.index;
+      version = change.index;
       byAddress = null;
     }
     return changed;
@@ -59,39 +59,39 @@
 
   private boolean apply(final ControlCommand command) {
     switch (command.kind) {
-      case ControlCommand.REPLICA -> {
-        if (replica(command.address, command.life) != 0) {
+      case ControlCommand.ASSIGN_REPLICA -> {
+        if (replicaId(command.address, command.life) != 0) {
           return false;
         }
         // A new process at an address means that the old one there is gone for good.
         replicas.removeIf(replica -> replica.address.equals(command.address));
         final Replica replica = new Replica();
-        replica.name = ++newestReplica;
+        replica.id = ++newestReplicaId;
         replica.address = command.address;
         replica.life = command.life;
         replicas.add(replica);
       }
-      case ControlCommand.REPLICA_GONE -> {
-        return replicas.removeIf(replica -> replica.name == command.name);
+      case ControlCommand.RETIRE_REPLICA -> {
+        return replicas.removeIf(replica -> replica.id == command.replicaId);
       }
-      case ControlCommand.VAULTS -> {
+      case ControlCommand.SET_FIRST_STORES -> {
         if (!stores.isEmpty()) {
           return false;
         }
         stores.addAll(command.identities);
         storeZones.addAll(command.zones);
       }
-      case ControlCommand.RETIRE -> {
-        if (retiring(command.node) != null) {
+      case ControlCommand.BEGIN_RETIREMENT -> {
+        if (retirementOf(command.node) != null) {
           return false;
         }
         final Retirement retirement = new Retirement();
         retirement.node = command.node;
         retirement.address = command.address;
-        retiring.add(retirement);
+        retirements.add(retirement);
       }
-      case ControlCommand.RETIRED -> {
-        final Retirement retirement = retiring(command.node);
+      case ControlCommand.FINISH_RETIREMENT -> {
+        final Retirement retirement = retirementOf(command.node);
         if (retirement == null || retirement.finished) {
           return false;
         }
@@ -102,42 +102,42 @@
     return true;
   }
 
-  public long newestReplica() {
-    return newestReplica;
+  public long newestReplicaId() {
+    return newestReplicaId;
   }
 
-  public Set<Long> liveReplicas() {
+  public Set<Long> liveReplicaIds() {
     final Set<Long> live = new HashSet<>();
-    replicas.forEach(replica -> live.add(replica.name));
+    replicas.forEach(replica -> live.add(replica.id));
     return live;
   }
 
   /** The name of a process's replica, 0 when it has none yet. */
-  public long replica(final String address, final long life) {
+  public long replicaId(final String address, final long life) {
     // Asked with every lease of every process: found without looking at all.
     if (byAddress == null) {
       byAddress = new HashMap<>();
       replicas.forEach(replica -> byAddress.put(replica.address, replica));
     }
     final Replica replica = byAddress.get(address);
-    return replica != null && replica.life == life ? replica.name : 0;
+    return replica != null && replica.life == life ? replica.id : 0;
   }
 
   public String addressOf(final long name) {
     for (final Replica replica : replicas) {
-      if (replica.name == name) {
+      if (replica.id == name) {
         return replica.address;
       }
     }
     return null;
   }
 
-  public List<String> vaults() {
+  public List<String> stores() {
     return stores;
   }
 
   /** Addresses of the first voters in a zone, or in all others. */
-  public List<String> vaultAddresses(final String zone, final boolean inside) {
+  public List<String> storeAddresses(final String zone, final boolean inside) {
     final List<String> addresses = new ArrayList<>();
     for (int place = 0; place < stores.size(); place++) {
       final boolean there = place < storeZones.size() && storeZones.get(place).equals(zone);
@@ -151,13 +151,13 @@
   /** Addresses of vaults that are to hold no duty. */
   public Set<String> retiringAddresses() {
     final Set<String> addresses = new HashSet<>();
-    retiring.forEach(retirement -> addresses.add(retirement.address));
+    retirements.forEach(retirement -> addresses.add(retirement.address));
     return addresses;
   }
 
   /** The node at that address when it is being emptied and not yet finished, else null. */
-  public String retiringNode(final String address) {
-    for (final Retirement retirement : retiring) {
+  public String nodeRetiringAt(final String address) {
+    for (final Retirement retirement : retirements) {
       if (retirement.address.equals(address) && !retirement.finished) {
         return retirement.node;
       }
@@ -165,8 +165,8 @@
     return null;
   }
 
-  Retirement retiring(final String node) {
-    for (final Retirement retirement : retiring) {
+  Retirement retirementOf(final String node) {
+    for (final Retirement retirement : retirements) {
       if (retirement.node.equals(node)) {
         return retirement;
       }
--- a/src/main/java/yewjunction/control/ClusterStatus.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -35,12 +35,12 @@
   }
 
   /** Breaks of the declared order that the edges which ask this crux for leases have met. */
-  String order() {
-    return ConfigValueFactory.fromMap(Map.of("Channels", processes.disorders()))
+  String orderViolationsJson() {
+    return ConfigValueFactory.fromMap(Map.of("Channels", processes.orderViolationRows()))
         .render(ConfigRenderOptions.concise());
   }
 
-  String json() {
+  String statusJson() {
     final Map<String, Object> page = new LinkedHashMap<>();
     page.put("Nodename", membership.self().node);
     page.put("Addr", membership.self().address);
@@ -57,25 +57,25 @@
               "Nodename",
               member.node,
               "Duty",
-              member.duty,
+              member.role,
               "Az",
               member.zone,
               "Addr",
               member.address,
               "Up",
-              member.up(),
+              member.isUp(),
               "Suspect",
-              member.suspect(),
+              member.isSuspect(),
               "Ready",
               member.ready));
     }
     page.put("Siblings", peers);
     // Only the leader hears from all vaults; on the others the list is empty.
-    page.put("Vaults", registry.vaultRows());
+    page.put("Vaults", registry.storeRows());
     page.put("DiskOwedMs", raftNode.commitTracker().oldestPendingWriteMs());
     // Those that ask this crux for their leases: mostly its zone's.
-    page.put("Wards", processes.rows());
-    page.put("Channels", processes.disorders());
+    page.put("Wards", processes.processRows());
+    page.put("Channels", processes.orderViolationRows());
     return ConfigValueFactory.fromMap(page).render(ConfigRenderOptions.concise());
   }
 }
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -31,12 +31,12 @@
 
 /** One version of the operator's configuration, checked; all fields are kept as they were sent. */
 public final class Configuration {
-  private final Config whole;
+  private final Config source;
   private final long version;
   private final List<Route> routes = new ArrayList<>();
   private final Map<String, Tenant> tenantsByKey = new HashMap<>();
   private final Map<String, Tenant> tenantsByName = new HashMap<>();
-  private int subs = Integer.MAX_VALUE;
+  private int maxSubscriptions = Integer.MAX_VALUE;
 
   /** A space of topics. */
   public record Route(
@@ -44,8 +44,8 @@
       String host,
       String prefix,
       long timeoutMs,
-      long keepMs,
-      boolean open,
+      long retentionMs,
+      boolean isPublic,
       Set<String> after) {
     /**
      * Whether a message here comes to no subscriber of both before an earlier one of the other
@@ -63,13 +63,13 @@
   public record Tenant(
       String name,
       Set<String> keys,
-      double perSecond,
+      double ratePerSecond,
       double burst,
       long borrowMax,
       long repayPpm) {}
 
   private Configuration(final Config whole) {
-    this.whole = whole;
+    this.source = whole;
     version = number(whole, "Ver", "Ver");
     // A version is a whole number above 0: 0 stands for no configuration at all.
     if (version <= 0) {
@@ -94,10 +94,10 @@
   public static Configuration of(final Config whole) {
     try {
       final Configuration configuration = new Configuration(whole);
-      configuration.readSpaces();
+      configuration.readRoutes();
       configuration.readTenants();
       if (whole.hasPath("Lims.Subs")) {
-        configuration.subs = whole.getInt("Lims.Subs");
+        configuration.maxSubscriptions = whole.getInt("Lims.Subs");
       }
       return configuration;
     } catch (final ConfigException failure) {
@@ -105,14 +105,14 @@
     }
   }
 
-  private void readSpaces() {
+  private void readRoutes() {
     final Set<String> services = new HashSet<>();
-    for (final Config service : items(whole, "Svcs")) {
+    for (final Config service : items(source, "Svcs")) {
       services.add(text(service, "Name", "Svcs", true));
     }
     final Set<String> names = new HashSet<>();
     final Set<String> places = new HashSet<>();
-    for (final Config route : items(whole, "Routes")) {
+    for (final Config route : items(source, "Routes")) {
       final String name = text(route, "Name", "Routes", true);
       final String path = "Routes." + name;
       final String host = text(route, "Host", path, false);
@@ -162,7 +162,7 @@
   }
 
   private void readTenants() {
-    for (final Config item : items(whole, "Tenants")) {
+    for (final Config item : items(source, "Tenants")) {
       final String name = text(item, "Name", "Tenants", true);
       final Set<String> keys =
           new HashSet<>(item.hasPath("Apikeys") ? item.getStringList("Apikeys") : List.of());
@@ -211,7 +211,7 @@
     return version;
   }
 
-  public Route space(final String topic) {
+  public Route routeOf(final String topic) {
     for (final Route route : routes) {
       if (route.host.isEmpty() && topic.startsWith(route.prefix)) {
         return route;
@@ -232,20 +232,20 @@
     return Collections.unmodifiableCollection(tenantsByName.values());
   }
 
-  public Collection<Route> spaces() {
+  public Collection<Route> routes() {
     return Collections.unmodifiableCollection(routes);
   }
 
-  public int subs() {
-    return subs;
+  public int maxSubscriptions() {
+    return maxSubscriptions;
   }
 
   public String json() {
-    return render(whole);
+    return toJson(source);
   }
 
-  Config whole() {
-    return whole;
+  Config source() {
+    return source;
   }
 
   /**
@@ -253,7 +253,7 @@
    * they say it.
    */
   long digest() {
-    long sum = version * 31 + subs;
+    long sum = version * 31 + maxSubscriptions;
     for (final Route route : routes) {
       // Spelt out: the order in which a set lists its names differs from process to process.
       sum +=
@@ -265,9 +265,9 @@
                       + " "
                       + route.timeoutMs
                       + " "
-                      + route.keepMs
+                      + route.retentionMs
                       + " "
-                      + route.open
+                      + route.isPublic
                       + new TreeSet<>(route.after))
                   .hashCode()
               * 0x9e3779b97f4a7c15L;
@@ -276,7 +276,7 @@
       sum +=
           (tenant.name
                       + " "
-                      + tenant.perSecond
+                      + tenant.ratePerSecond
                       + " "
                       + tenant.burst
                       + " "
@@ -290,12 +290,12 @@
     return sum;
   }
 
-  static String render(final Config config) {
+  static String toJson(final Config config) {
     return config.root().render(ConfigRenderOptions.concise());
   }
 
   /** What an update makes of this configuration: named items replaced, added or removed. */
   Config updated(final Config update) {
-    return ConfigurationPatches.applied(whole, update);
+    return ConfigurationPatches.apply(source, update);
   }
 }
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -17,9 +17,9 @@
  * only its text is kept.
  */
 final class ConfigurationChange {
-  private final String shape;
+  private final String callName;
   private final byte[] body;
-  final long base;
+  final long baseVersion;
 
   /** 0 where it names none. */
   private long version;
@@ -35,16 +35,16 @@
 
   private boolean prepared;
   private ControlCommand command;
-  private Configuration next;
+  private Configuration result;
 
   ConfigurationChange(final String shape, final String base, final byte[] body) {
-    this.shape = shape;
-    this.base = Long.parseLong(base.trim());
+    this.callName = shape;
+    this.baseVersion = Long.parseLong(base.trim());
     this.body = body;
   }
 
   /** A header that was sent twice comes as "5, 5", one that was not as null. */
-  static boolean basedOnOne(final String base) {
+  static boolean isBaseVersion(final String base) {
     try {
       Long.parseLong(String.valueOf(base).trim());
       return true;
@@ -58,7 +58,7 @@
     try {
       sent = Configuration.parse(new String(body, StandardCharsets.UTF_8));
       version = sent.hasPath("Ver") ? sent.getLong("Ver") : 0;
-      digest = digest(shape + " " + base + " " + Configuration.render(sent));
+      digest = digest(callName + " " + baseVersion + " " + Configuration.toJson(sent));
       check();
     } catch (final ConfigurationException found) {
       failure = found;
@@ -72,12 +72,12 @@
   }
 
   /** What was read goes, the text stays: many that wait must not fill the memory. */
-  void release() {
+  void discardParsed() {
     sent = null;
     replacement = null;
     prepared = false;
     command = null;
-    next = null;
+    result = null;
   }
 
   long version() {
@@ -90,7 +90,7 @@
   }
 
   private void check() {
-    if (shape.equals("config replace")) {
+    if (callName.equals("config replace")) {
       replacement = Configuration.of(sent);
     } else if (!sent.hasPath("Ver")) {
       throw new ConfigurationException(CONFIG_FIELD, "Ver: is missing");
@@ -98,11 +98,11 @@
   }
 
   /** Versions only rise: what names none above its own base is taken on no base. */
-  boolean rises() {
-    return version > base;
+  boolean raisesVersion() {
+    return version > baseVersion;
   }
 
-  ConfigurationException defect() {
+  ConfigurationException failure() {
     return failure;
   }
 
@@ -116,13 +116,13 @@
       read();
     }
     try {
-      next = on(current);
-      final ControlCommand prepared = new ControlCommand(ControlCommand.CONFIG);
-      prepared.base = base;
+      result = applyTo(current);
+      final ControlCommand prepared = new ControlCommand(ControlCommand.SET_CONFIGURATION);
+      prepared.baseVersion = baseVersion;
       prepared.digest = digest;
-      prepared.json = next.json();
-      prepared.version = next.version();
-      ConfigurationPatches.add(prepared, current, next);
+      prepared.json = result.json();
+      prepared.version = result.version();
+      ConfigurationPatches.attachTo(prepared, current, result);
       command = prepared;
     } catch (final ConfigurationException found) {
       failure = found;
@@ -131,9 +131,9 @@
     }
   }
 
-  private Configuration on(final Configuration current) {
-    if (!rises()) {
-      throw new ConfigurationException(CONFIG_VERSION, "Ver: must be above " + base);
+  private Configuration applyTo(final Configuration current) {
+    if (!raisesVersion()) {
+      throw new ConfigurationException(CONFIG_VERSION, "Ver: must be above " + baseVersion);
     }
     if (replacement == null && current == null) {
       throw new ConfigurationException(CONFIG_VERSION, "there is no configuration to update");
@@ -151,8 +151,8 @@
   }
 
   /** What its base becomes by it. */
-  Configuration next() {
-    return next;
+  Configuration result() {
+    return result;
   }
 
   private static String digest(final String text) {
--- a/src/main/java/yewjunction/control/ConfigurationPatches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -22,13 +22,13 @@
   private ConfigurationPatches() {}
 
   /** Adds the patch to the deed where there is one that leads to exactly the same. */
-  static void add(
+  static void attachTo(
       final ControlCommand command, final Configuration before, final Configuration after) {
     if (before == null) {
       return;
     }
     try {
-      final String patch = between(before.whole(), after.whole());
+      final String patch = difference(before.source(), after.source());
       if (patch != null
           && Configuration.of(before.updated(Configuration.parse(patch))).digest()
               == after.digest()) {
@@ -41,7 +41,7 @@
     }
   }
 
-  private static String between(final Config before, final Config after) {
+  private static String difference(final Config before, final Config after) {
     final Set<String> lists = new HashSet<>(before.root().keySet());
     lists.addAll(after.root().keySet());
     lists.remove("Ver");
@@ -76,7 +76,7 @@
         patch = patch.withValue("Del." + list, ConfigValueFactory.fromIterable(known.keySet()));
       }
     }
-    return Configuration.render(patch);
+    return Configuration.toJson(patch);
   }
 
   private static Map<String, ConfigValue> byName(final Config from, final String list) {
@@ -88,7 +88,7 @@
   }
 
   /** What an update makes of a configuration: named items replaced, added or removed. */
-  static Config applied(final Config whole, final Config update) {
+  static Config apply(final Config whole, final Config update) {
     final Config upserts =
         update.hasPath("Upsert") ? update.getConfig("Upsert") : ConfigFactory.empty();
     final Config removals = update.hasPath("Del") ? update.getConfig("Del") : ConfigFactory.empty();
@@ -96,12 +96,12 @@
     lists.addAll(removals.root().keySet());
     Config changed = whole.withValue("Ver", update.getValue("Ver"));
     for (final String list : lists) {
-      changed = changed.withValue(list, merged(whole, list, upserts, removals));
+      changed = changed.withValue(list, mergeList(whole, list, upserts, removals));
     }
     return changed;
   }
 
-  private static ConfigValue merged(
+  private static ConfigValue mergeList(
       final Config whole, final String list, final Config upserts, final Config removals) {
     // Lims is no list of named items: an Upsert of it stands for the whole of it.
     if (upserts.hasPath(list) && upserts.getValue(list).valueType() == ConfigValueType.OBJECT) {
--- a/src/main/java/yewjunction/control/ControlCommand.java
+++ b/src/main/java/yewjunction/control/ControlCommand.java
@@ -5,12 +5,12 @@
 
 /** One entry of the core's ledger. */
 final class ControlCommand {
-  static final int CONFIG = 1;
-  static final int REPLICA = 2;
-  static final int REPLICA_GONE = 3;
-  static final int VAULTS = 4;
-  static final int RETIRE = 5;
-  static final int RETIRED = 6;
+  static final int SET_CONFIGURATION = 1;
+  static final int ASSIGN_REPLICA = 2;
+  static final int RETIRE_REPLICA = 3;
+  static final int SET_FIRST_STORES = 4;
+  static final int BEGIN_RETIREMENT = 5;
+  static final int FINISH_RETIREMENT = 6;
 
   int kind;
 
@@ -21,7 +21,7 @@
   String json = "";
 
   long version;
-  long base;
+  long baseVersion;
   String digest = "";
 
   /** REPLICA, RETIRE. */
@@ -31,7 +31,7 @@
   long life;
 
   /** REPLICA_GONE. */
-  long name;
+  long replicaId;
 
   /** VAULTS. */
   List<String> identities = new ArrayList<>();
--- a/src/main/java/yewjunction/control/ControlService.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -26,7 +26,7 @@
   private final String ownAddress;
 
   /** Without a disk of its own it only serves: what it promised would end with its process. */
-  private final boolean votes;
+  private final boolean canVote;
 
   public ControlService(
       final AgentContext context,
@@ -39,13 +39,13 @@
     this.context = context;
     this.membership = membership;
     this.ownAddress = ownAddress;
-    votes = !settings.dataFolder().isEmpty();
+    canVote = !settings.dataFolder().isEmpty();
     final ControlStateMachine stateMachine = new ControlStateMachine(this);
     raftNode = new RaftNode(GROUP, context, transport, disk, executor, "charter", stateMachine);
     raftNode.registerHandlers();
     raftNode
         .reconfiguration()
-        .setPlacement(new VoterPlacement(settings.votersNeeded(), Set::of, membership::zoneAt));
+        .setPlacement(new VoterPlacement(settings.votersNeeded(), Set::of, membership::zoneOf));
     final NodeRegistry registry =
         new NodeRegistry(
             context, transport, stateMachine, raftNode, membership, settings.votersNeeded());
@@ -75,7 +75,7 @@
   public void start(
       final boolean founding, final List<String> seedAddresses, final String drawnName) {
     if (raftNode.identity() == null) {
-      final boolean founder = votes && founding && seedAddresses.contains(ownAddress);
+      final boolean founder = canVote && founding && seedAddresses.contains(ownAddress);
       raftNode.assignIdentity(ownAddress + "#" + (founder ? "founder" : drawnName));
       if (founder) {
         raftNode.bootstrap(
@@ -83,51 +83,51 @@
       }
     }
     raftNode.start();
-    raftNode.groupMembership().start(() -> others(seedAddresses), () -> votes);
+    raftNode.groupMembership().start(() -> otherControlNodes(seedAddresses), () -> canVote);
   }
 
-  private List<String> others(final List<String> seedAddresses) {
+  private List<String> otherControlNodes(final List<String> seedAddresses) {
     return Stream.concat(
             seedAddresses.stream(),
-            membership.up(NodeRole.CONTROL).stream().map(member -> member.address))
+            membership.membersUp(NodeRole.CONTROL).stream().map(member -> member.address))
         .distinct()
         .filter(address -> !address.equals(ownAddress))
         .toList();
   }
 
-  public OperatorApi desk() {
+  public OperatorApi operatorApi() {
     return operatorApi;
   }
 
-  public RaftNode ledger() {
+  public RaftNode raftNode() {
     return raftNode;
   }
 
   @Override
-  public void configChanged() {
+  public void onConfigurationChanged() {
     if (leaseServer != null) {
-      leaseServer.tell();
+      leaseServer.scheduleUpdate();
     }
   }
 
   @Override
-  public void factsChanged() {
+  public void onClusterStateChanged() {
     if (leaseServer != null) {
-      leaseServer.tellFacts();
+      leaseServer.onClusterStateChanged();
     }
   }
 
   @Override
-  public void settledTo(final long commit) {
+  public void onCommitted(final long commit) {
     if (leaseServer != null) {
-      leaseServer.settled();
+      leaseServer.grantApplied();
     }
   }
 
   @Override
-  public void leaderIs(final String identity, final boolean self) {
+  public void onLeaderChange(final String identity, final boolean self) {
     if (leaseServer != null && identity != null) {
-      context.post(leaseServer::leaderChanged);
+      context.execute(leaseServer::onLeaderChange);
     }
   }
 }
--- a/src/main/java/yewjunction/control/ControlStateMachine.java
+++ b/src/main/java/yewjunction/control/ControlStateMachine.java
@@ -13,18 +13,19 @@
 
 /** The state that the core's ledger drives; the same on every crux. */
 final class ControlStateMachine implements StateMachine {
-  private static final Schema<ControlCommand> DEEDS = RuntimeSchema.getSchema(ControlCommand.class);
-  private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
+  private static final Schema<ControlCommand> COMMAND_SCHEMA =
+      RuntimeSchema.getSchema(ControlCommand.class);
+  private static final Schema<Snapshot> SNAPSHOT_SCHEMA = RuntimeSchema.getSchema(Snapshot.class);
   private Snapshot snapshot = new Snapshot();
-  private Configuration current;
+  private Configuration currentConfiguration;
   private final RecentChanges recentChanges = new RecentChanges();
-  private final Listener watcher;
+  private final Listener listener;
 
   /** All of the state, as a snapshot holds it. */
   static final class Snapshot {
     String json;
     long version;
-    List<AcceptedChange> taken = new ArrayList<>();
+    List<AcceptedChange> acceptedChanges = new ArrayList<>();
     ClusterState clusterState = new ClusterState();
   }
 
@@ -36,21 +37,21 @@
 
   /** Told what changed here. */
   interface Listener {
-    void configChanged();
+    void onConfigurationChanged();
 
-    void factsChanged();
+    void onClusterStateChanged();
 
-    void settledTo(long commit);
+    void onCommitted(long commit);
 
-    void leaderIs(String identity, boolean self);
+    void onLeaderChange(String identity, boolean self);
   }
 
   ControlStateMachine(final Listener watcher) {
-    this.watcher = watcher;
+    this.listener = watcher;
   }
 
-  static byte[] bytes(final ControlCommand command) {
-    return ProtostuffIOUtil.toByteArray(command, DEEDS, LinkedBuffer.allocate(512));
+  static byte[] encode(final ControlCommand command) {
+    return ProtostuffIOUtil.toByteArray(command, COMMAND_SCHEMA, LinkedBuffer.allocate(512));
   }
 
   long version() {
@@ -66,36 +67,36 @@
    * Read only when a change builds on it: after a loss of power every moment of a crux's start is
    * service lost.
    */
-  Configuration current() {
-    if (current == null && snapshot.json != null) {
-      current = Configuration.read(snapshot.json);
+  Configuration currentConfiguration() {
+    if (currentConfiguration == null && snapshot.json != null) {
+      currentConfiguration = Configuration.read(snapshot.json);
     }
-    return current;
+    return currentConfiguration;
   }
 
   /** The configuration where it was read already, else null. */
-  Configuration parsed() {
-    return current;
+  Configuration parsedConfiguration() {
+    return currentConfiguration;
   }
 
   /** Whoever made the newest version has it read already. */
-  void adopt(final Configuration made) {
+  void cacheParsed(final Configuration made) {
     if (made.version() == snapshot.version) {
-      current = made;
+      currentConfiguration = made;
     }
   }
 
   /** What changed lately, for those that know what was before. */
-  RecentChanges news() {
+  RecentChanges recentChanges() {
     return recentChanges;
   }
 
-  ClusterState facts() {
+  ClusterState clusterState() {
     return snapshot.clusterState;
   }
 
-  boolean taken(final long version, final String digest) {
-    return snapshot.taken.stream()
+  boolean wasAccepted(final long version, final String digest) {
+    return snapshot.acceptedChanges.stream()
         .anyMatch(one -> one.version == version && one.digest.equals(digest));
   }
 
@@ -103,89 +104,97 @@
    * So many versions ago that a change with this number may have been taken and is no longer
    * remembered.
    */
-  boolean forgot(final long version) {
-    return snapshot.taken.size() >= REMEMBERED_VERSIONS && version < snapshot.taken.get(0).version;
+  boolean mayHaveForgotten(final long version) {
+    return snapshot.acceptedChanges.size() >= REMEMBERED_VERSIONS
+        && version < snapshot.acceptedChanges.get(0).version;
   }
 
   @Override
   public void apply(final long index, final byte[] data) {
-    final ControlCommand command = DEEDS.newMessage();
-    ProtostuffIOUtil.mergeFrom(data, command, DEEDS);
-    if (command.kind == ControlCommand.CONFIG) {
-      config(command);
+    final ControlCommand command = COMMAND_SCHEMA.newMessage();
+    ProtostuffIOUtil.mergeFrom(data, command, COMMAND_SCHEMA);
+    if (command.kind == ControlCommand.SET_CONFIGURATION) {
+      applyConfiguration(command);
     } else {
       final ClusterState.Change change = new ClusterState.Change();
-      change.before = snapshot.clusterState.number;
+      change.previousNumber = snapshot.clusterState.version;
       change.index = index;
       change.command = command;
       if (snapshot.clusterState.apply(change)) {
-        told(command);
-        recentChanges.changed(change);
-        watcher.factsChanged();
+        logChange(command);
+        recentChanges.add(change);
+        listener.onClusterStateChanged();
       }
     }
   }
 
-  private void config(final ControlCommand command) {
+  private void applyConfiguration(final ControlCommand command) {
     // Invariant: versions only rise, each on top of the one it names. The text was checked before
     // it came here.
-    if (command.base != snapshot.version || command.version <= snapshot.version) {
+    if (command.baseVersion != snapshot.version || command.version <= snapshot.version) {
       throw new IllegalStateException(
-          "version " + command.version + " on " + command.base + " after " + snapshot.version);
+          "version "
+              + command.version
+              + " on "
+              + command.baseVersion
+              + " after "
+              + snapshot.version);
     }
-    current = null;
-    recentChanges.changed(command);
+    currentConfiguration = null;
+    recentChanges.add(command);
     snapshot.json = command.json;
     snapshot.version = command.version;
     final AcceptedChange taken = new AcceptedChange();
     taken.version = command.version;
     taken.digest = command.digest;
-    snapshot.taken.add(taken);
-    if (snapshot.taken.size() > REMEMBERED_VERSIONS) {
-      snapshot.taken.remove(0);
+    snapshot.acceptedChanges.add(taken);
+    if (snapshot.acceptedChanges.size() > REMEMBERED_VERSIONS) {
+      snapshot.acceptedChanges.remove(0);
     }
-    LogEvent.CONFIG_TAKEN.info("version " + command.version);
-    watcher.configChanged();
+    LogEvent.CONFIGURATION_ACCEPTED.info("version " + command.version);
+    listener.onConfigurationChanged();
   }
 
-  private void told(final ControlCommand command) {
+  private void logChange(final ControlCommand command) {
     switch (command.kind) {
-      case ControlCommand.REPLICA ->
-          LogEvent.REPLICA_GIVEN.info(snapshot.clusterState.newestReplica + " to " + command.node);
-      case ControlCommand.REPLICA_GONE ->
-          LogEvent.REPLICA_RETIRED.info(String.valueOf(command.name));
-      case ControlCommand.VAULTS -> LogEvent.VAULTS_CHOSEN.info(String.valueOf(command.identities));
-      case ControlCommand.RETIRE -> LogEvent.MACHINE_RETIRING.info(command.node);
-      default -> LogEvent.MACHINE_RETIRED.info(command.node);
+      case ControlCommand.ASSIGN_REPLICA ->
+          LogEvent.REPLICA_ID_ASSIGNED.info(
+              snapshot.clusterState.newestReplicaId + " to " + command.node);
+      case ControlCommand.RETIRE_REPLICA ->
+          LogEvent.REPLICA_ID_RETIRED.info(String.valueOf(command.replicaId));
+      case ControlCommand.SET_FIRST_STORES ->
+          LogEvent.FIRST_STORES_CHOSEN.info(String.valueOf(command.identities));
+      case ControlCommand.BEGIN_RETIREMENT -> LogEvent.NODE_RETIRING.info(command.node);
+      default -> LogEvent.NODE_RETIRED.info(command.node);
     }
   }
 
   @Override
   public byte[] snapshot() {
-    return ProtostuffIOUtil.toByteArray(snapshot, IMAGES, LinkedBuffer.allocate(4096));
+    return ProtostuffIOUtil.toByteArray(snapshot, SNAPSHOT_SCHEMA, LinkedBuffer.allocate(4096));
   }
 
   @Override
   public void restore(final long index, final byte[] state) {
-    final Snapshot restored = IMAGES.newMessage();
-    ProtostuffIOUtil.mergeFrom(state, restored, IMAGES);
+    final Snapshot restored = SNAPSHOT_SCHEMA.newMessage();
+    ProtostuffIOUtil.mergeFrom(state, restored, SNAPSHOT_SCHEMA);
     snapshot = restored;
     if (snapshot.clusterState == null) {
       snapshot.clusterState = new ClusterState();
     }
-    current = null;
-    recentChanges.forget();
-    watcher.configChanged();
-    watcher.factsChanged();
+    currentConfiguration = null;
+    recentChanges.clear();
+    listener.onConfigurationChanged();
+    listener.onClusterStateChanged();
   }
 
   @Override
   public void onLeaderChange(final String identity, final boolean self) {
-    watcher.leaderIs(identity, self);
+    listener.onLeaderChange(identity, self);
   }
 
   @Override
   public void onCommitted(final long commit) {
-    watcher.settledTo(commit);
+    listener.onCommitted(commit);
   }
 }
--- a/src/main/java/yewjunction/control/LeaseClient.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -27,28 +27,28 @@
   private final AgentContext context;
   private final PeerTransport transport;
   private final ProcessReport process = new ProcessReport();
-  private final Supplier<List<String>> homes;
-  private final Listener watcher;
-  private Runnable report = () -> {};
+  private final Supplier<List<String>> controlNodes;
+  private final Listener listener;
+  private Runnable reportUpdater = () -> {};
   private Configuration configuration;
   private ClusterState clusterState = new ClusterState();
   private long leaseEndMs = Long.MIN_VALUE;
-  private boolean held;
+  private boolean leaseHeld;
   private int attempt;
-  private int good;
+  private int successfulRenewals;
   private PendingRequests<PeerConnection, PendingRenewal> pendingRequests;
 
   /** Nobody has answered since the newest question. */
-  private boolean silent;
+  private boolean awaitingResponse;
 
   /** When a lease was asked for, and at which turn through the homes. */
-  private record PendingRenewal(long atMs, int attempt) {}
+  private record PendingRenewal(long requestedMs, int attempt) {}
 
   /** Told of what changed. */
   public interface Listener {
-    void configChanged(Configuration configuration);
+    void onConfigurationChanged(Configuration configuration);
 
-    void factsChanged(ClusterState clusterState);
+    void onClusterStateChanged(ClusterState clusterState);
   }
 
   /** Homes: addresses of cruxes, the nearest first. */
@@ -59,12 +59,12 @@
       final Listener watcher) {
     this.context = context;
     this.transport = transport;
-    this.homes = homes;
-    this.watcher = watcher;
-    transport.on(LeaseResponse.class, this::leased);
+    this.controlNodes = homes;
+    this.listener = watcher;
+    transport.onMessage(LeaseResponse.class, this::onLeaseResponse);
   }
 
-  public LeaseClient named(
+  public LeaseClient identifiedAs(
       final String address,
       final String node,
       final String zone,
@@ -73,7 +73,7 @@
     process.address = address;
     process.node = node;
     process.zone = zone;
-    process.duty = role.wireName();
+    process.role = role.wireName();
     process.life = life;
     pendingRequests = new PendingRequests<>(life);
     return this;
@@ -85,44 +85,44 @@
   }
 
   /** A vault's ledger identity. */
-  public void identity(final String identity) {
+  public void setIdentity(final String identity) {
     process.identity = identity;
   }
 
   /** How far this vault's ledger is applied. */
-  public void applied(final long applied) {
-    process.applied = applied;
+  public void setAppliedIndex(final long applied) {
+    process.appliedIndex = applied;
   }
 
   /** Looks just before each renewal at how this process does, for whoever asks a crux about it. */
-  public void reporting(final Runnable chosenReport) {
-    report = chosenReport;
+  public void beforeEachReport(final Runnable chosenReport) {
+    reportUpdater = chosenReport;
   }
 
   /** An edge's messages that wait for a leader, and whether none answers. */
-  public void waiting(final long waiting, final boolean dark) {
-    process.waiting = waiting;
-    process.dark = dark;
+  public void setWaitingPublishes(final long waiting, final boolean dark) {
+    process.waitingPublishes = waiting;
+    process.leaderUnreachable = dark;
   }
 
   /** For how long a vault's disk has owed its oldest write. */
-  public void diskOwed(final long owedMs) {
-    process.diskOwedMs = owedMs;
+  public void setDiskDelay(final long owedMs) {
+    process.diskDelayMs = owedMs;
   }
 
   /** What tenants that borrow ahead hold and owe at this vault. */
-  public void balances(final List<AccountBalance> balances) {
+  public void setBalances(final List<AccountBalance> balances) {
     process.balances = balances;
   }
 
   /** Breaks of the declared order that this edge met. */
-  public void disorders(final List<OrderViolations> disorders) {
-    process.disorders = disorders;
+  public void setOrderViolations(final List<OrderViolations> disorders) {
+    process.orderViolations = disorders;
   }
 
   /** Nodes that the vault group's leader has emptied. */
-  public void emptied(final List<String> nodes) {
-    process.emptied = new ArrayList<>(nodes);
+  public void setEmptiedNodes(final List<String> nodes) {
+    process.emptiedNodes = new ArrayList<>(nodes);
   }
 
   public void start() {
@@ -130,83 +130,88 @@
   }
 
   private void renew() {
-    final List<String> known = homes.get();
+    final List<String> known = controlNodes.get();
     final long pauseMs =
-        known.isEmpty() || silent ? LEASE_RESPONSE_TIMEOUT_MS / 2 : LEASE_RENEWAL_INTERVAL_MS;
-    if (silent) {
+        known.isEmpty() || awaitingResponse
+            ? LEASE_RESPONSE_TIMEOUT_MS / 2
+            : LEASE_RENEWAL_INTERVAL_MS;
+    if (awaitingResponse) {
       // The home did not answer: it may be dark, so the next nearest is asked.
       attempt++;
-      good = 0;
-    } else if (++good >= RENEWALS_BEFORE_NEAREST) {
+      successfulRenewals = 0;
+    } else if (++successfulRenewals >= RENEWALS_BEFORE_NEAREST) {
       attempt = 0;
     }
     if (!known.isEmpty()) {
-      report.run();
-      process.held = held();
+      reportUpdater.run();
+      process.leaseHeld = isHeld();
       final Runtime runtime = Runtime.getRuntime();
-      process.memoryPct =
+      process.memoryPercent =
           (int) (100 * (runtime.totalMemory() - runtime.freeMemory()) / runtime.maxMemory());
       final LeaseRequest request = new LeaseRequest();
       request.version = version();
-      request.factsNumber = clusterState.number;
+      request.clusterStateVersion = clusterState.version;
       request.process = process;
-      final PeerConnection connection = transport.dial(known.get(attempt % known.size()));
+      final PeerConnection connection = transport.connect(known.get(attempt % known.size()));
       final long nowMs = context.nowMs();
       // Whose lease would have ended by now.
-      pendingRequests.drop(asked -> nowMs - asked.atMs >= LEASE_DURATION_MS);
-      request.request = pendingRequests.ask(connection, new PendingRenewal(nowMs, attempt));
-      silent = true;
+      pendingRequests.cancel(asked -> nowMs - asked.requestedMs >= LEASE_DURATION_MS);
+      request.requestId = pendingRequests.add(connection, new PendingRenewal(nowMs, attempt));
+      awaitingResponse = true;
       connection.send(request);
     }
-    context.after(configuration == null ? FIRST_LEASE_RENEWAL_INTERVAL_MS : pauseMs, this::renew);
-    if (held && !held()) {
-      held = false;
-      LogEvent.LEASE_LAPSED.warn("version " + version());
+    context.schedule(
+        configuration == null ? FIRST_LEASE_RENEWAL_INTERVAL_MS : pauseMs, this::renew);
+    if (leaseHeld && !isHeld()) {
+      leaseHeld = false;
+      LogEvent.LEASE_EXPIRED.warn("version " + version());
     }
   }
 
-  private void leased(final PeerConnection connection, final LeaseResponse response) {
-    final long factsBefore = clusterState.number;
-    if (response.clusterState != null && response.clusterState.number > clusterState.number) {
+  private void onLeaseResponse(final PeerConnection connection, final LeaseResponse response) {
+    final long factsBefore = clusterState.version;
+    if (response.clusterState != null && response.clusterState.version > clusterState.version) {
       clusterState = response.clusterState;
     }
     // A change on top of anything else than what is known here is left out: the whole comes with a
     // later lease.
     response.changes.stream()
-        .filter(change -> change.before == clusterState.number)
+        .filter(change -> change.previousNumber == clusterState.version)
         .forEach(clusterState::apply);
-    if (clusterState.number > factsBefore) {
-      watcher.factsChanged(clusterState);
+    if (clusterState.version > factsBefore) {
+      listener.onClusterStateChanged(clusterState);
     }
     // A version never goes backwards in one life of a process.
     final Configuration before = configuration;
     if (response.json != null && response.version > version()) {
       configuration = Configuration.read(response.json);
     }
-    response.patches.stream().filter(patch -> patch.base == version()).forEach(this::patched);
+    response.patches.stream()
+        .filter(patch -> patch.baseVersion == version())
+        .forEach(this::applyPatch);
     if (configuration != before) {
-      LogEvent.CONFIG_APPLIED.info("version " + configuration.version());
-      watcher.configChanged(configuration);
+      LogEvent.CONFIGURATION_APPLIED.info("version " + configuration.version());
+      listener.onConfigurationChanged(configuration);
     }
     // The lease counts only with the version it stands for.
     final PendingRenewal asked =
-        response.held && response.version <= version()
-            ? pendingRequests.answered(response.request, connection)
+        response.granted && response.version <= version()
+            ? pendingRequests.complete(response.requestId, connection)
             : null;
     if (asked != null) {
-      silent = false;
+      awaitingResponse = false;
       // Whoever answers is asked again, though another was asked meanwhile: that one is yet to be
       // heard.
       attempt = asked.attempt;
-      leaseEndMs = Math.max(leaseEndMs, asked.atMs + LEASE_DURATION_MS);
-      if (!held && held()) {
-        held = true;
-        LogEvent.LEASE_HELD.info("version " + version());
+      leaseEndMs = Math.max(leaseEndMs, asked.requestedMs + LEASE_DURATION_MS);
+      if (!leaseHeld && isHeld()) {
+        leaseHeld = true;
+        LogEvent.LEASE_GRANTED.info("version " + version());
       }
     }
   }
 
-  private void patched(final RecentChanges.VersionPatch patch) {
+  private void applyPatch(final RecentChanges.VersionPatch patch) {
     final Configuration changed =
         Configuration.of(configuration.updated(Configuration.parse(patch.json)));
     // Nothing is used that is not exactly what the core holds; without it the version stays, and
@@ -214,7 +219,7 @@
     if (changed.digest() == patch.digest) {
       configuration = changed;
     } else {
-      LogEvent.PATCH_BAD.warn("version " + patch.version + " on " + patch.base);
+      LogEvent.PATCH_MISMATCH.warn("version " + patch.version + " on " + patch.baseVersion);
     }
   }
 
@@ -223,16 +228,16 @@
   }
 
   /** The configuration in force here, null before the first. */
-  public Configuration charter() {
+  public Configuration configuration() {
     return configuration;
   }
 
-  public ClusterState facts() {
+  public ClusterState clusterState() {
     return clusterState;
   }
 
   /** Whether requests may be admitted and messages delivered right now. */
-  public boolean held() {
+  public boolean isHeld() {
     return configuration != null && context.nowMs() < leaseEndMs;
   }
 }
--- a/src/main/java/yewjunction/control/LeaseMessages.java
+++ b/src/main/java/yewjunction/control/LeaseMessages.java
@@ -8,22 +8,22 @@
 public final class LeaseMessages {
   private LeaseMessages() {}
 
-  public static void know(final MessageCodec codec) {
+  public static void register(final MessageCodec codec) {
     codec
-        .know(50, LeaseRequest.class)
-        .know(51, LeaseResponse.class)
-        .know(52, ConfirmLeadershipRequest.class)
-        .know(53, ConfirmLeadershipResponse.class)
-        .know(54, RegisterRequest.class);
+        .register(50, LeaseRequest.class)
+        .register(51, LeaseResponse.class)
+        .register(52, ConfirmLeadershipRequest.class)
+        .register(53, ConfirmLeadershipResponse.class)
+        .register(54, RegisterRequest.class);
   }
 
   /** Asks a home for a lease, says what is known already, and names this process. */
   static final class LeaseRequest {
     /** Stands for the asker's life and the moment it asked, which it keeps for itself. */
-    long request;
+    long requestId;
 
     long version;
-    long factsNumber;
+    long clusterStateVersion;
     ProcessReport process = new ProcessReport();
   }
 
@@ -32,45 +32,45 @@
     String address = "";
     String node = "";
     String zone = "";
-    String duty = "";
+    String role = "";
     long life;
 
     /** A vault's ledger identity. */
     String identity = "";
 
     /** How far a vault has applied its ledger. */
-    long applied;
+    long appliedIndex;
 
     /** Its lease counts right now. */
-    boolean held;
+    boolean leaseHeld;
 
     /** Messages of an edge that wait for a leader's answer, and whether none answers. */
-    long waiting;
+    long waitingPublishes;
 
-    boolean dark;
+    boolean leaderUnreachable;
 
     /** For how long a vault's disk has owed its oldest write. */
-    long diskOwedMs;
+    long diskDelayMs;
 
     /** Of the memory it may use. */
-    int memoryPct;
+    int memoryPercent;
 
     /** Nodes that hold no duty any more, told by the vault group's leader. */
-    List<String> emptied = new ArrayList<>();
+    List<String> emptiedNodes = new ArrayList<>();
 
     /** What tenants that borrow ahead hold and owe at a vault. */
     List<AccountBalance> balances = new ArrayList<>();
 
     /** Breaks of the declared order that an edge met since its start. */
-    List<OrderViolations> disorders = new ArrayList<>();
+    List<OrderViolations> orderViolations = new ArrayList<>();
   }
 
   /** A lease when held is set, else only news. */
   static final class LeaseResponse {
-    boolean held;
+    boolean granted;
 
     /** The renewal that it answers. */
-    long request;
+    long requestId;
 
     long version;
 
@@ -88,13 +88,13 @@
 
   /** A home asks the leader to confirm its leadership with a majority. */
   static final class ConfirmLeadershipRequest {
-    long number;
+    long requestId;
   }
 
   static final class ConfirmLeadershipResponse {
-    long number;
-    boolean held;
-    long commit;
+    long requestId;
+    boolean confirmed;
+    long commitIndex;
   }
 
   /** A home tells the leader of a process that needs a name, or of a vault. */
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -33,19 +33,19 @@
   private final NodeRegistry registry;
   private final LeasedProcesses processes;
   private final Map<PeerConnection, SubscriberState> subscribers = new LinkedHashMap<>();
-  private List<PendingRenewal> waiting = new ArrayList<>();
+  private List<PendingRenewal> pendingRenewals = new ArrayList<>();
 
   /** To the leader: one at a time. */
   private final PendingRequests<PeerConnection, List<PendingRenewal>> pendingRequests;
 
-  private final List<ConfirmedBatch> proven = new ArrayList<>();
-  private final Set<PeerConnection> unnamed = new HashSet<>();
-  private long askedMs;
-  private boolean telling;
-  private boolean tellingFacts;
-  private boolean batching;
+  private final List<ConfirmedBatch> confirmedBatches = new ArrayList<>();
+  private final Set<PeerConnection> awaitingReplicaId = new HashSet<>();
+  private long lastConfirmationMs;
+  private boolean updateScheduled;
+  private boolean clusterStateUpdateScheduled;
+  private boolean confirmationScheduled;
 
-  private record PendingRenewal(PeerConnection connection, LeaseRequest request, long atMs) {}
+  private record PendingRenewal(PeerConnection connection, LeaseRequest request, long receivedMs) {}
 
   /**
    * What a process has been told on its link. Links lose nothing, so nothing is told twice on one.
@@ -53,12 +53,12 @@
   private static final class SubscriberState {
     LeaseRequest request;
     long version;
-    long factsNumber;
-    long toldMs;
+    long clusterStateVersion;
+    long updatedMs;
   }
 
   /** Confirmed up to a commit that this home may not have applied yet. */
-  private record ConfirmedBatch(long commit, List<PendingRenewal> asked) {}
+  private record ConfirmedBatch(long commitIndex, List<PendingRenewal> renewals) {}
 
   LeaseServer(
       final AgentContext context,
@@ -75,67 +75,67 @@
     this.registry = registry;
     this.processes = processes;
     pendingRequests = new PendingRequests<>(life);
-    transport.on(LeaseRequest.class, this::renew);
-    transport.on(ConfirmLeadershipRequest.class, this::confirm);
-    transport.on(ConfirmLeadershipResponse.class, this::confirmed);
+    transport.onMessage(LeaseRequest.class, this::onLeaseRequest);
+    transport.onMessage(ConfirmLeadershipRequest.class, this::onConfirmRequest);
+    transport.onMessage(ConfirmLeadershipResponse.class, this::onConfirmResponse);
     transport.onClose(
         connection -> {
           subscribers.remove(connection);
-          unnamed.remove(connection);
+          awaitingReplicaId.remove(connection);
         });
   }
 
-  private void renew(final PeerConnection connection, final LeaseRequest request) {
+  private void onLeaseRequest(final PeerConnection connection, final LeaseRequest request) {
     final long nowMs = context.nowMs();
     final SubscriberState subscriber =
         subscribers.computeIfAbsent(connection, key -> new SubscriberState());
     subscriber.request = request;
     // Less than it was told some time ago: it could not take that, and gets the whole.
-    final boolean old = nowMs - subscriber.toldMs > 2 * LEASE_DURATION_MS;
+    final boolean old = nowMs - subscriber.updatedMs > 2 * LEASE_DURATION_MS;
     subscriber.version =
         request.version >= subscriber.version ? request.version : old ? 0 : subscriber.version;
-    subscriber.factsNumber =
-        request.factsNumber >= subscriber.factsNumber
-            ? request.factsNumber
-            : old ? -1 : subscriber.factsNumber;
-    registry.heard(request.process);
-    processes.heard(request.process);
-    if (NodeRole.EDGE.is(request.process.duty) && !named(request)) {
-      unnamed.add(connection);
+    subscriber.clusterStateVersion =
+        request.clusterStateVersion >= subscriber.clusterStateVersion
+            ? request.clusterStateVersion
+            : old ? -1 : subscriber.clusterStateVersion;
+    registry.onReport(request.process);
+    processes.onReport(request.process);
+    if (NodeRole.EDGE.is(request.process.role) && !hasReplicaId(request)) {
+      awaitingReplicaId.add(connection);
     }
     // The newest question of an asker stands for its earlier ones.
-    waiting.removeIf(renewal -> renewal.connection == connection);
-    waiting.add(new PendingRenewal(connection, request, nowMs));
-    ask();
+    pendingRenewals.removeIf(renewal -> renewal.connection == connection);
+    pendingRenewals.add(new PendingRenewal(connection, request, nowMs));
+    confirmLeadership();
   }
 
   /**
    * One question to the leader at a time; what comes meanwhile rides on the next, never on an
    * earlier one.
    */
-  private void ask() {
+  private void confirmLeadership() {
     final long nowMs = context.nowMs();
-    final boolean lost = nowMs - askedMs > LEASE_RESPONSE_TIMEOUT_MS / 2;
-    if (waiting.isEmpty() || !pendingRequests.none() && !lost) {
+    final boolean lost = nowMs - lastConfirmationMs > LEASE_RESPONSE_TIMEOUT_MS / 2;
+    if (pendingRenewals.isEmpty() || !pendingRequests.isEmpty() && !lost) {
       return;
     }
     // One question serves all askers of a short while: each goes through a majority, across zones.
-    if (nowMs - askedMs < LEASE_CONFIRMATION_INTERVAL_MS) {
-      if (!batching) {
-        batching = true;
-        context.after(
-            LEASE_CONFIRMATION_INTERVAL_MS - (nowMs - askedMs),
+    if (nowMs - lastConfirmationMs < LEASE_CONFIRMATION_INTERVAL_MS) {
+      if (!confirmationScheduled) {
+        confirmationScheduled = true;
+        context.schedule(
+            LEASE_CONFIRMATION_INTERVAL_MS - (nowMs - lastConfirmationMs),
             () -> {
-              batching = false;
-              ask();
+              confirmationScheduled = false;
+              confirmLeadership();
             });
       }
       return;
     }
     if (raftNode.isReadyLeader()) {
-      final List<PendingRenewal> asked = waiting;
-      waiting = new ArrayList<>();
-      askedMs = nowMs;
+      final List<PendingRenewal> asked = pendingRenewals;
+      pendingRenewals = new ArrayList<>();
+      lastConfirmationMs = nowMs;
       raftNode.confirmLeadership(
           held -> {
             if (held) {
@@ -143,59 +143,61 @@
             }
           });
     } else if (raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
-      final PeerConnection connection = transport.dial(RaftNode.addressOf(raftNode.leader()));
+      final PeerConnection connection = transport.connect(RaftNode.addressOf(raftNode.leader()));
       final ConfirmLeadershipRequest request = new ConfirmLeadershipRequest();
-      pendingRequests.dropAll();
-      request.number = pendingRequests.ask(connection, waiting);
-      waiting = new ArrayList<>();
-      askedMs = nowMs;
+      pendingRequests.cancelAll();
+      request.requestId = pendingRequests.add(connection, pendingRenewals);
+      pendingRenewals = new ArrayList<>();
+      lastConfirmationMs = nowMs;
       connection.send(request);
     } else {
       // Nobody leads: they wait for the next leader, since a lease counts from when it was asked
       // for anyway.
-      waiting.removeIf(
-          renewal -> !renewal.connection.open() || nowMs - renewal.atMs > LEASE_DURATION_MS);
+      pendingRenewals.removeIf(
+          renewal ->
+              !renewal.connection.isOpen() || nowMs - renewal.receivedMs > LEASE_DURATION_MS);
     }
   }
 
   /** Somebody leads now: whoever waited is served at once. */
-  void leaderChanged() {
-    registry.leaderChanged();
-    pendingRequests.dropAll();
-    askedMs = 0;
-    ask();
+  void onLeaderChange() {
+    registry.onLeaderChange();
+    pendingRequests.cancelAll();
+    lastConfirmationMs = 0;
+    confirmLeadership();
   }
 
-  private void confirm(final PeerConnection connection, final ConfirmLeadershipRequest request) {
+  private void onConfirmRequest(
+      final PeerConnection connection, final ConfirmLeadershipRequest request) {
     raftNode.confirmLeadership(
         held -> {
           final ConfirmLeadershipResponse response = new ConfirmLeadershipResponse();
-          response.number = request.number;
-          response.held = held;
-          response.commit = raftNode.commitIndex();
+          response.requestId = request.requestId;
+          response.confirmed = held;
+          response.commitIndex = raftNode.commitIndex();
           connection.send(response);
         });
   }
 
-  private void confirmed(
+  private void onConfirmResponse(
       final PeerConnection connection, final ConfirmLeadershipResponse response) {
-    final List<PendingRenewal> asked = pendingRequests.answered(response.number, connection);
+    final List<PendingRenewal> asked = pendingRequests.complete(response.requestId, connection);
     if (asked == null) {
       return;
     }
-    if (response.held) {
-      proven.add(new ConfirmedBatch(response.commit, asked));
-      settled();
+    if (response.confirmed) {
+      confirmedBatches.add(new ConfirmedBatch(response.commitIndex, asked));
+      grantApplied();
     }
-    ask();
+    confirmLeadership();
   }
 
   /** Grants what was proven once this home has applied as much. */
-  void settled() {
-    for (final ConfirmedBatch one : List.copyOf(proven)) {
-      if (raftNode.appliedIndex() >= one.commit) {
-        proven.remove(one);
-        one.asked.forEach(this::grant);
+  void grantApplied() {
+    for (final ConfirmedBatch one : List.copyOf(confirmedBatches)) {
+      if (raftNode.appliedIndex() >= one.commitIndex) {
+        confirmedBatches.remove(one);
+        one.renewals.forEach(this::grant);
       }
     }
   }
@@ -205,49 +207,51 @@
     if (subscriber == null) {
       return;
     }
-    final LeaseResponse response = news(subscriber);
-    response.held = true;
-    response.request = renewal.request.request;
+    final LeaseResponse response = updateFor(subscriber);
+    response.granted = true;
+    response.requestId = renewal.request.requestId;
     renewal.connection.send(response);
   }
 
-  private LeaseResponse news(final SubscriberState subscriber) {
+  private LeaseResponse updateFor(final SubscriberState subscriber) {
     final LeaseResponse response = new LeaseResponse();
     response.version = stateMachine.version();
     if (subscriber.version < stateMachine.version()) {
       final List<RecentChanges.VersionPatch> patches =
-          stateMachine.news().patchesFrom(subscriber.version, stateMachine.json().length());
+          stateMachine
+              .recentChanges()
+              .patchesFrom(subscriber.version, stateMachine.json().length());
       response.json = patches == null ? stateMachine.json() : null;
       response.patches = patches == null ? response.patches : patches;
       subscriber.version = stateMachine.version();
-      subscriber.toldMs = context.nowMs();
+      subscriber.updatedMs = context.nowMs();
     }
-    if (subscriber.factsNumber < stateMachine.facts().number) {
+    if (subscriber.clusterStateVersion < stateMachine.clusterState().version) {
       final List<ClusterState.Change> changes =
-          stateMachine.news().changesFrom(subscriber.factsNumber);
-      response.clusterState = changes == null ? stateMachine.facts() : null;
+          stateMachine.recentChanges().changesFrom(subscriber.clusterStateVersion);
+      response.clusterState = changes == null ? stateMachine.clusterState() : null;
       response.changes = changes == null ? response.changes : changes;
-      subscriber.factsNumber = stateMachine.facts().number;
-      subscriber.toldMs = context.nowMs();
+      subscriber.clusterStateVersion = stateMachine.clusterState().version;
+      subscriber.updatedMs = context.nowMs();
     }
     return response;
   }
 
   /** Tells all subscribers of a configuration; what one turn changes goes out in one letter. */
-  void tell() {
-    if (!telling) {
-      telling = true;
-      context.post(this::tellAll);
+  void scheduleUpdate() {
+    if (!updateScheduled) {
+      updateScheduled = true;
+      context.execute(this::updateAll);
     }
   }
 
-  private void tellAll() {
-    telling = false;
-    subscribers.forEach(this::tell);
+  private void updateAll() {
+    updateScheduled = false;
+    subscribers.forEach(this::scheduleUpdate);
   }
 
-  private void tell(final PeerConnection connection, final SubscriberState subscriber) {
-    final LeaseResponse response = news(subscriber);
+  private void scheduleUpdate(final PeerConnection connection, final SubscriberState subscriber) {
+    final LeaseResponse response = updateFor(subscriber);
     if (response.json != null
         || response.clusterState != null
         || !response.patches.isEmpty()
@@ -260,28 +264,29 @@
    * Other facts change in bursts, one for each process that starts: only who waits for its name
    * hears at once.
    */
-  void tellFacts() {
-    for (final PeerConnection connection : List.copyOf(unnamed)) {
+  void onClusterStateChanged() {
+    for (final PeerConnection connection : List.copyOf(awaitingReplicaId)) {
       final SubscriberState subscriber = subscribers.get(connection);
-      if (subscriber == null || named(subscriber.request)) {
-        unnamed.remove(connection);
+      if (subscriber == null || hasReplicaId(subscriber.request)) {
+        awaitingReplicaId.remove(connection);
         if (subscriber != null) {
-          tell(connection, subscriber);
+          scheduleUpdate(connection, subscriber);
         }
       }
     }
-    if (!tellingFacts) {
-      tellingFacts = true;
-      context.after(
+    if (!clusterStateUpdateScheduled) {
+      clusterStateUpdateScheduled = true;
+      context.schedule(
           CLUSTER_STATE_BATCH_MS,
           () -> {
-            tellingFacts = false;
-            tellAll();
+            clusterStateUpdateScheduled = false;
+            updateAll();
           });
     }
   }
 
-  private boolean named(final LeaseRequest request) {
-    return stateMachine.facts().replica(request.process.address, request.process.life) != 0;
+  private boolean hasReplicaId(final LeaseRequest request) {
+    return stateMachine.clusterState().replicaId(request.process.address, request.process.life)
+        != 0;
   }
 }
--- a/src/main/java/yewjunction/control/LeasedProcesses.java
+++ b/src/main/java/yewjunction/control/LeasedProcesses.java
@@ -16,45 +16,46 @@
  */
 final class LeasedProcesses {
   private final AgentContext context;
-  private final Map<String, TimedReport> seen = new TreeMap<>();
+  private final Map<String, TimedReport> reports = new TreeMap<>();
 
-  private record TimedReport(ProcessReport process, long atMs) {}
+  private record TimedReport(ProcessReport process, long receivedMs) {}
 
   LeasedProcesses(final AgentContext context) {
     this.context = context;
   }
 
-  void heard(final ProcessReport process) {
-    seen.put(process.address, new TimedReport(process, context.nowMs()));
+  void onReport(final ProcessReport process) {
+    reports.put(process.address, new TimedReport(process, context.nowMs()));
   }
 
   /** Breaks of the declared order, by channel and edge. */
-  List<Map<String, Object>> disorders() {
+  List<Map<String, Object>> orderViolationRows() {
     final List<Map<String, Object>> rows = new ArrayList<>();
-    seen.values()
+    reports
+        .values()
         .forEach(
             report ->
-                report.process.disorders.forEach(
-                    disorder -> rows.add(disorder.row(report.process.node))));
+                report.process.orderViolations.forEach(
+                    disorder -> rows.add(disorder.toRow(report.process.node))));
     return rows;
   }
 
-  List<Map<String, Object>> rows() {
+  List<Map<String, Object>> processRows() {
     final long nowMs = context.nowMs();
     // Whoever asks another crux now is that one's ward.
-    seen.values().removeIf(report -> nowMs - report.atMs > PROCESS_REPORT_EXPIRY_MS);
+    reports.values().removeIf(report -> nowMs - report.receivedMs > PROCESS_REPORT_EXPIRY_MS);
     final List<Map<String, Object>> rows = new ArrayList<>();
-    for (final TimedReport report : seen.values()) {
+    for (final TimedReport report : reports.values()) {
       final Map<String, Object> row = new LinkedHashMap<>();
       row.put("Nodename", report.process.node);
-      row.put("Duty", report.process.duty);
+      row.put("Duty", report.process.role);
       row.put("Az", report.process.zone);
-      row.put("SeenMs", nowMs - report.atMs);
-      row.put("Held", report.process.held);
-      row.put("Waiting", report.process.waiting);
-      row.put("Dark", report.process.dark);
-      row.put("DiskOwedMs", report.process.diskOwedMs);
-      row.put("MemoryPct", report.process.memoryPct);
+      row.put("SeenMs", nowMs - report.receivedMs);
+      row.put("Held", report.process.leaseHeld);
+      row.put("Waiting", report.process.waitingPublishes);
+      row.put("Dark", report.process.leaderUnreachable);
+      row.put("DiskOwedMs", report.process.diskDelayMs);
+      row.put("MemoryPct", report.process.memoryPercent);
       rows.add(row);
     }
     return rows;
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -29,14 +29,14 @@
   private final RaftNode raftNode;
   private final MembershipList membership;
   private final int voterCount;
-  private final Map<String, StoreReport> vaults = new TreeMap<>();
-  private final Map<String, Long> goneMs = new HashMap<>();
-  private long startedMs = -1;
-  private long leaderMs;
-  private final Map<String, ProcessReport> early = new TreeMap<>();
-  private final Set<String> proposed = new HashSet<>();
+  private final Map<String, StoreReport> storeReports = new TreeMap<>();
+  private final Map<String, Long> missingSinceMs = new HashMap<>();
+  private long firstReportMs = -1;
+  private long leaderSinceMs;
+  private final Map<String, ProcessReport> pendingRegistrations = new TreeMap<>();
+  private final Set<String> proposalsInFlight = new HashSet<>();
 
-  private record StoreReport(ProcessReport process, long atMs) {}
+  private record StoreReport(ProcessReport process, long receivedMs) {}
 
   NodeRegistry(
       final AgentContext context,
@@ -51,51 +51,52 @@
     this.raftNode = raftNode;
     this.membership = membership;
     this.voterCount = voterCount;
-    transport.on(RegisterRequest.class, (connection, request) -> heard(request.process));
-    context.every(REGISTRATION_INTERVAL_MS, this::look);
+    transport.onMessage(RegisterRequest.class, (connection, request) -> onReport(request.process));
+    context.scheduleAtFixedRate(REGISTRATION_INTERVAL_MS, this::retireMissingReplicas);
   }
 
-  void heard(final ProcessReport process) {
-    final boolean vault = NodeRole.STORE.is(process.duty);
+  void onReport(final ProcessReport process) {
+    final boolean vault = NodeRole.STORE.is(process.role);
     if (!raftNode.isReadyLeader()) {
       // Only the leader decides; vaults are told of each time, tides until they have their name.
       final boolean news =
-          vault || stateMachine.facts().replica(process.address, process.life) == 0;
+          vault || stateMachine.clusterState().replicaId(process.address, process.life) == 0;
       if (news && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
         final RegisterRequest request = new RegisterRequest();
         request.process = process;
-        transport.dial(RaftNode.addressOf(raftNode.leader())).send(request);
+        transport.connect(RaftNode.addressOf(raftNode.leader())).send(request);
       } else if (news) {
         // Nobody leads yet, or this member is about to: kept until then, so that nobody has to ask
         // again.
-        early.put(process.address, process);
+        pendingRegistrations.put(process.address, process);
       }
       return;
     }
     if (vault) {
-      vaults.put(process.address, new StoreReport(process, context.nowMs()));
-      chooseVaults();
-      process.emptied.forEach(this::retired);
-    } else if (stateMachine.facts().replica(process.address, process.life) == 0) {
-      final ControlCommand command = new ControlCommand(ControlCommand.REPLICA);
+      storeReports.put(process.address, new StoreReport(process, context.nowMs()));
+      chooseFirstStores();
+      process.emptiedNodes.forEach(this::onNodeEmptied);
+    } else if (stateMachine.clusterState().replicaId(process.address, process.life) == 0) {
+      final ControlCommand command = new ControlCommand(ControlCommand.ASSIGN_REPLICA);
       command.address = process.address;
       command.node = process.node;
       command.life = process.life;
-      propose("replica " + process.address + " " + process.life, command);
+      proposeOnce("replica " + process.address + " " + process.life, command);
     }
   }
 
-  void leaderChanged() {
-    leaderMs = context.nowMs();
-    final List<ProcessReport> kept = new ArrayList<>(early.values());
-    early.clear();
-    kept.forEach(this::heard);
+  void onLeaderChange() {
+    leaderSinceMs = context.nowMs();
+    final List<ProcessReport> kept = new ArrayList<>(pendingRegistrations.values());
+    pendingRegistrations.clear();
+    kept.forEach(this::onReport);
   }
 
-  private void propose(final String what, final ControlCommand command) {
-    if (proposed.add(what)
-        && !raftNode.propose(ControlStateMachine.bytes(command), done -> proposed.remove(what))) {
-      proposed.remove(what);
+  private void proposeOnce(final String what, final ControlCommand command) {
+    if (proposalsInFlight.add(what)
+        && !raftNode.propose(
+            ControlStateMachine.encode(command), done -> proposalsInFlight.remove(what))) {
+      proposalsInFlight.remove(what);
     }
   }
 
@@ -103,34 +104,37 @@
    * As many voters as the losses to be borne need, in different zones while there are enough of
    * them.
    */
-  private void chooseVaults() {
-    if (!stateMachine.facts().stores.isEmpty()) {
+  private void chooseFirstStores() {
+    if (!stateMachine.clusterState().stores.isEmpty()) {
       return;
     }
     final List<String> identities = new ArrayList<>();
     final Set<String> zones = new HashSet<>();
-    for (final StoreReport report : vaults.values()) {
+    for (final StoreReport report : storeReports.values()) {
       if (identities.size() < voterCount && zones.add(report.process.zone)) {
         identities.add(report.process.identity);
       }
     }
-    if (identities.size() >= voterCount || enoughInFewZones(identities)) {
-      final ControlCommand command = new ControlCommand(ControlCommand.VAULTS);
+    if (identities.size() >= voterCount || fillFromSameZones(identities)) {
+      final ControlCommand command = new ControlCommand(ControlCommand.SET_FIRST_STORES);
       command.identities = identities;
       identities.forEach(
-          identity -> command.zones.add(vaults.get(RaftNode.addressOf(identity)).process.zone));
-      propose("vaults", command);
+          identity ->
+              command.zones.add(storeReports.get(RaftNode.addressOf(identity)).process.zone));
+      proposeOnce("vaults", command);
     }
   }
 
   /** Fewer zones than voters, or fewer vaults: begun only once late ones have had time to call. */
-  private boolean enoughInFewZones(final List<String> identities) {
-    final long waitedMs = context.nowMs() - firstMs();
+  private boolean fillFromSameZones(final List<String> identities) {
+    final long waitedMs = context.nowMs() - firstReportTimeMs();
     if (waitedMs
-        < (vaults.size() < voterCount ? FIRST_STORES_WAIT_MS : 6 * REGISTRATION_INTERVAL_MS)) {
+        < (storeReports.size() < voterCount
+            ? FIRST_STORES_WAIT_MS
+            : 6 * REGISTRATION_INTERVAL_MS)) {
       return false;
     }
-    for (final StoreReport report : vaults.values()) {
+    for (final StoreReport report : storeReports.values()) {
       if (identities.size() < voterCount && !identities.contains(report.process.identity)) {
         identities.add(report.process.identity);
       }
@@ -138,49 +142,49 @@
     return true;
   }
 
-  private long firstMs() {
-    if (startedMs < 0) {
-      startedMs = context.nowMs();
+  private long firstReportTimeMs() {
+    if (firstReportMs < 0) {
+      firstReportMs = context.nowMs();
     }
-    return startedMs;
+    return firstReportMs;
   }
 
-  private void look() {
+  private void retireMissingReplicas() {
     if (!raftNode.isReadyLeader()) {
-      goneMs.clear();
-      vaults.clear();
-      startedMs = -1;
+      missingSinceMs.clear();
+      storeReports.clear();
+      firstReportMs = -1;
       return;
     }
     final long nowMs = context.nowMs();
-    for (final ClusterState.Replica replica : List.copyOf(stateMachine.facts().replicas)) {
-      final Member member = membership.at(replica.address);
-      if (member != null && member.up()) {
-        goneMs.remove(replica.address);
-      } else if (nowMs - goneMs.computeIfAbsent(replica.address, key -> nowMs)
+    for (final ClusterState.Replica replica : List.copyOf(stateMachine.clusterState().replicas)) {
+      final Member member = membership.memberAt(replica.address);
+      if (member != null && member.isUp()) {
+        missingSinceMs.remove(replica.address);
+      } else if (nowMs - missingSinceMs.computeIfAbsent(replica.address, key -> nowMs)
           > REPLICA_RETIREMENT_MS) {
-        final ControlCommand command = new ControlCommand(ControlCommand.REPLICA_GONE);
-        command.name = replica.name;
-        propose("gone " + replica.name, command);
+        final ControlCommand command = new ControlCommand(ControlCommand.RETIRE_REPLICA);
+        command.replicaId = replica.id;
+        proposeOnce("gone " + replica.id, command);
       }
     }
   }
 
   // --- emptying store machines ---
 
-  private StoreReport vault(final String node) {
-    for (final StoreReport report : vaults.values()) {
+  private StoreReport recentReportOf(final String node) {
+    for (final StoreReport report : storeReports.values()) {
       if (report.process.node.equals(node)
-          && context.nowMs() - report.atMs < 10 * REGISTRATION_INTERVAL_MS) {
+          && context.nowMs() - report.receivedMs < 10 * REGISTRATION_INTERVAL_MS) {
         return report;
       }
     }
     return null;
   }
 
-  List<Map<String, Object>> vaultRows() {
+  List<Map<String, Object>> storeRows() {
     final List<Map<String, Object>> rows = new ArrayList<>();
-    vaults
+    storeReports
         .values()
         .forEach(
             report ->
@@ -189,18 +193,18 @@
                         "Nodename",
                         report.process.node,
                         "Applied",
-                        report.process.applied,
+                        report.process.appliedIndex,
                         "SeenMs",
-                        context.nowMs() - report.atMs,
+                        context.nowMs() - report.receivedMs,
                         "Accounts",
-                        report.process.balances.stream().map(AccountBalance::row).toList())));
+                        report.process.balances.stream().map(AccountBalance::toRow).toList())));
     return rows;
   }
 
   /** What each vault holds of one tenant's account. */
   List<Map<String, Object>> balanceRows(final String tenant) {
     final List<Map<String, Object>> rows = new ArrayList<>();
-    vaults
+    storeReports
         .values()
         .forEach(
             report ->
@@ -208,65 +212,65 @@
                     .filter(balance -> balance.tenant.equals(tenant))
                     .forEach(
                         balance -> {
-                          final Map<String, Object> row = balance.row();
+                          final Map<String, Object> row = balance.toRow();
                           row.put("Nodename", report.process.node);
-                          row.put("SeenMs", context.nowMs() - report.atMs);
+                          row.put("SeenMs", context.nowMs() - report.receivedMs);
                           rows.add(row);
                         }));
     return rows;
   }
 
   boolean knows(final String node) {
-    return vault(node) != null || stateMachine.facts().retiring(node) != null;
+    return recentReportOf(node) != null || stateMachine.clusterState().retirementOf(node) != null;
   }
 
   /**
    * Led long enough that every vault in touch has called: what is not known by now is not there.
    */
-  boolean settled() {
-    return context.nowMs() - leaderMs >= STORES_REPORT_MS;
+  boolean allStoresHaveReported() {
+    return context.nowMs() - leaderSinceMs >= STORES_REPORT_MS;
   }
 
   /**
    * Not of the system as far as this leader can know; one that called once and is silent now is of
    * it.
    */
-  boolean unknown(final String node) {
-    return settled()
-        && vaults.values().stream()
+  boolean isUnknown(final String node) {
+    return allStoresHaveReported()
+        && storeReports.values().stream()
             .noneMatch(
                 report ->
                     report.process.node.equals(node)
-                        && context.nowMs() - report.atMs < REPLICA_RETIREMENT_MS);
+                        && context.nowMs() - report.receivedMs < REPLICA_RETIREMENT_MS);
   }
 
   /** Whether enough vaults stay when this one goes. */
-  boolean spares(final String node) {
-    final Set<String> retiring = stateMachine.facts().retiringAddresses();
+  boolean canSpare(final String node) {
+    final Set<String> retiring = stateMachine.clusterState().retiringAddresses();
     final long staying =
-        vaults.values().stream()
+        storeReports.values().stream()
             .filter(
                 report ->
                     !report.process.node.equals(node)
                         && !retiring.contains(report.process.address)
-                        && context.nowMs() - report.atMs < 10 * REGISTRATION_INTERVAL_MS)
+                        && context.nowMs() - report.receivedMs < 10 * REGISTRATION_INTERVAL_MS)
             .count();
     return staying >= voterCount;
   }
 
-  ControlCommand retirement(final String node) {
-    final ControlCommand command = new ControlCommand(ControlCommand.RETIRE);
+  ControlCommand retirementCommand(final String node) {
+    final ControlCommand command = new ControlCommand(ControlCommand.BEGIN_RETIREMENT);
     command.node = node;
-    command.address = vault(node).process.address;
+    command.address = recentReportOf(node).process.address;
     return command;
   }
 
-  private void retired(final String node) {
-    final ClusterState.Retirement retiring = stateMachine.facts().retiring(node);
+  private void onNodeEmptied(final String node) {
+    final ClusterState.Retirement retiring = stateMachine.clusterState().retirementOf(node);
     if (retiring != null && !retiring.finished) {
-      final ControlCommand command = new ControlCommand(ControlCommand.RETIRED);
+      final ControlCommand command = new ControlCommand(ControlCommand.FINISH_RETIREMENT);
       command.node = node;
-      propose("retired " + node, command);
+      proposeOnce("retired " + node, command);
     }
   }
 }
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -35,7 +35,7 @@
       return new Response(status, json, null);
     }
 
-    static Response deny(final int status, final String code, final String text) {
+    static Response error(final int status, final String code, final String text) {
       return of(status, "{\"Err\":" + quoted(code) + ",\"Text\":" + quoted(text) + "}");
     }
 
@@ -43,16 +43,16 @@
      * Neither taken nor refused as far as is known here: the caller asks again, here or elsewhere.
      */
     static Response unclear(final String text) {
-      return deny(503, "UNCLEAR", text);
+      return error(503, "UNCLEAR", text);
     }
   }
 
   /** Base: the header as HTTP joins it, "5, 5" when it came twice, null when it did not come. */
-  public record Request(String method, String path, String base, byte[] body) {
+  public record Request(String method, String path, String baseVersion, byte[] body) {
     /**
      * How long its caller is thought to wait: longer for more routes, which take longer to read.
      */
-    public long patienceMs() {
+    public long callerTimeoutMs() {
       return CALL_TIMEOUT_MS + body.length / CALL_BYTES_PER_EXTRA_MS;
     }
   }
@@ -63,7 +63,7 @@
       final RaftNode raftNode,
       final NodeRegistry registry,
       final ClusterStatus status) {
-    changeQueue = new ChangeQueue(context, raftNode, this::elsewhere);
+    changeQueue = new ChangeQueue(context, raftNode, this::notLeader);
     this.status = status;
     this.stateMachine = stateMachine;
     this.raftNode = raftNode;
@@ -73,8 +73,8 @@
   /**
    * Who reads large bodies, one at a time, beside the owner's thread; without one the owner does.
    */
-  public void readBy(final TaskExecutor executor) {
-    changeQueue.readBy(executor);
+  public void setExecutor(final TaskExecutor executor) {
+    changeQueue.setExecutor(executor);
   }
 
   static String quoted(final String text) {
@@ -82,42 +82,43 @@
   }
 
   /** Answers once, maybe later. */
-  public void take(final Request request, final Consumer<Response> responder) {
+  public void handle(final Request request, final Consumer<Response> responder) {
     final String[] segments = request.path.split("/", -1);
-    final String shape = shape(segments);
+    final String shape = callName(segments);
     final String wanted = shape == null ? null : shape.endsWith("show") ? "GET" : "POST";
     if (wanted == null) {
-      responder.accept(Response.deny(404, "PATH_UNKNOWN", request.path));
+      responder.accept(Response.error(404, "PATH_UNKNOWN", request.path));
     } else if (!wanted.equals(request.method)) {
-      responder.accept(Response.deny(405, "METHOD_WRONG", "use " + wanted));
+      responder.accept(Response.error(405, "METHOD_WRONG", "use " + wanted));
     } else if (request.body.length > MAX_CONFIGURATION_BYTES) {
       responder.accept(
-          Response.deny(413, "BODY_TOOBIG", "at most " + MAX_CONFIGURATION_BYTES + " bytes"));
+          Response.error(413, "BODY_TOOBIG", "at most " + MAX_CONFIGURATION_BYTES + " bytes"));
     } else if (shape.equals("outlook show")) {
-      responder.accept(Response.of(200, status.json()));
+      responder.accept(Response.of(200, status.statusJson()));
     } else if (shape.equals("order show")) {
-      responder.accept(Response.of(200, status.order()));
+      responder.accept(Response.of(200, status.orderViolationsJson()));
     } else if (shape.startsWith("config")
         && !wanted.equals("GET")
-        && !ConfigurationChange.basedOnOne(request.base)) {
+        && !ConfigurationChange.isBaseVersion(request.baseVersion)) {
       responder.accept(
-          Response.deny(400, CONFIG_FIELD.name(), "Base-Version: must be one whole number"));
+          Response.error(400, CONFIG_FIELD.name(), "Base-Version: must be one whole number"));
     } else if (!raftNode.isReadyLeader()) {
-      responder.accept(elsewhere());
+      responder.accept(notLeader());
     } else {
       switch (shape) {
-        case "config show" -> tellConfirmed(this::show, responder);
-        case "config replace", "config update" -> change(request, shape, responder);
-        case "quota show" -> tellConfirmed(() -> quotaShow(segments[3]), responder);
+        case "config show" -> respondWhenConfirmed(this::showConfiguration, responder);
+        case "config replace", "config update" -> submitChange(request, shape, responder);
+        case "quota show" -> respondWhenConfirmed(() -> showQuota(segments[3]), responder);
         // In turn with all changes: two that begin at once must not both count on the same spare.
         case "retire begin" ->
-            changeQueue.take(request.patienceMs(), null, () -> retire(segments[3]), responder);
-        default -> tellConfirmed(() -> retireShow(segments[3]), responder);
+            changeQueue.submit(
+                request.callerTimeoutMs(), null, () -> decideRetirement(segments[3]), responder);
+        default -> respondWhenConfirmed(() -> showRetirement(segments[3]), responder);
       }
     }
   }
 
-  private static String shape(final String[] segments) {
+  private static String callName(final String[] segments) {
     if (segments.length == 4 && segments[1].equals("-") && segments[2].equals("config")) {
       return switch (segments[3]) {
         case "replace", "update", "show" -> "config " + segments[3];
@@ -145,10 +146,10 @@
     return null;
   }
 
-  private Response elsewhere() {
+  private Response notLeader() {
     final String leader = raftNode.leader();
     if (leader == null || leader.equals(raftNode.identity())) {
-      return Response.deny(503, "NO_LEADER", "no majority yet, try again");
+      return Response.error(503, "NO_LEADER", "no majority yet, try again");
     }
     return new Response(307, "{}", RaftNode.addressOf(leader));
   }
@@ -157,90 +158,95 @@
    * Told once a majority has confirmed, after the call came, that this member leads: by what its
    * state is then.
    */
-  private void tellConfirmed(final Supplier<Response> look, final Consumer<Response> responder) {
-    raftNode.confirmLeadership(held -> responder.accept(held ? look.get() : elsewhere()));
+  private void respondWhenConfirmed(
+      final Supplier<Response> look, final Consumer<Response> responder) {
+    raftNode.confirmLeadership(held -> responder.accept(held ? look.get() : notLeader()));
   }
 
-  private Response show() {
+  private Response showConfiguration() {
     return stateMachine.json() == null
-        ? Response.deny(404, "NO_CONFIG", "no configuration has been taken")
+        ? Response.error(404, "NO_CONFIG", "no configuration has been taken")
         : Response.of(200, stateMachine.json());
   }
 
-  private void change(
+  private void submitChange(
       final Request request, final String shape, final Consumer<Response> responder) {
     final Consumer<Response> noting =
         response -> {
           if (response.status >= 400 && response.status < 500) {
-            LogEvent.CONFIG_DENIED.info(response.status + " " + response.json);
+            LogEvent.CONFIGURATION_REJECTED.info(response.status + " " + response.json);
           }
           responder.accept(response);
         };
-    final ConfigurationChange change = new ConfigurationChange(shape, request.base, request.body);
-    changeQueue.take(request.patienceMs(), change::read, () -> look(change), noting);
+    final ConfigurationChange change =
+        new ConfigurationChange(shape, request.baseVersion, request.body);
+    changeQueue.submit(request.callerTimeoutMs(), change::read, () -> decide(change), noting);
   }
 
   private static Response invalid(final ConfigurationException failure) {
-    return Response.deny(400, failure.code().name(), failure.getMessage());
+    return Response.error(400, failure.code().name(), failure.getMessage());
   }
 
-  private CallDecision look(final ConfigurationChange change) {
+  private CallDecision decide(final ConfigurationChange change) {
     final Response taken = Response.of(200, "{\"Ver\":" + change.version() + "}");
     // First of all: what was taken is never refused, for whatever reason.
-    if (stateMachine.taken(change.version(), change.digest())) {
-      return CallDecision.lasting(taken);
+    if (stateMachine.wasAccepted(change.version(), change.digest())) {
+      return CallDecision.finalResponse(taken);
     }
-    if (change.defect() != null) {
-      return CallDecision.lasting(invalid(change.defect()));
+    if (change.failure() != null) {
+      return CallDecision.finalResponse(invalid(change.failure()));
     }
-    if (change.rises() && stateMachine.forgot(change.version())) {
-      return CallDecision.lasting(Response.unclear("too long ago to know whether it was taken"));
+    if (change.raisesVersion() && stateMachine.mayHaveForgotten(change.version())) {
+      return CallDecision.finalResponse(
+          Response.unclear("too long ago to know whether it was taken"));
     }
-    if (change.base != stateMachine.version()) {
-      change.release();
-      return CallDecision.fact(
-          Response.deny(
+    if (change.baseVersion != stateMachine.version()) {
+      change.discardParsed();
+      return CallDecision.needsConfirmation(
+          Response.error(
               412, CONFIG_VERSION.name(), "version " + stateMachine.version() + " is current"));
     }
     if (!change.prepared()) {
-      final Configuration current = stateMachine.parsed();
+      final Configuration current = stateMachine.parsedConfiguration();
       final String json = stateMachine.json();
-      return CallDecision.beside(
+      return CallDecision.backgroundWork(
           () ->
               change.prepare(current != null || json == null ? current : Configuration.read(json)));
     }
     // Looked at anew after that: another leader may have gone on meanwhile, and what builds on an
     // old base must not be proposed.
-    return CallDecision.agree(change.deed(), taken, () -> stateMachine.adopt(change.next()));
+    return CallDecision.propose(
+        change.deed(), taken, () -> stateMachine.cacheParsed(change.result()));
   }
 
-  private CallDecision retire(final String node) {
+  private CallDecision decideRetirement(final String node) {
     // Kept for good, so its repeat is known also when the machine is long gone.
-    if (stateMachine.facts().retiring(node) != null) {
-      return CallDecision.lasting(Response.of(200, "{}"));
+    if (stateMachine.clusterState().retirementOf(node) != null) {
+      return CallDecision.finalResponse(Response.of(200, "{}"));
     }
     if (!registry.knows(node)) {
-      return registry.unknown(node)
-          ? CallDecision.fact(nodeUnknown(node))
-          : CallDecision.lasting(unheard());
+      return registry.isUnknown(node)
+          ? CallDecision.needsConfirmation(nodeUnknown(node))
+          : CallDecision.finalResponse(storesNotReported());
     }
-    if (!registry.spares(node)) {
-      return registry.settled()
-          ? CallDecision.fact(Response.deny(409, "TOO_FEW", "too few store machines would be left"))
-          : CallDecision.lasting(unheard());
+    if (!registry.canSpare(node)) {
+      return registry.allStoresHaveReported()
+          ? CallDecision.needsConfirmation(
+              Response.error(409, "TOO_FEW", "too few store machines would be left"))
+          : CallDecision.finalResponse(storesNotReported());
     }
-    return CallDecision.agree(registry.retirement(node), Response.of(200, "{}"), () -> {});
+    return CallDecision.propose(registry.retirementCommand(node), Response.of(200, "{}"), () -> {});
   }
 
   private static Response nodeUnknown(final String node) {
-    return Response.deny(404, "NODE_UNKNOWN", node);
+    return Response.error(404, "NODE_UNKNOWN", node);
   }
 
   /**
    * A leader knows the store machines by their calls: before they have called it knows nothing
    * against an order.
    */
-  private static Response unheard() {
+  private static Response storesNotReported() {
     return Response.unclear("not all store machines have called yet, ask again");
   }
 
@@ -248,16 +254,20 @@
    * A tenant's terms, and its account at each vault; one that is gone from the configuration may
    * still owe.
    */
-  private Response quotaShow(final String name) {
+  private Response showQuota(final String name) {
     final Configuration.Tenant tenant =
-        stateMachine.current() == null ? null : stateMachine.current().tenant(name);
+        stateMachine.currentConfiguration() == null
+            ? null
+            : stateMachine.currentConfiguration().tenant(name);
     final List<Map<String, Object>> rows = registry.balanceRows(name);
     if (tenant == null && rows.isEmpty()) {
-      return registry.settled() ? Response.deny(404, "TENANT_UNKNOWN", name) : unheard();
+      return registry.allStoresHaveReported()
+          ? Response.error(404, "TENANT_UNKNOWN", name)
+          : storesNotReported();
     }
     final Map<String, Object> page = new LinkedHashMap<>();
     page.put("Tenant", name);
-    page.put("RatePerS", tenant == null ? 0 : tenant.perSecond());
+    page.put("RatePerS", tenant == null ? 0 : tenant.ratePerSecond());
     page.put("Burst", tenant == null ? 0 : tenant.burst());
     page.put("BorrowMax", tenant == null ? 0 : tenant.borrowMax());
     page.put("RepayShare", tenant == null ? 0 : tenant.repayPpm() / 1e6);
@@ -265,10 +275,10 @@
     return Response.of(200, ConfigValueFactory.fromMap(page).render(ConfigRenderOptions.concise()));
   }
 
-  private Response retireShow(final String node) {
-    final ClusterState.Retirement retiring = stateMachine.facts().retiring(node);
+  private Response showRetirement(final String node) {
+    final ClusterState.Retirement retiring = stateMachine.clusterState().retirementOf(node);
     if (retiring == null && !registry.knows(node)) {
-      return registry.unknown(node) ? nodeUnknown(node) : unheard();
+      return registry.isUnknown(node) ? nodeUnknown(node) : storesNotReported();
     }
     return Response.of(
         200, retiring != null && retiring.finished ? "{\"St\":\"finished\"}" : "{\"St\":\"up\"}");
--- a/src/main/java/yewjunction/control/OrderViolations.java
+++ b/src/main/java/yewjunction/control/OrderViolations.java
@@ -8,16 +8,16 @@
   public String topic = "";
 
   /** Messages that would have come out of their declared place and were not written. */
-  public long breaks;
+  public long violations;
 
   /** Subscriptions that could not be taken up because messages they lacked are no longer kept. */
   public long gaps;
 
-  Map<String, Object> row(final String node) {
+  Map<String, Object> toRow(final String node) {
     final Map<String, Object> row = new LinkedHashMap<>();
     row.put("Topic", topic);
     row.put("Nodename", node);
-    row.put("Breaks", breaks);
+    row.put("Breaks", violations);
     row.put("Gaps", gaps);
     return row;
   }
--- a/src/main/java/yewjunction/control/RecentChanges.java
+++ b/src/main/java/yewjunction/control/RecentChanges.java
@@ -17,38 +17,38 @@
 
   /** What makes one version of the configuration of the one before, and what the result must be. */
   static final class VersionPatch {
-    long base;
+    long baseVersion;
     long version;
     String json = "";
     long digest;
   }
 
-  void changed(final ControlCommand command) {
+  void add(final ControlCommand command) {
     if (command.patch == null) {
       // Only the whole leads across this version.
       patches.clear();
       return;
     }
     final VersionPatch patch = new VersionPatch();
-    patch.base = command.base;
+    patch.baseVersion = command.baseVersion;
     patch.version = command.version;
     patch.json = command.patch;
     patch.digest = command.patchDigest;
-    keep(patches, patch);
+    addBounded(patches, patch);
   }
 
-  void changed(final ClusterState.Change change) {
-    keep(changes, change);
+  void add(final ClusterState.Change change) {
+    addBounded(changes, change);
   }
 
-  private static <T> void keep(final ArrayDeque<T> kept, final T one) {
+  private static <T> void addBounded(final ArrayDeque<T> kept, final T one) {
     kept.add(one);
     if (kept.size() > MAX_RECENT_CHANGES) {
       kept.poll();
     }
   }
 
-  void forget() {
+  void clear() {
     patches.clear();
     changes.clear();
   }
@@ -61,7 +61,7 @@
     final List<VersionPatch> found = new ArrayList<>();
     int length = 0;
     for (final VersionPatch patch : patches) {
-      if (!found.isEmpty() || patch.base == version) {
+      if (!found.isEmpty() || patch.baseVersion == version) {
         found.add(patch);
         length += patch.json.length();
       }
@@ -73,7 +73,7 @@
   List<ClusterState.Change> changesFrom(final long number) {
     final List<ClusterState.Change> found = new ArrayList<>();
     for (final ClusterState.Change change : changes) {
-      if (!found.isEmpty() || change.before == number) {
+      if (!found.isEmpty() || change.previousNumber == number) {
         found.add(change);
       }
     }
--- a/src/main/java/yewjunction/doctor/BorrowingCheck.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -12,7 +12,7 @@
   private BorrowingCheck() {}
 
   /** Rows of vaults as the leading crux shows them. */
-  static List<Finding> look(final List<? extends Config> stores) {
+  static List<Finding> check(final List<? extends Config> stores) {
     final List<Finding> findings = new ArrayList<>();
     final Map<String, String> told = new TreeMap<>();
     final Map<String, Config> newest = new TreeMap<>();
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -34,9 +34,9 @@
   private final Settings settings;
   private final Path dataFolder;
   private MaintenanceWindows windows;
-  private final HttpProbe caller = new HttpProbe(PROBE_TIMEOUT_MS);
+  private final HttpProbe probe = new HttpProbe(PROBE_TIMEOUT_MS);
   private final List<Finding> findings = new ArrayList<>();
-  private final TreeMap<String, Config> outlooks = new TreeMap<>();
+  private final TreeMap<String, Config> statuses = new TreeMap<>();
 
   /** The folder may be null: a machine without a disk, or not this machine's. */
   public Doctor(final Settings settings, final Path dataFolder) {
@@ -54,42 +54,42 @@
     final String planned =
         windows == null || names.length == 0
             ? null
-            : windows.explains(Instant.now(), List.of(names));
+            : windows.plannedWorkFor(Instant.now(), List.of(names));
     findings.add(
         planned == null ? new Finding(code, seen, todo) : new Finding(code, seen, todo, planned));
   }
 
   public List<Finding> examine() {
-    settings.seeds().stream().distinct().forEach(this::seed);
-    if (!outlooks.isEmpty()) {
-      core();
-      peers();
-      wards();
-      vaults();
+    settings.seeds().stream().distinct().forEach(this::examineSeed);
+    if (!statuses.isEmpty()) {
+      examineControlNodes();
+      examineMembers();
+      examineProcesses();
+      examineStores();
     }
-    if (!settings.ready().isEmpty()) {
-      final Response reply = caller.get(settings.ready(), "/-/readyz");
+    if (!settings.readinessAddress().isEmpty()) {
+      final Response reply = probe.get(settings.readinessAddress(), "/-/readyz");
       if (reply.status() == -1) {
         found(
             Code.READY_SILENT,
-            settings.ready() + ": " + reply.body(),
+            settings.readinessAddress() + ": " + reply.body(),
             "see whether the edge's process runs");
       }
     }
     if (dataFolder != null) {
-      folder();
+      examineFolder();
     }
     if (windows != null) {
       windows
-          .bad()
+          .unreadable()
           .forEach(
               one -> found(Code.CALENDAR_BAD, one, "mend the calendar file; the others count"));
     }
     return findings;
   }
 
-  private void seed(final String seed) {
-    final Response reply = caller.get(seed, "/-/outlook/show");
+  private void examineSeed(final String seed) {
+    final Response reply = probe.get(seed, "/-/outlook/show");
     if (reply.status() == -1) {
       found(
           Code.SEED_SILENT,
@@ -109,7 +109,7 @@
       }
       final Config status = ConfigFactory.parseString(reply.body());
       status.getBoolean("Leads");
-      outlooks.put(seed, status);
+      statuses.put(seed, status);
     } catch (final ConfigException failure) {
       found(
           Code.SEED_ODD,
@@ -118,10 +118,10 @@
     }
   }
 
-  private void core() {
+  private void examineControlNodes() {
     final List<String> leaders = new ArrayList<>();
     final Set<Long> versions = new HashSet<>();
-    for (final var one : outlooks.entrySet()) {
+    for (final var one : statuses.entrySet()) {
       final Config status = one.getValue();
       if (status.getBoolean("Leads")) {
         leaders.add(one.getKey());
@@ -137,7 +137,7 @@
       versions.add(status.getLong("Ver"));
     }
     final Set<String> named = new HashSet<>();
-    outlooks.values().forEach(status -> named.add(status.getString("Leader")));
+    statuses.values().forEach(status -> named.add(status.getString("Leader")));
     named.remove("");
     if (leaders.isEmpty() && named.isEmpty()) {
       found(
@@ -150,12 +150,12 @@
           leaders + " lead, " + named + " are named",
           "look again; if it stays, cruxes are cut off");
     }
-    final Config first = outlooks.firstEntry().getValue();
+    final Config first = statuses.firstEntry().getValue();
     final List<String> voters = first.getStringList("Voters");
-    if (outlooks.size() * 2 <= voters.size()) {
+    if (statuses.size() * 2 <= voters.size()) {
       found(
           Code.VOTERS_FEW,
-          outlooks.size() + " of " + voters.size() + " voters answer",
+          statuses.size() + " of " + voters.size() + " voters answer",
           "bring back the silent cruxes");
     }
     if (versions.size() > 1) {
@@ -169,9 +169,9 @@
     }
   }
 
-  private void peers() {
+  private void examineMembers() {
     final TreeMap<String, Config> known = new TreeMap<>();
-    outlooks
+    statuses
         .values()
         .forEach(
             status ->
@@ -179,11 +179,11 @@
                     .getConfigList("Siblings")
                     .forEach(one -> known.put(one.getString("Addr"), one)));
     final Set<String> answering = new HashSet<>(known.keySet());
-    outlooks
+    statuses
         .values()
         .forEach(status -> answering.add(status.hasPath("Addr") ? status.getString("Addr") : ""));
-    for (final String voter : outlooks.firstEntry().getValue().getStringList("Voters")) {
-      if (outlooks.firstEntry().getValue().hasPath("Addr") && !answering.contains(voter)) {
+    for (final String voter : statuses.firstEntry().getValue().getStringList("Voters")) {
+      if (statuses.firstEntry().getValue().hasPath("Addr") && !answering.contains(voter)) {
         found(
             Code.VOTER_GONE,
             "nobody knows the voter at " + voter,
@@ -211,11 +211,11 @@
   }
 
   /** What processes say of themselves to the crux they ask for leases. */
-  private void wards() {
-    for (final Config status : outlooks.values()) {
+  private void examineProcesses() {
+    for (final Config status : statuses.values()) {
       for (final Config ward :
           status.hasPath("Wards") ? status.getConfigList("Wards") : List.<Config>of()) {
-        ward(ward, ward.getString("Nodename") + " (" + ward.getString("Duty") + ")");
+        examineProcess(ward, ward.getString("Nodename") + " (" + ward.getString("Duty") + ")");
       }
       for (final Config channel :
           status.hasPath("Channels") ? status.getConfigList("Channels") : List.<Config>of()) {
@@ -234,7 +234,7 @@
     }
   }
 
-  private void ward(final Config ward, final String name) {
+  private void examineProcess(final Config ward, final String name) {
     final String node = ward.getString("Nodename");
     final String zone = ward.getString("Az");
     if (!ward.getBoolean("Held")) {
@@ -279,9 +279,9 @@
     }
   }
 
-  private void vaults() {
+  private void examineStores() {
     final List<? extends Config> rows =
-        outlooks.values().stream()
+        statuses.values().stream()
             .filter(status -> status.getBoolean("Leads"))
             .findFirst()
             .map(status -> status.getConfigList("Vaults"))
@@ -290,7 +290,7 @@
     if (rows == null) {
       return;
     }
-    findings.addAll(BorrowingCheck.look(rows));
+    findings.addAll(BorrowingCheck.check(rows));
     final int needed = settings.votersNeeded();
     long newest = 0;
     int heard = 0;
@@ -324,7 +324,7 @@
     }
   }
 
-  private void folder() {
+  private void examineFolder() {
     for (final StorageInspection health : StorageInspection.inspect(dataFolder)) {
       if (health.damaged()) {
         found(
--- a/src/main/java/yewjunction/fanout/FanoutMessages.java
+++ b/src/main/java/yewjunction/fanout/FanoutMessages.java
@@ -9,20 +9,20 @@
 public final class FanoutMessages {
   private FanoutMessages() {}
 
-  public static void know(final MessageCodec codec) {
+  public static void register(final MessageCodec codec) {
     codec
-        .know(90, AttachRequest.class)
-        .know(91, AttachResponse.class)
-        .know(92, StreamBatch.class)
-        .know(93, SubscribeRequest.class)
-        .know(94, ReplayResponse.class)
-        .know(95, Heartbeat.class)
-        .know(96, ReplicaStates.class)
-        .know(97, DigestRequest.class)
-        .know(98, DigestResponse.class)
-        .know(99, CountRequest.class)
-        .know(100, CountResponse.class)
-        .know(101, ReplayRequest.class);
+        .register(90, AttachRequest.class)
+        .register(91, AttachResponse.class)
+        .register(92, StreamBatch.class)
+        .register(93, SubscribeRequest.class)
+        .register(94, ReplayResponse.class)
+        .register(95, Heartbeat.class)
+        .register(96, ReplicaStates.class)
+        .register(97, DigestRequest.class)
+        .register(98, DigestResponse.class)
+        .register(99, CountRequest.class)
+        .register(100, CountResponse.class)
+        .register(101, ReplayRequest.class);
   }
 
   /**
@@ -31,32 +31,32 @@
   static final class AttachRequest {
     long replica;
     String node = "";
-    long last;
+    long lastIndex;
 
     /** The digest of the edge's own part of the set, which came just before. */
-    long mark;
+    long digest;
   }
 
   static final class AttachResponse {
     boolean accepted;
 
     /** Where the stream starts; above the asked index when older messages are gone. */
-    long start;
+    long startIndex;
 
     String leader = "";
   }
 
   /** Messages in order between two indices; an edge takes it only when from is where it stands. */
   static final class StreamBatch {
-    long from;
-    long upTo;
+    long previousIndex;
+    long throughIndex;
     String leader = "";
     List<StoredMessage> messages = new ArrayList<>();
   }
 
   /** Early word of a new instance of the set, and the subscription it stands for. */
   static final class SubscribeRequest {
-    long request;
+    long requestId;
     String topic = "";
     String client = "";
     long instance;
@@ -66,7 +66,7 @@
   }
 
   static final class ReplayResponse {
-    long request;
+    long requestId;
     boolean expired;
     long position;
     List<StoredMessage> messages = new ArrayList<>();
@@ -77,31 +77,31 @@
 
   /** Asks for the next piece of a topic's older messages, behind one index and up to another. */
   static final class ReplayRequest {
-    long request;
+    long requestId;
     String topic = "";
-    long after;
-    long upTo;
+    long afterIndex;
+    long throughIndex;
   }
 
   /** An edge is still there. */
   static final class Heartbeat {
-    long last;
+    long lastIndex;
   }
 
   /** Whole states of some parts of the set. */
   static final class ReplicaStates {
-    byte[] state = new byte[0];
+    byte[] states = new byte[0];
 
     /** The digest of the sending edge's own part; 0 from others. */
-    long mark;
+    long digest;
   }
 
   /** Digests of what the sender holds: asks for the parts that differ. */
   static final class DigestRequest {
-    byte[] marks = new byte[0];
+    byte[] digests = new byte[0];
 
     /** Cells that the answer may carry, about. */
-    int mostCells;
+    int maxCells;
 
     /** Whether the sender answers in kind. */
     boolean mutual;
@@ -109,23 +109,23 @@
     /**
      * Only the parts of the receiver's own edges are asked for: others have theirs from elsewhere.
      */
-    Boolean own;
+    Boolean ownEdgesOnly;
   }
 
   /** The answer to a gauge: parts that differ, and which of the asker's are wanted. */
   static final class DigestResponse {
-    byte[] state = new byte[0];
-    List<Long> wanted = new ArrayList<>();
+    byte[] states = new byte[0];
+    List<Long> wantedReplicas = new ArrayList<>();
   }
 
   /** A client of the edge asks how many subscribe a topic. */
   static final class CountRequest {
-    long request;
+    long requestId;
     String topic = "";
   }
 
   static final class CountResponse {
-    long request;
+    long requestId;
     int count;
   }
 }
--- a/src/main/java/yewjunction/fanout/StreamClient.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -29,35 +29,35 @@
   private final SubscriptionSync sync;
   private final SubscriptionSyncClient syncClient;
   private final Supplier<List<String>> stores;
-  private final Listener watcher;
+  private final Listener listener;
   private final String node;
   private PeerConnection server;
-  private boolean welcomed;
-  private long last = -1;
-  private long heardMs;
-  private long homelessMs;
-  private long returnMs;
+  private boolean attached;
+  private long lastIndex = -1;
+  private long lastContactMs;
+  private long detachedMs;
+  private long foreignSinceMs;
   private int attempt;
-  private int denials;
+  private int refusals;
   private String leader = "";
 
   /** Told of what comes from the home. */
   public interface Listener {
-    void message(StoredMessage message);
+    void onMessage(StoredMessage message);
 
-    void taken(
+    void onReplay(
         long request, boolean expired, long position, List<StoredMessage> behind, boolean more);
 
-    void leaderIs(String address);
+    void onLeaderChange(String address);
 
     /** The home hears a leader right now. */
-    void leaderHeard();
+    void onLeaderReachable();
 
     /** A home took this edge: what is still open is asked again. */
-    void attached();
+    void onAttached();
 
     /** Messages this edge should have had are gone: its clients must take up their cursors anew. */
-    void gapped();
+    void onStreamGap();
   }
 
   /**
@@ -76,66 +76,66 @@
     this.subscriptions = subscriptions;
     this.node = node;
     this.stores = stores;
-    this.watcher = watcher;
+    this.listener = watcher;
     sync =
         new SubscriptionSync(
             context, transport, subscriptions, () -> List.of(subscriptions.self()), changed);
     syncClient =
         new SubscriptionSyncClient(
-            context, transport, subscriptions, sync, () -> welcomed ? server : null, changed);
-    homelessMs = context.nowMs();
-    transport.on(AttachResponse.class, this::welcome);
-    transport.on(StreamBatch.class, this::flow);
-    transport.on(ReplayResponse.class, this::takenUp);
-    transport.onClose(this::closed);
-    context.every(STREAM_HEARTBEAT_INTERVAL_MS, this::beat);
-    context.every(
+            context, transport, subscriptions, sync, () -> attached ? server : null, changed);
+    detachedMs = context.nowMs();
+    transport.onMessage(AttachResponse.class, this::onAttachResponse);
+    transport.onMessage(StreamBatch.class, this::onStreamBatch);
+    transport.onMessage(ReplayResponse.class, this::onReplayResponse);
+    transport.onClose(this::onClose);
+    context.scheduleAtFixedRate(STREAM_HEARTBEAT_INTERVAL_MS, this::heartbeat);
+    context.scheduleAtFixedRate(
         STREAM_HEARTBEAT_INTERVAL_MS / 3,
         () -> {
           // Without a home clients wait: looked for at a faster pace than a home is kept at.
-          if (server != null && context.nowMs() - heardMs > STREAM_TIMEOUT_MS) {
+          if (server != null && context.nowMs() - lastContactMs > STREAM_TIMEOUT_MS) {
             // A dark machine resets nothing: silence is all there is to go by.
-            leave();
+            detach();
             attempt++;
           }
           if (server == null) {
-            denials = 0;
+            refusals = 0;
             attach();
           }
         });
   }
 
   /** ms without a home, 0 while there is one. */
-  public long homelessMs() {
-    return welcomed ? 0 : context.nowMs() - homelessMs;
+  public long detachedMs() {
+    return attached ? 0 : context.nowMs() - detachedMs;
   }
 
   public String leader() {
     return leader;
   }
 
-  private void beat() {
+  private void heartbeat() {
     final long nowMs = context.nowMs();
-    denials = 0;
-    if (welcomed) {
+    refusals = 0;
+    if (attached) {
       final Heartbeat heartbeat = new Heartbeat();
-      heartbeat.last = last;
+      heartbeat.lastIndex = lastIndex;
       server.send(heartbeat);
-      goBack(nowMs);
+      returnToOwnZone(nowMs);
     }
   }
 
   /**
    * The own zone's vault is nearest: an edge that fled goes back once that has been up for a while.
    */
-  private void goBack(final long nowMs) {
+  private void returnToOwnZone(final long nowMs) {
     final List<String> known = stores.get();
-    if (known.isEmpty() || known.get(0).equals(server.remote())) {
-      returnMs = nowMs;
-    } else if (nowMs - returnMs > RETURN_TO_OWN_ZONE_MS) {
-      returnMs = nowMs;
+    if (known.isEmpty() || known.get(0).equals(server.remoteAddress())) {
+      foreignSinceMs = nowMs;
+    } else if (nowMs - foreignSinceMs > RETURN_TO_OWN_ZONE_MS) {
+      foreignSinceMs = nowMs;
       attempt = 0;
-      leave();
+      detach();
       attach();
     }
   }
@@ -145,20 +145,21 @@
     if (subscriptions.self() == 0 || known.isEmpty() || server != null) {
       return;
     }
-    server = transport.dial(known.get(Math.floorMod(attempt, known.size())));
-    heardMs = context.nowMs();
+    server = transport.connect(known.get(Math.floorMod(attempt, known.size())));
+    lastContactMs = context.nowMs();
     // Its own part of the set comes first, so that the stream starts with all this edge's
     // subscriptions.
-    sync.push(server, List.of(subscriptions.self()), subscriptions.mark(subscriptions.self()));
+    sync.sendStates(
+        server, List.of(subscriptions.self()), subscriptions.digest(subscriptions.self()));
     final AttachRequest request = new AttachRequest();
     request.replica = subscriptions.self();
     request.node = node;
-    request.last = last;
+    request.lastIndex = lastIndex;
     server.send(request);
   }
 
   /** This edge's side of the exchange of the set. */
-  public SubscriptionSyncClient weft() {
+  public SubscriptionSyncClient syncClient() {
     return syncClient;
   }
 
@@ -166,97 +167,101 @@
    * What was said under the old name counts no more: attached anew under the new one, as soon as
    * there is one.
    */
-  public void renamed() {
-    leave();
+  public void onReplicaIdChanged() {
+    detach();
     attach();
   }
 
-  private void leave() {
+  private void detach() {
     if (server != null) {
       final PeerConnection left = server;
       server = null;
-      if (welcomed) {
-        welcomed = false;
-        homelessMs = context.nowMs();
-        LogEvent.HOME_LOST.info(left.remote());
+      if (attached) {
+        attached = false;
+        detachedMs = context.nowMs();
+        LogEvent.STORE_DETACHED.info(left.remoteAddress());
       }
       // Closed, so that nothing of the old stream can arrive any more.
       left.close();
     }
   }
 
-  private void closed(final PeerConnection connection) {
+  private void onClose(final PeerConnection connection) {
     if (connection == server) {
       // A link that broke may be the link's own trouble: the same home is asked first, and only one
       // that
       // does not take this edge again is given up for another zone's.
-      if (!welcomed) {
+      if (!attached) {
         attempt++;
       }
-      leave();
+      detach();
       attach();
     }
   }
 
-  private void welcome(final PeerConnection connection, final AttachResponse response) {
+  private void onAttachResponse(final PeerConnection connection, final AttachResponse response) {
     if (connection != server) {
       return;
     }
-    heardMs = context.nowMs();
+    lastContactMs = context.nowMs();
     if (!response.accepted) {
-      leave();
+      detach();
       attempt++;
       // Each vault is asked once a beat: the next one at once, the same again a little later.
-      if (++denials < stores.get().size()) {
+      if (++refusals < stores.get().size()) {
         attach();
       }
       return;
     }
-    welcomed = true;
-    returnMs = heardMs;
-    LogEvent.HOME_ATTACHED.info(connection.remote() + " from " + response.start);
-    final boolean gap = last >= 0 && response.start > last;
-    last = response.start;
-    hint(response.leader);
+    attached = true;
+    foreignSinceMs = lastContactMs;
+    LogEvent.STORE_ATTACHED.info(connection.remoteAddress() + " from " + response.startIndex);
+    final boolean gap = lastIndex >= 0 && response.startIndex > lastIndex;
+    lastIndex = response.startIndex;
+    onLeaderHint(response.leader);
     if (gap) {
-      LogEvent.STREAM_GAP.warn("up to " + last);
-      watcher.gapped();
+      LogEvent.STREAM_GAP.warn("up to " + lastIndex);
+      listener.onStreamGap();
     }
-    watcher.attached();
+    listener.onAttached();
   }
 
-  private void hint(final String address) {
+  private void onLeaderHint(final String address) {
     if (!address.isEmpty() && !address.equals(leader)) {
       leader = address;
-      watcher.leaderIs(address);
+      listener.onLeaderChange(address);
     }
   }
 
-  private void flow(final PeerConnection connection, final StreamBatch batch) {
-    if (connection != server || !welcomed) {
+  private void onStreamBatch(final PeerConnection connection, final StreamBatch batch) {
+    if (connection != server || !attached) {
       return;
     }
-    heardMs = context.nowMs();
+    lastContactMs = context.nowMs();
     // Each piece names its predecessor: a gap shows, and the stream is taken up anew.
-    if (batch.from != last) {
-      LogEvent.STREAM_GAP.warn("at " + last + ", piece from " + batch.from);
-      leave();
+    if (batch.previousIndex != lastIndex) {
+      LogEvent.STREAM_GAP.warn("at " + lastIndex + ", piece from " + batch.previousIndex);
+      detach();
       attach();
       return;
     }
-    batch.messages.forEach(watcher::message);
-    last = batch.upTo;
-    hint(batch.leader);
+    batch.messages.forEach(listener::onMessage);
+    lastIndex = batch.throughIndex;
+    onLeaderHint(batch.leader);
     if (!batch.leader.isEmpty()) {
-      watcher.leaderHeard();
+      listener.onLeaderReachable();
     }
   }
 
-  private void takenUp(final PeerConnection connection, final ReplayResponse response) {
-    if (connection == server && welcomed) {
-      heardMs = context.nowMs();
-      watcher.taken(
-          response.request, response.expired, response.position, response.messages, response.more);
+  private void onReplayResponse(final PeerConnection connection, final ReplayResponse response) {
+    if (connection == server && attached) {
+      lastContactMs = context.nowMs();
+      listener.onReplay(
+          response.requestId,
+          response.expired,
+          response.position,
+          response.messages,
+          response.more);
     }
   }
 }
--- a/src/main/java/yewjunction/fanout/StreamServer.java
+++ b/src/main/java/yewjunction/fanout/StreamServer.java
@@ -34,7 +34,7 @@
   private final MessageStore messageStore;
   private final AddWinsSet subscriptions;
   private final Map<PeerConnection, AttachedEdge> attachedEdges = new LinkedHashMap<>();
-  private long ledMs;
+  private long upToDateMs;
   private boolean closing;
 
   /** One attached edge. */
@@ -43,13 +43,13 @@
     long replica;
 
     /** The edge was told of everything up to here. */
-    long sent;
+    long sentIndex;
 
     /** Up to here nothing else is wanted. */
-    long looked;
+    long scannedIndex;
 
     /** Instances told ahead of the set, by topic; used only until w covers them. */
-    final Map<String, Long> early = new HashMap<>();
+    final Map<String, Long> announcedInstances = new HashMap<>();
   }
 
   public StreamServer(
@@ -62,22 +62,22 @@
     this.raftNode = raftNode;
     this.messageStore = messageStore;
     this.subscriptions = subscriptions;
-    transport.on(AttachRequest.class, this::attach);
-    transport.on(SubscribeRequest.class, this::notice);
-    transport.on(ReplayRequest.class, this::further);
-    transport.on(Heartbeat.class, (connection, heartbeat) -> {});
+    transport.onMessage(AttachRequest.class, this::onAttachRequest);
+    transport.onMessage(SubscribeRequest.class, this::onSubscribeRequest);
+    transport.onMessage(ReplayRequest.class, this::onReplayRequest);
+    transport.onMessage(Heartbeat.class, (connection, heartbeat) -> {});
     transport.onClose(
         connection -> {
           final AttachedEdge edge = attachedEdges.remove(connection);
           if (edge != null) {
-            LogEvent.EDGE_LOST.info(edge.node);
+            LogEvent.EDGE_DETACHED.info(edge.node);
           }
         });
-    context.every(STREAM_HEARTBEAT_INTERVAL_MS, this::beat);
+    context.scheduleAtFixedRate(STREAM_HEARTBEAT_INTERVAL_MS, this::heartbeat);
   }
 
   /** The attached edges' replicas. */
-  Map<PeerConnection, Long> edges() {
+  Map<PeerConnection, Long> replicaByConnection() {
     final Map<PeerConnection, Long> edges = new LinkedHashMap<>();
     attachedEdges.forEach((connection, edge) -> edges.put(connection, edge.replica));
     return edges;
@@ -87,55 +87,58 @@
     return raftNode.leader() == null ? "" : RaftNode.addressOf(raftNode.leader());
   }
 
-  private boolean serves() {
+  private boolean isUpToDate() {
     return raftNode.leader() != null && raftNode.groupMembership().lagMs() <= MAX_SERVING_LAG_MS;
   }
 
-  private void attach(final PeerConnection connection, final AttachRequest request) {
+  private void onAttachRequest(final PeerConnection connection, final AttachRequest request) {
     final AttachResponse response = new AttachResponse();
     // One that hears no leader, or lags behind what the edge has seen, is a poor home.
-    response.accepted = !closing && serves() && raftNode.appliedIndex() >= request.last;
+    response.accepted = !closing && isUpToDate() && raftNode.appliedIndex() >= request.lastIndex;
     response.leader = leader();
     if (response.accepted) {
       final AttachedEdge edge = new AttachedEdge();
       edge.node = request.node;
       edge.replica = request.replica;
-      edge.sent = request.last < messageStore.floor() ? raftNode.appliedIndex() : request.last;
-      edge.looked = edge.sent;
-      response.start = edge.sent;
+      edge.sentIndex =
+          request.lastIndex < messageStore.lastDroppedIndex()
+              ? raftNode.appliedIndex()
+              : request.lastIndex;
+      edge.scannedIndex = edge.sentIndex;
+      response.startIndex = edge.sentIndex;
       attachedEdges.put(connection, edge);
-      LogEvent.EDGE_ATTACHED.info(edge.node + " from " + edge.sent);
+      LogEvent.EDGE_ATTACHED.info(edge.node + " from " + edge.sentIndex);
       connection.send(response);
-      flow(connection, edge, false);
+      streamTo(connection, edge, false);
     } else {
       connection.send(response);
     }
   }
 
-  private void notice(final PeerConnection connection, final SubscribeRequest request) {
+  private void onSubscribeRequest(final PeerConnection connection, final SubscribeRequest request) {
     final AttachedEdge edge = attachedEdges.get(connection);
     if (edge == null) {
       return;
     }
     // The stream first: what is behind the position and on its way already stays in order.
-    flow(connection, edge, false);
+    streamTo(connection, edge, false);
     // The client has come to this edge: what it held at others is cancelled, which the edge itself
     // may not know of.
-    subscriptions.takenOver(request.topic, request.client, edge.replica);
-    edge.early.merge(request.topic, request.instance, Math::max);
+    subscriptions.moveTo(request.topic, request.client, edge.replica);
+    edge.announcedInstances.merge(request.topic, request.instance, Math::max);
     final ReplayResponse response = new ReplayResponse();
-    response.request = request.request;
+    response.requestId = request.requestId;
     response.position = Math.max(request.position, raftNode.appliedIndex());
     if (request.position >= 0) {
-      fill(response, request.topic, request.position, response.position);
+      addMessages(response, request.topic, request.position, response.position);
     }
     connection.send(response);
   }
 
   /** A piece of bounded size; the asker comes back for the next one when it has room for it. */
-  private void fill(
+  private void addMessages(
       final ReplayResponse response, final String topic, final long after, final long upTo) {
-    final List<StoredMessage> behind = messageStore.behind(topic, after);
+    final List<StoredMessage> behind = messageStore.messagesAfter(topic, after);
     response.expired = behind == null;
     int bytes = 0;
     for (final StoredMessage message : behind == null ? List.<StoredMessage>of() : behind) {
@@ -150,47 +153,48 @@
     }
   }
 
-  private void further(final PeerConnection connection, final ReplayRequest request) {
+  private void onReplayRequest(final PeerConnection connection, final ReplayRequest request) {
     if (!attachedEdges.containsKey(connection)) {
       return;
     }
     // Named by another home that was ahead of this one: answered once as much is applied here.
-    if (raftNode.appliedIndex() < request.upTo) {
-      context.after(STREAM_HEARTBEAT_INTERVAL_MS / 10, () -> further(connection, request));
+    if (raftNode.appliedIndex() < request.throughIndex) {
+      context.schedule(
+          STREAM_HEARTBEAT_INTERVAL_MS / 10, () -> onReplayRequest(connection, request));
       return;
     }
     final ReplayResponse response = new ReplayResponse();
-    response.request = request.request;
-    response.position = request.upTo;
-    fill(response, request.topic, request.after, request.upTo);
+    response.requestId = request.requestId;
+    response.position = request.throughIndex;
+    addMessages(response, request.topic, request.afterIndex, request.throughIndex);
     connection.send(response);
   }
 
   private boolean wants(final AttachedEdge edge, final String topic) {
-    if (subscriptions.reaches(topic, edge.replica)) {
+    if (subscriptions.hasSubscriber(topic, edge.replica)) {
       return true;
     }
-    final Long early = edge.early.get(topic);
+    final Long early = edge.announcedInstances.get(topic);
     if (early == null) {
       return false;
     }
     if (early <= subscriptions.observed(edge.replica)) {
       // The set has caught up and says no: the subscription was given up since.
-      edge.early.remove(topic);
+      edge.announcedInstances.remove(topic);
       return false;
     }
     return true;
   }
 
-  public void settled() {
-    attachedEdges.forEach((connection, edge) -> flow(connection, edge, false));
+  public void onCommitted() {
+    attachedEdges.forEach((connection, edge) -> streamTo(connection, edge, false));
   }
 
-  private void flow(
+  private void streamTo(
       final PeerConnection connection, final AttachedEdge edge, final boolean always) {
     final long upTo = raftNode.appliedIndex();
     List<StoredMessage> wanted = new ArrayList<>();
-    for (final StoredMessage message : messageStore.between(edge.looked, upTo)) {
+    for (final StoredMessage message : messageStore.between(edge.scannedIndex, upTo)) {
       if (wants(edge, message.topic)) {
         wanted.add(message);
         if (wanted.size() >= MAX_BATCH_MESSAGES) {
@@ -199,9 +203,9 @@
         }
       }
     }
-    edge.looked = Math.max(edge.looked, upTo);
+    edge.scannedIndex = Math.max(edge.scannedIndex, upTo);
     if (!wanted.isEmpty() || always) {
-      send(connection, edge, edge.looked, wanted);
+      send(connection, edge, edge.scannedIndex, wanted);
     }
   }
 
@@ -211,34 +215,34 @@
       final long upTo,
       final List<StoredMessage> messages) {
     final StreamBatch batch = new StreamBatch();
-    batch.from = edge.sent;
-    batch.upTo = upTo;
+    batch.previousIndex = edge.sentIndex;
+    batch.throughIndex = upTo;
     batch.leader = leader();
     batch.messages = messages;
-    edge.sent = upTo;
+    edge.sentIndex = upTo;
     connection.send(batch);
   }
 
-  private void beat() {
+  private void heartbeat() {
     final long nowMs = context.nowMs();
-    if (serves()) {
-      ledMs = nowMs;
+    if (isUpToDate()) {
+      upToDateMs = nowMs;
     }
     // Cut off from the others, or behind them, for long: the edges do better elsewhere.
-    if (nowMs - ledMs > 2 * STREAM_TIMEOUT_MS) {
-      close();
+    if (nowMs - upToDateMs > 2 * STREAM_TIMEOUT_MS) {
+      detachAll();
       closing = false;
     }
-    attachedEdges.forEach((connection, edge) -> flow(connection, edge, true));
+    attachedEdges.forEach((connection, edge) -> streamTo(connection, edge, true));
   }
 
   /** Edges hear of a new leader at once: their messages wait for it. */
-  public void leaderChanged() {
-    attachedEdges.forEach((connection, edge) -> flow(connection, edge, true));
+  public void onLeaderChange() {
+    attachedEdges.forEach((connection, edge) -> streamTo(connection, edge, true));
   }
 
   /** Sends the edges elsewhere. */
-  public void close() {
+  public void detachAll() {
     closing = true;
     List.copyOf(attachedEdges.keySet()).forEach(PeerConnection::close);
   }
--- a/src/main/java/yewjunction/fanout/SubscriptionSync.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSync.java
@@ -20,7 +20,7 @@
 final class SubscriptionSync {
   private final AgentContext context;
   private final AddWinsSet subscriptions;
-  private final Supplier<Collection<Long>> own;
+  private final Supplier<Collection<Long>> ownReplicas;
 
   /**
    * Own: the replicas that this process hears of first. Changed: something may have been merged.
@@ -31,57 +31,61 @@
       final AddWinsSet subscriptions,
       final Supplier<Collection<Long>> own,
       final Runnable changed) {
-    this.own = own;
+    this.ownReplicas = own;
     this.context = context;
     this.subscriptions = subscriptions;
-    transport.on(DigestRequest.class, this::gauge);
-    transport.on(
+    transport.onMessage(DigestRequest.class, this::gauge);
+    transport.onMessage(
         DigestResponse.class,
         (connection, response) -> {
-          subscriptions.receive(response.state);
-          if (!response.wanted.isEmpty()) {
-            push(connection, response.wanted, 0);
+          subscriptions.merge(response.states);
+          if (!response.wantedReplicas.isEmpty()) {
+            sendStates(connection, response.wantedReplicas, 0);
           }
           changed.run();
         });
   }
 
-  void push(final PeerConnection connection, final Collection<Long> replicas, final long mark) {
+  void sendStates(
+      final PeerConnection connection, final Collection<Long> replicas, final long mark) {
     final ReplicaStates states = new ReplicaStates();
-    states.state = subscriptions.state(replicas);
-    states.mark = mark;
+    states.states = subscriptions.encodeStates(replicas);
+    states.digest = mark;
     connection.send(states);
   }
 
   /** Asks for what differs there; with mutual set, what differs here is given too. */
-  void compare(final PeerConnection connection, final int mostCells, final boolean mutual) {
+  void requestDifferences(
+      final PeerConnection connection, final int mostCells, final boolean mutual) {
     connection.send(gauge(mostCells, mutual));
   }
 
   /** Asks for the parts of that home's own edges, where they differ. */
-  void compareOwn(final PeerConnection connection) {
+  void requestOwnEdges(final PeerConnection connection) {
     final DigestRequest request = gauge(MAX_SYNC_CELLS, false);
-    request.own = true;
+    request.ownEdgesOnly = true;
     connection.send(request);
   }
 
   private DigestRequest gauge(final int mostCells, final boolean mutual) {
     final DigestRequest request = new DigestRequest();
-    request.marks = subscriptions.marks();
-    request.mostCells = mostCells;
+    request.digests = subscriptions.encodeDigests();
+    request.maxCells = mostCells;
     request.mutual = mutual;
     return request;
   }
 
   private void gauge(final PeerConnection connection, final DigestRequest request) {
     final DigestResponse response = new DigestResponse();
-    final int mostCells = Math.min(request.mostCells, MAX_SYNC_CELLS);
-    response.state =
-        subscriptions.state(
-            request.own == null
-                ? subscriptions.news(request.marks, mostCells, context.luck())
-                : subscriptions.newsOf(own.get(), request.marks, mostCells, context.luck()));
-    response.wanted = request.mutual ? subscriptions.wanted(request.marks) : List.of();
+    final int mostCells = Math.min(request.maxCells, MAX_SYNC_CELLS);
+    response.states =
+        subscriptions.encodeStates(
+            request.ownEdgesOnly == null
+                ? subscriptions.differingReplicas(request.digests, mostCells, context.random())
+                : subscriptions.differingReplicasOf(
+                    ownReplicas.get(), request.digests, mostCells, context.random()));
+    response.wantedReplicas =
+        request.mutual ? subscriptions.missingReplicas(request.digests) : List.of();
     connection.send(response);
   }
 }
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
@@ -30,12 +30,12 @@
   private final AgentContext context;
   private final AddWinsSet subscriptions;
   private final SubscriptionSync sync;
-  private final Supplier<PeerConnection> home;
-  private final Map<Long, PendingCount> questions = new HashMap<>();
-  private long requests;
+  private final Supplier<PeerConnection> attachedServer;
+  private final Map<Long, PendingCount> pendingCounts = new HashMap<>();
+  private long newestRequestId;
   private long rounds;
 
-  private record PendingCount(long atMs, IntConsumer response) {}
+  private record PendingCount(long requestedMs, IntConsumer response) {}
 
   SubscriptionSyncClient(
       final AgentContext context,
@@ -47,49 +47,49 @@
     this.context = context;
     this.subscriptions = subscriptions;
     this.sync = sync;
-    this.home = home;
-    rounds = context.luck().nextInt(EDGE_SYNC_EVERY);
-    transport.on(
+    this.attachedServer = home;
+    rounds = context.random().nextInt(EDGE_SYNC_EVERY);
+    transport.onMessage(
         ReplicaStates.class,
         (connection, states) -> {
-          subscriptions.receive(states.state);
+          subscriptions.merge(states.states);
           changed.run();
         });
-    transport.on(
+    transport.onMessage(
         CountResponse.class,
         (connection, response) -> {
-          final PendingCount question = questions.remove(response.request);
+          final PendingCount question = pendingCounts.remove(response.requestId);
           if (question != null) {
             question.response.accept(response.count);
           }
         });
-    context.every(SYNC_INTERVAL_MS, this::round);
+    context.scheduleAtFixedRate(SYNC_INTERVAL_MS, this::sync);
   }
 
-  private void round() {
-    final PeerConnection server = home.get();
+  private void sync() {
+    final PeerConnection server = attachedServer.get();
     if (subscriptions.self() == 0 || server == null) {
       return;
     }
-    final Set<Long> touched = subscriptions.takeTouched();
+    final Set<Long> touched = subscriptions.takeLocallyChanged();
     if (!touched.isEmpty()) {
-      sync.push(server, touched, subscriptions.mark(subscriptions.self()));
+      sync.sendStates(server, touched, subscriptions.digest(subscriptions.self()));
     }
     if (++rounds % EDGE_SYNC_EVERY == 0) {
-      sync.compare(server, MAX_EDGE_SYNC_CELLS, true);
+      sync.requestDifferences(server, MAX_EDGE_SYNC_CELLS, true);
     }
   }
 
   /** How many subscribe, from the home; false when it can't be asked. */
-  public boolean tally(final String topic, final IntConsumer response) {
-    final PeerConnection server = home.get();
+  public boolean requestCount(final String topic, final IntConsumer response) {
+    final PeerConnection server = attachedServer.get();
     if (server == null) {
       return false;
     }
     final CountRequest request = new CountRequest();
-    request.request = ++requests;
+    request.requestId = ++newestRequestId;
     request.topic = topic;
-    questions.put(request.request, new PendingCount(context.nowMs(), response));
+    pendingCounts.put(request.requestId, new PendingCount(context.nowMs(), response));
     return server.send(request);
   }
 
@@ -97,11 +97,11 @@
    * Questions that the home has not answered in time are answered from here: -1 asks the asker to
    * do so.
    */
-  public void look() {
+  public void expireCounts() {
     final long nowMs = context.nowMs();
-    for (final Iterator<PendingCount> each = questions.values().iterator(); each.hasNext(); ) {
+    for (final Iterator<PendingCount> each = pendingCounts.values().iterator(); each.hasNext(); ) {
       final PendingCount question = each.next();
-      if (nowMs - question.atMs > COUNT_TIMEOUT_MS) {
+      if (nowMs - question.requestedMs > COUNT_TIMEOUT_MS) {
         each.remove();
         question.response.accept(-1);
       }
@@ -109,16 +109,16 @@
   }
 
   /** Early word of a new instance, and the subscription it stands for. */
-  public void notice(
+  public void announceSubscription(
       final long requestId,
       final String topic,
       final String client,
       final long instance,
       final long position) {
-    final PeerConnection server = home.get();
+    final PeerConnection server = attachedServer.get();
     if (server != null) {
       final SubscribeRequest request = new SubscribeRequest();
-      request.request = requestId;
+      request.requestId = requestId;
       request.topic = topic;
       request.client = client;
       request.instance = instance;
@@ -128,14 +128,15 @@
   }
 
   /** The next piece of older messages. */
-  public void further(final long requestId, final String topic, final long after, final long upTo) {
-    final PeerConnection server = home.get();
+  public void requestReplay(
+      final long requestId, final String topic, final long after, final long upTo) {
+    final PeerConnection server = attachedServer.get();
     if (server != null) {
       final ReplayRequest request = new ReplayRequest();
-      request.request = requestId;
+      request.requestId = requestId;
       request.topic = topic;
-      request.after = after;
-      request.upTo = upTo;
+      request.afterIndex = after;
+      request.throughIndex = upTo;
       server.send(request);
     }
   }
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -33,13 +33,13 @@
   private final MembershipList membership;
   private final StreamServer streamServer;
   private final SubscriptionSync sync;
-  private final LongPredicate live;
+  private final LongPredicate liveReplicas;
 
   /** What each edge holds of its own part, by the digest it named. */
-  private final Map<PeerConnection, Long> marks = new HashMap<>();
+  private final Map<PeerConnection, Long> digestByConnection = new HashMap<>();
 
   private long rounds;
-  private long countingMs = Long.MIN_VALUE / 2;
+  private long lastCountMs = Long.MIN_VALUE / 2;
 
   public SubscriptionSyncServer(
       final AgentContext context,
@@ -53,54 +53,58 @@
     this.subscriptions = subscriptions;
     this.membership = membership;
     this.streamServer = streamServer;
-    this.live = live;
+    this.liveReplicas = live;
     sync =
         new SubscriptionSync(
-            context, transport, subscriptions, () -> streamServer.edges().values(), () -> {});
-    transport.on(
+            context,
+            transport,
+            subscriptions,
+            () -> streamServer.replicaByConnection().values(),
+            () -> {});
+    transport.onMessage(
         ReplicaStates.class,
         (connection, states) -> {
-          subscriptions.receive(states.state);
-          if (states.mark != 0) {
-            marks.put(connection, states.mark);
+          subscriptions.merge(states.states);
+          if (states.digest != 0) {
+            digestByConnection.put(connection, states.digest);
           }
         });
-    transport.on(CountRequest.class, this::tally);
-    transport.onClose(marks::remove);
+    transport.onMessage(CountRequest.class, this::onCountRequest);
+    transport.onClose(digestByConnection::remove);
     // Started together, they would all pause for it in the same second.
-    rounds = context.luck().nextInt(FULL_SYNC_EVERY);
-    context.every(SYNC_INTERVAL_MS, this::round);
+    rounds = context.random().nextInt(FULL_SYNC_EVERY);
+    context.scheduleAtFixedRate(SYNC_INTERVAL_MS, this::syncRound);
   }
 
-  private void tally(final PeerConnection connection, final CountRequest request) {
-    final boolean first = context.nowMs() - countingMs > COUNT_INTEREST_MS;
-    countingMs = context.nowMs();
+  private void onCountRequest(final PeerConnection connection, final CountRequest request) {
+    final boolean first = context.nowMs() - lastCountMs > COUNT_INTEREST_MS;
+    lastCountMs = context.nowMs();
     if (first) {
       // Nobody asked for long, so little is known here of other zones: the next questions find it.
-      askOthers();
+      syncOwnEdgesOfOtherZones();
     }
     final CountResponse response = new CountResponse();
-    response.request = request.request;
-    response.count = subscriptions.count(request.topic, live);
+    response.requestId = request.requestId;
+    response.count = subscriptions.count(request.topic, liveReplicas);
     connection.send(response);
   }
 
-  private void round() {
+  private void syncRound() {
     rounds++;
     // Other homes look for those that have edges: the rest need not know the set.
-    membership.ready(!streamServer.edges().isEmpty());
+    membership.setReady(!streamServer.replicaByConnection().isEmpty());
     streamServer
-        .edges()
+        .replicaByConnection()
         .forEach(
             (connection, replica) -> {
-              final long mark = subscriptions.mark(replica);
-              if (marks.getOrDefault(connection, 0L) != mark) {
-                marks.put(connection, mark);
-                sync.push(connection, List.of(replica), 0);
+              final long mark = subscriptions.digest(replica);
+              if (digestByConnection.getOrDefault(connection, 0L) != mark) {
+                digestByConnection.put(connection, mark);
+                sync.sendStates(connection, List.of(replica), 0);
               }
             });
-    if (!streamServer.edges().isEmpty()) {
-      compare();
+    if (!streamServer.replicaByConnection().isEmpty()) {
+      syncWithServers();
     }
   }
 
@@ -109,10 +113,10 @@
    * somebody asks for counts each home tells of its own edges, and no more: with clients coming and
    * going every part changes every second.
    */
-  private void compare() {
+  private void syncWithServers() {
     final Map<String, Member> partners = new HashMap<>();
-    final List<Member> homes = membership.up(NodeRole.STORE);
-    java.util.Collections.shuffle(homes, context.luck());
+    final List<Member> homes = membership.membersUp(NodeRole.STORE);
+    java.util.Collections.shuffle(homes, context.random());
     for (final Member member : homes) {
       if (member.ready) {
         partners.putIfAbsent(member.zone, member);
@@ -124,21 +128,21 @@
           final boolean inside = zone.equals(membership.self().zone);
           // Both sides give and take; across zones only a little of what no home tells of itself.
           if (inside || heals) {
-            sync.compare(
-                transport.dial(member.address),
+            sync.requestDifferences(
+                transport.connect(member.address),
                 inside ? MAX_SYNC_CELLS : MAX_EDGE_SYNC_CELLS,
                 true);
           }
         });
-    if (context.nowMs() - countingMs < COUNT_INTEREST_MS || rounds % CROSS_ZONE_SYNC_EVERY == 0) {
-      askOthers();
+    if (context.nowMs() - lastCountMs < COUNT_INTEREST_MS || rounds % CROSS_ZONE_SYNC_EVERY == 0) {
+      syncOwnEdgesOfOtherZones();
     }
   }
 
   /** Each home of another zone tells of its own edges. */
-  private void askOthers() {
-    membership.up(NodeRole.STORE).stream()
+  private void syncOwnEdgesOfOtherZones() {
+    membership.membersUp(NodeRole.STORE).stream()
         .filter(member -> member.ready && !member.zone.equals(membership.self().zone))
-        .forEach(member -> sync.compareOwn(transport.dial(member.address)));
+        .forEach(member -> sync.requestOwnEdges(transport.connect(member.address)));
   }
 }
--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -24,22 +24,22 @@
 /** All clients of one edge. */
 public final class ClientRegistry implements StreamClient.Listener {
   /** turns; more than this held back under a lapsed lease is given up. */
-  private static final int STALLED_MOST = 20_000;
+  private static final int MAX_STALLED_DELIVERIES = 20_000;
 
   private final AgentContext context;
   private final LeaseClient leaseClient;
   private final AddWinsSet subscriptions;
   private final CommandHandler commandHandler;
   private final PublishForwarder publishForwarder;
-  private final long silentMs;
-  private final Map<String, ClientSession> clients = new HashMap<>();
+  private final long clientTimeoutMs;
+  private final Map<String, ClientSession> sessionByClient = new HashMap<>();
   private final DisconnectedClients disconnectedClients;
   private final SubscriptionManager subscriptionManager;
   private final OrderViolationCounters violations = new OrderViolationCounters();
-  private final ArrayDeque<Runnable> stalled = new ArrayDeque<>();
-  private LongPredicate live = replica -> true;
+  private final ArrayDeque<Runnable> stalledDeliveries = new ArrayDeque<>();
+  private LongPredicate liveReplicas = replica -> true;
   private ConnectionDrainer drainer;
-  private long heldMs;
+  private long leaseHeldMs;
   private StreamClient streamClient;
 
   public ClientRegistry(
@@ -55,21 +55,21 @@
     publishForwarder = new PublishForwarder(context, transport, leaseClient.life());
     disconnectedClients = new DisconnectedClients(subscriptions);
     subscriptionManager = new SubscriptionManager(this, context, subscriptions);
-    silentMs = (long) (pingS * 1_000 * CLIENT_TIMEOUT_PING_INTERVALS);
-    context.every(SESSION_CHECK_INTERVAL_MS, this::look);
+    clientTimeoutMs = (long) (pingS * 1_000 * CLIENT_TIMEOUT_PING_INTERVALS);
+    context.scheduleAtFixedRate(SESSION_CHECK_INTERVAL_MS, this::check);
   }
 
-  public void envoy(final StreamClient chosenStreamClient) {
+  public void setStreamClient(final StreamClient chosenStreamClient) {
     streamClient = chosenStreamClient;
-    subscriptionManager.envoy(chosenStreamClient);
+    subscriptionManager.setStreamClient(chosenStreamClient);
   }
 
   /** Which replicas count as there. */
-  public void live(final LongPredicate chosenLive) {
-    live = chosenLive;
+  public void setLiveReplicas(final LongPredicate chosenLive) {
+    liveReplicas = chosenLive;
   }
 
-  public ClientConnection.Handler greet(final ClientConnection connection) {
+  public ClientConnection.Handler newSession(final ClientConnection connection) {
     return new ClientSession(this, connection, context.nowMs());
   }
 
@@ -77,61 +77,62 @@
     return context.nowMs();
   }
 
-  CommandHandler requests() {
+  CommandHandler commandHandler() {
     return commandHandler;
   }
 
-  SubscriptionManager boarding() {
+  SubscriptionManager subscriptionManager() {
     return subscriptionManager;
   }
 
   /** Breaks of the declared order met here. */
-  public OrderViolationCounters disorders() {
+  public OrderViolationCounters violations() {
     return violations;
   }
 
-  public PublishForwarder shipping() {
+  public PublishForwarder publishForwarder() {
     return publishForwarder;
   }
 
-  List<ClientSession> berths() {
-    return new ArrayList<>(clients.values());
+  List<ClientSession> sessions() {
+    return new ArrayList<>(sessionByClient.values());
   }
 
   /** How many subscribe, from the home, or from here when that does not answer. */
-  void count(final ClientSession session, final String topic) {
+  void requestCount(final ClientSession session, final String topic) {
     final boolean asked =
         streamClient != null
             && streamClient
-                .weft()
-                .tally(
+                .syncClient()
+                .requestCount(
                     topic,
                     count -> {
-                      if (session.connection.open()) {
-                        session.count(topic, count >= 0 ? count : subscriptions.count(topic, live));
+                      if (session.connection.isOpen()) {
+                        session.sendCount(
+                            topic, count >= 0 ? count : subscriptions.count(topic, liveReplicas));
                       }
                     });
     if (!asked) {
-      session.count(topic, subscriptions.count(topic, live));
+      session.sendCount(topic, subscriptions.count(topic, liveReplicas));
     }
   }
 
-  void greeted(final ClientSession session) {
-    final ClientSession older = clients.put(session.client, session);
+  void onHello(final ClientSession session) {
+    final ClientSession older = sessionByClient.put(session.client, session);
     // The newest link owns the client: the older one gets nothing more.
     if (older != null) {
       older.connection.close();
     }
-    disconnectedClients.here(session.client);
+    disconnectedClients.onConnected(session.client);
   }
 
-  void gone(final ClientSession session) {
-    for (final Subscription subscription : new ArrayList<>(session.subs.values())) {
-      subscriptionManager.forget(subscription);
+  void onSessionClosed(final ClientSession session) {
+    for (final Subscription subscription : new ArrayList<>(session.subscriptions.values())) {
+      subscriptionManager.remove(subscription);
     }
-    publishForwarder.gone(session);
-    if (clients.remove(session.client, session)) {
-      disconnectedClients.away(session.client, context.nowMs());
+    publishForwarder.onSessionClosed(session);
+    if (sessionByClient.remove(session.client, session)) {
+      disconnectedClients.onDisconnected(session.client, context.nowMs());
     }
   }
 
@@ -141,47 +142,47 @@
     }
   }
 
-  public void drain(final ConnectionDrainer chosenDrainer) {
+  public void setDrainer(final ConnectionDrainer chosenDrainer) {
     drainer = chosenDrainer;
   }
 
   @Override
-  public void attached() {
-    subscriptionManager.askAgain();
+  public void onAttached() {
+    subscriptionManager.requestAllAgain();
   }
 
   @Override
-  public void taken(
+  public void onReplay(
       final long request,
       final boolean expired,
       final long position,
       final List<StoredMessage> behind,
       final boolean more) {
-    subscriptionManager.taken(request, expired, position, behind, more);
+    subscriptionManager.onReplay(request, expired, position, behind, more);
   }
 
   // --- messages ---
 
   @Override
-  public void message(final StoredMessage message) {
-    whenHeld(() -> subscriptionManager.deliver(message, context.nowMs()));
+  public void onMessage(final StoredMessage message) {
+    deliverUnderLease(() -> subscriptionManager.deliver(message, context.nowMs()));
   }
 
   /** Nothing is delivered under a lapsed lease; what came meanwhile follows in its order. */
-  void whenHeld(final Runnable delivery) {
-    if (stalled.isEmpty() && leaseClient.held()) {
+  void deliverUnderLease(final Runnable delivery) {
+    if (stalledDeliveries.isEmpty() && leaseClient.isHeld()) {
       delivery.run();
     } else {
-      stalled.add(delivery);
-      if (stalled.size() > STALLED_MOST) {
-        letGo();
+      stalledDeliveries.add(delivery);
+      if (stalledDeliveries.size() > MAX_STALLED_DELIVERIES) {
+        closeAllSessions();
       }
     }
   }
 
-  private void letGo() {
-    stalled.clear();
-    berths().forEach(session -> session.connection.close());
+  private void closeAllSessions() {
+    stalledDeliveries.clear();
+    sessions().forEach(session -> session.connection.close());
   }
 
   /**
@@ -189,45 +190,46 @@
    * be.
    */
   @Override
-  public void gapped() {
-    letGo();
+  public void onStreamGap() {
+    closeAllSessions();
   }
 
   /** How often a filtered subscription's cursor is renewed: well before it could expire. */
-  long renewMs(final String topic) {
-    final Configuration.Route route = leaseClient.charter().space(topic);
+  long cursorRenewalMs(final String topic) {
+    final Configuration.Route route = leaseClient.configuration().routeOf(topic);
     return route == null
         ? CURSOR_RENEWAL_INTERVAL_MS
-        : Math.min(CURSOR_RENEWAL_INTERVAL_MS, route.keepMs() / 4);
+        : Math.min(CURSOR_RENEWAL_INTERVAL_MS, route.retentionMs() / 4);
   }
 
   @Override
-  public void leaderIs(final String address) {
-    publishForwarder.leaderIs(address);
+  public void onLeaderChange(final String address) {
+    publishForwarder.onLeaderChange(address);
   }
 
   @Override
-  public void leaderHeard() {
-    publishForwarder.leaderHeard();
+  public void onLeaderReachable() {
+    publishForwarder.onLeaderReachable();
   }
 
-  public void configChanged(final Configuration configuration) {
-    subscriptionManager.charter(configuration);
-    for (final ClientSession session : berths()) {
-      for (final String topic : new ArrayList<>(session.subs.keySet())) {
-        final String denial = CommandHandler.charterDenial(configuration, session.secret, topic);
+  public void onConfigurationChanged(final Configuration configuration) {
+    subscriptionManager.setConfiguration(configuration);
+    for (final ClientSession session : sessions()) {
+      for (final String topic : new ArrayList<>(session.subscriptions.keySet())) {
+        final String denial =
+            CommandHandler.configuredRefusal(configuration, session.secret, topic);
         if (denial != null) {
-          subscriptionManager.drop(session, topic);
-          session.refuse("SUB", topic, "", denial);
+          subscriptionManager.unsubscribe(session, topic);
+          session.sendRefuse("SUB", topic, "", denial);
         }
       }
     }
   }
 
   /** Another edge took a client over: its instance here is cancelled, so the old link goes. */
-  public void setChanged() {
-    for (final ClientSession session : berths()) {
-      for (final Subscription subscription : session.subs.values()) {
+  public void onSubscriptionsMerged() {
+    for (final ClientSession session : sessions()) {
+      for (final Subscription subscription : session.subscriptions.values()) {
         if (subscriptions.instance(subscription.topic, session.client, subscriptions.self()) == 0) {
           session.connection.close();
           break;
@@ -236,33 +238,33 @@
     }
   }
 
-  private void look() {
+  private void check() {
     final long nowMs = context.nowMs();
-    while (!stalled.isEmpty() && leaseClient.held()) {
-      stalled.poll().run();
+    while (!stalledDeliveries.isEmpty() && leaseClient.isHeld()) {
+      stalledDeliveries.poll().run();
     }
-    if (leaseClient.held()) {
-      heldMs = nowMs;
-    } else if (nowMs - heldMs > CLOSE_CLIENTS_AFTER_LEASE_EXPIRY_MS) {
+    if (leaseClient.isHeld()) {
+      leaseHeldMs = nowMs;
+    } else if (nowMs - leaseHeldMs > CLOSE_CLIENTS_AFTER_LEASE_EXPIRY_MS) {
       // A client that only listens would never notice that nothing can come here.
-      letGo();
+      closeAllSessions();
     }
-    if (streamClient.homelessMs() > DETACHED_NOT_READY_MS) {
+    if (streamClient.detachedMs() > DETACHED_NOT_READY_MS) {
       // The same without a home; whoever has only just come may still see one found.
-      berths().stream()
-          .filter(session -> nowMs - session.greetedMs > DETACHED_NOT_READY_MS)
+      sessions().stream()
+          .filter(session -> nowMs - session.helloMs > DETACHED_NOT_READY_MS)
           .forEach(session -> session.connection.close());
     }
-    commandHandler.look(nowMs);
-    publishForwarder.look(nowMs);
-    subscriptionManager.look(nowMs);
-    streamClient.weft().look();
-    for (final ClientSession session : berths()) {
-      if (nowMs - session.heardMs > silentMs) {
+    commandHandler.servePendingHellos(nowMs);
+    publishForwarder.check(nowMs);
+    subscriptionManager.check(nowMs);
+    streamClient.syncClient().expireCounts();
+    for (final ClientSession session : sessions()) {
+      if (nowMs - session.lastReceivedMs > clientTimeoutMs) {
         session.connection.close();
       }
     }
-    SlowReaderLimit.cutSlowest(clients.values());
-    disconnectedClients.look(nowMs);
+    SlowReaderLimit.closeSlowest(sessionByClient.values());
+    disconnectedClients.removeExpired(nowMs);
   }
 }
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -15,35 +15,35 @@
 
 /** One client's link: what it has said, what it subscribes, and how answers are written to it. */
 final class ClientSession implements ClientConnection.Handler {
-  private static final byte[] END = {'\r', '\n'};
+  private static final byte[] LINE_END = {'\r', '\n'};
   final ClientConnection connection;
-  final Map<String, Subscription> subs = new LinkedHashMap<>();
+  final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
 
   /** Looks at each message once more before it is written. */
   final OrderingGuard guard = new OrderingGuard();
 
   /** When this client's messages to a space were last not accepted. */
-  private final Map<String, Long> deniedMs = new HashMap<>(2);
+  private final Map<String, Long> refusedMs = new HashMap<>(2);
 
   private final ClientRegistry clientRegistry;
   private final CommandParser parser = new CommandParser();
   String client = "";
   String secret = "";
-  long heardMs;
-  long greetedMs;
+  long lastReceivedMs;
+  long helloMs;
 
   /** When the newest SUB was read. */
   long subscribedMs;
 
   private long highestNumber = -1;
-  int underWay;
+  int publishesInFlight;
   boolean moved;
 
   ClientSession(
       final ClientRegistry clientRegistry, final ClientConnection connection, final long nowMs) {
     this.clientRegistry = clientRegistry;
     this.connection = connection;
-    heardMs = nowMs;
+    lastReceivedMs = nowMs;
   }
 
   /**
@@ -51,16 +51,16 @@
    * true only of a number's first try. A client brings what it sent on other links right after its
    * greeting, and numbers only rise.
    */
-  boolean firstTry(final long number) {
+  boolean isFirstTry(final long number) {
     final boolean first =
-        number > highestNumber && clientRegistry.nowMs() - greetedMs > RESENT_AFTER_HELLO_MS;
+        number > highestNumber && clientRegistry.nowMs() - helloMs > RESENT_AFTER_HELLO_MS;
     highestNumber = Math.max(highestNumber, number);
     return first;
   }
 
-  void denied(final Configuration.Route route, final long nowMs) {
+  void onRefused(final Configuration.Route route, final long nowMs) {
     if (route != null) {
-      deniedMs.put(route.name(), nowMs);
+      refusedMs.put(route.name(), nowMs);
     }
   }
 
@@ -68,40 +68,41 @@
    * A message of this space was sent, most likely, before its sender heard that one it is to follow
    * was not accepted.
    */
-  boolean bereft(final Configuration.Route route, final long nowMs) {
+  boolean followsRefused(final Configuration.Route route, final long nowMs) {
     return route.after().stream()
         .anyMatch(
             earlier ->
-                nowMs - deniedMs.getOrDefault(earlier, Long.MIN_VALUE / 2) < REFUSAL_ROUND_TRIP_MS);
+                nowMs - refusedMs.getOrDefault(earlier, Long.MIN_VALUE / 2)
+                    < REFUSAL_ROUND_TRIP_MS);
   }
 
-  boolean greeted() {
+  boolean isGreeted() {
     return !client.isEmpty();
   }
 
   @Override
-  public int take(final byte[] bytes, final int length) {
-    heardMs = clientRegistry.nowMs();
+  public int onReceived(final byte[] bytes, final int length) {
+    lastReceivedMs = clientRegistry.nowMs();
     int at = 0;
-    while (at < length && connection.open()) {
+    while (at < length && connection.isOpen()) {
       final int state = parser.wrap(bytes, at, length);
-      if (state == CommandParser.MORE) {
+      if (state == CommandParser.INCOMPLETE) {
         break;
       }
-      if (state == CommandParser.LOST) {
-        lost("BADMSG");
+      if (state == CommandParser.UNRECOVERABLE) {
+        onProtocolError("BADMSG");
         return length;
       }
-      if (state == CommandParser.GOOD) {
-        clientRegistry.requests().take(this, parser);
+      if (state == CommandParser.COMPLETE) {
+        clientRegistry.commandHandler().handle(this, parser);
       } else {
-        refuse(
+        sendRefuse(
             "PUB",
             parser.text(1),
             parser.count() > 3 ? parser.text(2) : "",
-            state == CommandParser.BAD ? "BADMSG" : "TOOBIG");
+            state == CommandParser.INVALID ? "BADMSG" : "TOOBIG");
         if (parser.bodyUnread()) {
-          connection.closeSoon();
+          connection.closeAfterFlush();
           return length;
         }
       }
@@ -110,90 +111,91 @@
     return at;
   }
 
-  private void lost(final String reason) {
-    LogEvent.CLIENT_GARBLED.info(client);
+  private void onProtocolError(final String reason) {
+    LogEvent.CLIENT_PROTOCOL_ERROR.info(client);
     // The word can be told only when it stands there whole.
     if (parser.count() > 0 && !parser.text(0).isEmpty()) {
-      refuse(parser.text(0), "", "", reason);
+      sendRefuse(parser.text(0), "", "", reason);
     }
-    connection.closeSoon();
+    connection.closeAfterFlush();
   }
 
   @Override
-  public void closed() {
-    clientRegistry.gone(this);
+  public void onClosed() {
+    clientRegistry.onSessionClosed(this);
   }
 
-  private static void field(final WriteBuffer out, final String text) {
+  private static void putField(final WriteBuffer out, final String text) {
     out.putAscii(" ");
     out.putAscii(text.isEmpty() ? "-" : text);
   }
 
-  private void done(final WriteBuffer out) {
-    out.put(END, 0, 2);
+  private void endLine(final WriteBuffer out) {
+    out.put(LINE_END, 0, 2);
     // A client that reads slowly is cut; it takes up its cursors when it comes back.
-    if (connection.waiting() > MAX_CLIENT_QUEUE_BYTES) {
+    if (connection.queuedBytes() > MAX_CLIENT_QUEUE_BYTES) {
       LogEvent.CLIENT_SLOW.info(client);
       connection.close();
     }
   }
 
   /** Fields at the end that are empty are left out. */
-  void ok(final String about, final String topic, final String position, final String filter) {
+  void sendOk(final String about, final String topic, final String position, final String filter) {
     final WriteBuffer out = connection.out();
     out.putAscii("OK ");
     out.putAscii(about);
     if (!topic.isEmpty()) {
-      field(out, topic);
+      putField(out, topic);
     }
     if (!position.isEmpty()) {
-      field(out, position);
+      putField(out, position);
     }
     if (!filter.isEmpty()) {
-      field(out, filter);
+      putField(out, filter);
     }
-    done(out);
+    endLine(out);
   }
 
-  void refuse(final String about, final String topic, final String number, final String reason) {
+  void sendRefuse(
+      final String about, final String topic, final String number, final String reason) {
     final WriteBuffer out = connection.out();
     out.putAscii("REFUSE ");
     out.putAscii(about);
-    field(out, topic);
-    field(out, number);
-    field(out, reason);
-    done(out);
+    putField(out, topic);
+    putField(out, number);
+    putField(out, reason);
+    endLine(out);
   }
 
-  void ack(final String topic, final long number) {
+  void sendAck(final String topic, final long number) {
     final WriteBuffer out = connection.out();
     out.putAscii("ACK ");
     out.putAscii(topic);
     out.putAscii(" ");
     out.putNumber(number);
-    done(out);
+    endLine(out);
   }
 
-  void count(final String topic, final int number) {
+  void sendCount(final String topic, final int number) {
     final WriteBuffer out = connection.out();
     out.putAscii("COUNT ");
     out.putAscii(topic);
     out.putAscii(" ");
     out.putNumber(number);
-    done(out);
+    endLine(out);
   }
 
-  void plain(final String text) {
+  void sendLine(final String text) {
     final WriteBuffer out = connection.out();
     out.putAscii(text);
-    done(out);
+    endLine(out);
   }
 
-  void message(final StoredMessage message) {
-    final String breach = guard.breach(message, clientRegistry.nowMs());
+  void sendMessage(final StoredMessage message) {
+    final String breach = guard.violation(message, clientRegistry.nowMs());
     if (breach != null) {
       // Never written out of place: the client's cursor decides what it gets when it comes back.
-      clientRegistry.disorders().broken(message.topic, client, breach);
+      clientRegistry.violations().onViolation(message.topic, client, breach);
       connection.close();
       return;
     }
@@ -205,11 +207,11 @@
     out.putAscii(" ");
     out.putAscii(message.client);
     out.putAscii(" ");
-    out.putNumber(message.number);
+    out.putNumber(message.sequenceNumber);
     out.putAscii(" ");
     out.putNumber(message.body.length);
-    out.put(END, 0, 2);
+    out.put(LINE_END, 0, 2);
     out.put(message.body, 0, message.body.length);
-    done(out);
+    endLine(out);
   }
 }
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -12,15 +12,16 @@
 /** What each word of a client asks for, checked against the configuration in force. */
 final class CommandHandler {
   /** bytes; a cursor of this system is a number and never longer. */
-  private static final int POSITION_CHARS = 18;
+  private static final int MAX_CURSOR_CHARS = 18;
 
-  private final List<PendingHello> waiting = new ArrayList<>();
+  private final List<PendingHello> pendingHellos = new ArrayList<>();
   private final ClientRegistry clientRegistry;
   private final LeaseClient leaseClient;
   private final AddWinsSet subscriptions;
 
   /** A HELLO that this edge can't answer yet. */
-  private record PendingHello(ClientSession session, String client, String secret, long sinceMs) {}
+  private record PendingHello(
+      ClientSession session, String client, String secret, long receivedMs) {}
 
   CommandHandler(
       final ClientRegistry clientRegistry,
@@ -31,11 +32,11 @@
     this.subscriptions = subscriptions;
   }
 
-  void take(final ClientSession session, final CommandParser parser) {
+  void handle(final ClientSession session, final CommandParser parser) {
     if (parser.is("PUB")) {
       publish(session, parser);
     } else if (parser.is("PING")) {
-      session.plain("PONG");
+      session.sendLine("PONG");
     } else if (parser.is("SUB")) {
       subscribe(session, parser.text(1), parser.text(2), parser.text(3));
     } else if (parser.is("HELLO")) {
@@ -43,72 +44,72 @@
     } else if (parser.is("UNSUB")) {
       unsubscribe(session, parser.text(1));
     } else if (parser.is("WHO")) {
-      who(session, parser.text(1));
+      count(session, parser.text(1));
     } else {
-      session.refuse(parser.text(0).isEmpty() ? "-" : parser.text(0), "", "", "BADMSG");
+      session.sendRefuse(parser.text(0).isEmpty() ? "-" : parser.text(0), "", "", "BADMSG");
     }
   }
 
   private void hello(final ClientSession session, final String client, final String secret) {
-    if (client.isEmpty() || session.greeted()) {
-      session.refuse("HELLO", "", "", "BADMSG");
-    } else if (able()) {
+    if (client.isEmpty() || session.isGreeted()) {
+      session.sendRefuse("HELLO", "", "", "BADMSG");
+    } else if (canServe()) {
       greet(session, client, secret);
     } else {
       // Starting, or the lease is being renewed: served as soon as that is done, which takes
       // moments.
-      waiting.add(new PendingHello(session, client, secret, clientRegistry.nowMs()));
+      pendingHellos.add(new PendingHello(session, client, secret, clientRegistry.nowMs()));
     }
   }
 
-  private boolean able() {
-    return leaseClient.held() && subscriptions.self() != 0;
+  private boolean canServe() {
+    return leaseClient.isHeld() && subscriptions.self() != 0;
   }
 
-  void look(final long nowMs) {
-    if (waiting.isEmpty()) {
+  void servePendingHellos(final long nowMs) {
+    if (pendingHellos.isEmpty()) {
       return;
     }
-    final List<PendingHello> asked = new ArrayList<>(waiting);
-    waiting.clear();
+    final List<PendingHello> asked = new ArrayList<>(pendingHellos);
+    pendingHellos.clear();
     for (final PendingHello one : asked) {
-      if (!one.session.connection.open() || one.session.greeted()) {
+      if (!one.session.connection.isOpen() || one.session.isGreeted()) {
         continue;
       }
-      if (able()) {
+      if (canServe()) {
         greet(one.session, one.client, one.secret);
-      } else if (nowMs - one.sinceMs > HELLO_TIMEOUT_MS) {
-        one.session.refuse("HELLO", "", "", "RETRY");
+      } else if (nowMs - one.receivedMs > HELLO_TIMEOUT_MS) {
+        one.session.sendRefuse("HELLO", "", "", "RETRY");
       } else {
-        waiting.add(one);
+        pendingHellos.add(one);
       }
     }
   }
 
   private void greet(final ClientSession session, final String client, final String secret) {
-    if (!secret.isEmpty() && leaseClient.charter().tenantOfKey(secret) == null) {
-      session.refuse("HELLO", "", "", "DENIED");
+    if (!secret.isEmpty() && leaseClient.configuration().tenantOfKey(secret) == null) {
+      session.sendRefuse("HELLO", "", "", "DENIED");
       return;
     }
-    session.greetedMs = clientRegistry.nowMs();
+    session.helloMs = clientRegistry.nowMs();
     session.client = client;
     session.secret = secret;
-    clientRegistry.greeted(session);
-    session.ok("HELLO", "", "", "");
+    clientRegistry.onHello(session);
+    session.sendOk("HELLO", "", "", "");
     clientRegistry.moveIfDraining(session);
   }
 
   /** Why this client may not use the topic right now, or null when it may. */
-  String denial(final ClientSession session, final String topic) {
-    if (!leaseClient.held() || subscriptions.self() == 0) {
+  String refusalReason(final ClientSession session, final String topic) {
+    if (!leaseClient.isHeld() || subscriptions.self() == 0) {
       return "RETRY";
     }
-    return charterDenial(leaseClient.charter(), session.secret, topic);
+    return configuredRefusal(leaseClient.configuration(), session.secret, topic);
   }
 
-  static String charterDenial(
+  static String configuredRefusal(
       final Configuration configuration, final String secret, final String topic) {
-    final Configuration.Route route = configuration.space(topic);
+    final Configuration.Route route = configuration.routeOf(topic);
     // The key comes first: a key that was taken away opens nothing, not even what is public.
     if (!secret.isEmpty() && configuration.tenantOfKey(secret) == null) {
       return "DENIED";
@@ -116,45 +117,46 @@
     if (route == null) {
       return "NOSPACE";
     }
-    return secret.isEmpty() && !route.open() ? "DENIED" : null;
+    return secret.isEmpty() && !route.isPublic() ? "DENIED" : null;
   }
 
   private void subscribe(
       final ClientSession session, final String topic, final String cursor, final String patterns) {
-    if (topic.isEmpty() || !session.greeted()) {
-      session.refuse("SUB", topic, "", "BADMSG");
+    if (topic.isEmpty() || !session.isGreeted()) {
+      session.sendRefuse("SUB", topic, "", "BADMSG");
       return;
     }
-    final String denial = denial(session, topic);
+    final String denial = refusalReason(session, topic);
     if (denial != null) {
-      session.refuse("SUB", topic, "", denial);
+      session.sendRefuse("SUB", topic, "", denial);
       return;
     }
     final Filter filter;
     try {
-      filter = patterns.isEmpty() ? null : Filter.read(patterns);
+      filter = patterns.isEmpty() ? null : Filter.parse(patterns);
     } catch (final FilterException failure) {
       // A filter that is in force stays so.
-      session.refuse("SUB", topic, "", failure.code() == FILTER_TOO_LARGE ? "TOOBIG" : "BADMSG");
+      session.sendRefuse(
+          "SUB", topic, "", failure.code() == FILTER_TOO_LARGE ? "TOOBIG" : "BADMSG");
       return;
     }
-    final Subscription known = session.subs.get(topic);
-    final long position = position(cursor);
+    final Subscription known = session.subscriptions.get(topic);
+    final long position = parseCursor(cursor);
     if (known != null) {
-      clientRegistry.boarding().again(known, filter);
-    } else if (session.subs.size() >= leaseClient.charter().subs()) {
-      session.refuse("SUB", topic, "", "TOOBIG");
+      clientRegistry.subscriptionManager().resubscribe(known, filter);
+    } else if (session.subscriptions.size() >= leaseClient.configuration().maxSubscriptions()) {
+      session.sendRefuse("SUB", topic, "", "TOOBIG");
     } else if (position < -1) {
-      session.refuse("SUB", topic, "", "EXPIRED");
+      session.sendRefuse("SUB", topic, "", "EXPIRED");
     } else {
-      final Configuration.Tenant tenant = leaseClient.charter().tenantOfKey(session.secret);
+      final Configuration.Tenant tenant = leaseClient.configuration().tenantOfKey(session.secret);
       clientRegistry
-          .boarding()
-          .join(
+          .subscriptionManager()
+          .subscribe(
               new Subscription(
                   session,
                   topic,
-                  leaseClient.charter().space(topic),
+                  leaseClient.configuration().routeOf(topic),
                   tenant == null ? "" : tenant.name(),
                   position,
                   filter,
@@ -163,11 +165,11 @@
   }
 
   /** The index a cursor names, -1 for none, -2 for one this system never gave. */
-  private static long position(final String cursor) {
+  private static long parseCursor(final String cursor) {
     if (cursor.isEmpty()) {
       return -1;
     }
-    if (cursor.length() > POSITION_CHARS
+    if (cursor.length() > MAX_CURSOR_CHARS
         || !cursor.chars().allMatch(one -> one >= '0' && one <= '9')) {
       return -2;
     }
@@ -175,45 +177,47 @@
   }
 
   private void unsubscribe(final ClientSession session, final String topic) {
-    if (topic.isEmpty() || !session.greeted()) {
-      session.refuse("UNSUB", topic, "", "BADMSG");
+    if (topic.isEmpty() || !session.isGreeted()) {
+      session.sendRefuse("UNSUB", topic, "", "BADMSG");
       return;
     }
-    clientRegistry.boarding().drop(session, topic);
-    session.ok("UNSUB", topic, "", "");
+    clientRegistry.subscriptionManager().unsubscribe(session, topic);
+    session.sendOk("UNSUB", topic, "", "");
   }
 
-  private void who(final ClientSession session, final String topic) {
-    final String denial = topic.isEmpty() || !session.greeted() ? "BADMSG" : denial(session, topic);
+  private void count(final ClientSession session, final String topic) {
+    final String denial =
+        topic.isEmpty() || !session.isGreeted() ? "BADMSG" : refusalReason(session, topic);
     if (denial != null) {
-      session.refuse("WHO", topic, "", denial);
+      session.sendRefuse("WHO", topic, "", denial);
     } else {
-      clientRegistry.count(session, topic);
+      clientRegistry.requestCount(session, topic);
     }
   }
 
   private void publish(final ClientSession session, final CommandParser parser) {
     final String topic = parser.text(1);
     final long number = parser.number(2);
-    final boolean firstTry = session.firstTry(number);
-    final String denial = topic.isEmpty() || !session.greeted() ? "BADMSG" : denial(session, topic);
+    final boolean firstTry = session.isFirstTry(number);
+    final String denial =
+        topic.isEmpty() || !session.isGreeted() ? "BADMSG" : refusalReason(session, topic);
     if (denial != null) {
-      session.denied(
-          leaseClient.charter() == null ? null : leaseClient.charter().space(topic),
+      session.onRefused(
+          leaseClient.configuration() == null ? null : leaseClient.configuration().routeOf(topic),
           clientRegistry.nowMs());
-      session.refuse(
+      session.sendRefuse(
           "PUB", topic, parser.text(2), denial.equals("RETRY") && !firstTry ? "UNKNOWN" : denial);
     } else {
-      final Configuration.Tenant tenant = leaseClient.charter().tenantOfKey(session.secret);
+      final Configuration.Tenant tenant = leaseClient.configuration().tenantOfKey(session.secret);
       clientRegistry
-          .shipping()
-          .ship(
+          .publishForwarder()
+          .publish(
               session,
               topic,
               number,
               firstTry,
               tenant == null ? "" : tenant.name(),
-              leaseClient.charter().space(topic),
+              leaseClient.configuration().routeOf(topic),
               parser.bodyBytes());
     }
   }
--- a/src/main/java/yewjunction/gateway/CommandParser.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -10,22 +10,22 @@
 
 /** Flyweight over one client message: a head line of words, and for PUB a body. */
 final class CommandParser {
-  static final int MORE = 0;
-  static final int GOOD = 1;
+  static final int INCOMPLETE = 0;
+  static final int COMPLETE = 1;
 
   /** Readable as a message, but not valid: refused, and the stream goes on. */
-  static final int BAD = 2;
+  static final int INVALID = 2;
 
   static final int TOO_BIG = 3;
 
   /** The stream can no longer be read. */
-  static final int LOST = 4;
+  static final int UNRECOVERABLE = 4;
 
-  private static final int MOST_WORDS = 6;
+  private static final int MAX_WORDS = 6;
 
   private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
-  private final int[] starts = new int[MOST_WORDS];
-  private final int[] ends = new int[MOST_WORDS];
+  private final int[] starts = new int[MAX_WORDS];
+  private final int[] ends = new int[MAX_WORDS];
   private int count;
   private int end;
   private int bodyStart;
@@ -39,20 +39,20 @@
     int at = offset;
     while (at < length && buffer.getByte(at) != '\n') {
       if (at - offset > MAX_COMMAND_LINE_BYTES) {
-        return LOST;
+        return UNRECOVERABLE;
       }
       at++;
     }
     if (at >= length) {
-      return MORE;
+      return INCOMPLETE;
     }
     end = at + 1;
     // A line that does not end with CRLF means that the two sides no longer agree where messages
     // begin.
     if (at == offset || buffer.getByte(at - 1) != '\r' || !split(offset, at - 1)) {
-      return LOST;
+      return UNRECOVERABLE;
     }
-    return is("PUB") ? body(length) : GOOD;
+    return is("PUB") ? body(length) : COMPLETE;
   }
 
   private boolean split(final int from, final int to) {
@@ -63,7 +63,7 @@
         return false;
       }
       if (one == ' ') {
-        if (count == MOST_WORDS) {
+        if (count == MAX_WORDS) {
           return false;
         }
         starts[count] = start;
@@ -77,29 +77,29 @@
   private int body(final int length) {
     final long announced = count < 2 ? -1 : number(count - 1);
     if (announced < 0 || announced > MAX_SKIPPED_BODY_BYTES) {
-      return announced > MAX_SKIPPED_BODY_BYTES ? TOO_BIG : LOST;
+      return announced > MAX_SKIPPED_BODY_BYTES ? TOO_BIG : UNRECOVERABLE;
     }
     if (end + announced + 2 > length) {
-      return MORE;
+      return INCOMPLETE;
     }
     bodyStart = end;
     bodyLength = (int) announced;
     end += bodyLength + 2;
     if (buffer.getByte(end - 2) != '\r' || buffer.getByte(end - 1) != '\n') {
-      return LOST;
+      return UNRECOVERABLE;
     }
     if (bodyLength > MAX_BODY_BYTES) {
       return TOO_BIG;
     }
     if (count != 4 || bodyLength < MIN_BODY_BYTES || number(2) < 0) {
-      return BAD;
+      return INVALID;
     }
     for (int at = bodyStart; at < bodyStart + bodyLength; at++) {
       if (buffer.getByte(at) < ' ' || buffer.getByte(at) > '~') {
-        return BAD;
+        return INVALID;
       }
     }
-    return GOOD;
+    return COMPLETE;
   }
 
   /** True when the body that was announced cannot be skipped. */
