--- a/src/main/java/yewjunction/gateway/ConnectionDrainer.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -17,10 +17,10 @@
   private final AgentContext context;
   private final ClientRegistry clientRegistry;
   private final MembershipList membership;
-  private final Runnable done;
+  private final Runnable onFinished;
   private final long startMs;
-  private int turn;
-  private boolean over;
+  private int nextTarget;
+  private boolean finished;
 
   public ConnectionDrainer(
       final AgentContext context,
@@ -30,43 +30,43 @@
     this.context = context;
     this.clientRegistry = clientRegistry;
     this.membership = membership;
-    this.done = done;
+    this.onFinished = done;
     startMs = context.nowMs();
-    turn = context.luck().nextInt(1_000);
+    nextTarget = context.random().nextInt(1_000);
   }
 
   public void start() {
-    LogEvent.DRAIN_STARTED.info(clientRegistry.berths().size() + " links");
-    clientRegistry.drain(this);
+    LogEvent.DRAIN_STARTED.info(clientRegistry.sessions().size() + " links");
+    clientRegistry.setDrainer(this);
     step();
   }
 
   private void step() {
-    if (over) {
+    if (finished) {
       return;
     }
     // Armed first: a step that fails must not be the last one.
-    context.after(DRAIN_MOVE_INTERVAL_MS, this::step);
+    context.schedule(DRAIN_MOVE_INTERVAL_MS, this::step);
     final long sinceMs = context.nowMs() - startMs;
     final List<ClientSession> staying = new ArrayList<>();
-    for (final ClientSession session : clientRegistry.berths()) {
+    for (final ClientSession session : clientRegistry.sessions()) {
       if (!session.moved) {
         staying.add(session);
       }
     }
     // So many a step that all are gone when the span is over; those with nothing under way first.
-    staying.sort((one, other) -> Integer.compare(one.underWay, other.underWay));
+    staying.sort((one, other) -> Integer.compare(one.publishesInFlight, other.publishesInFlight));
     final long stepsLeft = Math.max(1, (DRAIN_MOVE_DURATION_MS - sinceMs) / DRAIN_MOVE_INTERVAL_MS);
     final long chosen = (staying.size() + stepsLeft - 1) / stepsLeft;
     staying.stream().limit(chosen).forEach(this::move);
     // New links keep coming until the platform has seen that this node is not ready: it listens to
     // the end.
     if (sinceMs >= DRAIN_TIMEOUT_MS
-        || clientRegistry.berths().isEmpty()
+        || clientRegistry.sessions().isEmpty()
             && sinceMs >= DRAIN_TIMEOUT_MS - DRAIN_MOVE_DURATION_MS / 2) {
-      LogEvent.DRAIN_DONE.info(clientRegistry.berths().size() + " links left");
-      over = true;
-      done.run();
+      LogEvent.DRAIN_FINISHED.info(clientRegistry.sessions().size() + " links left");
+      finished = true;
+      onFinished.run();
     }
   }
 
@@ -74,19 +74,19 @@
     final Member target = target();
     if (target != null) {
       session.moved = true;
-      session.plain("MOVE " + target.front);
+      session.sendLine("MOVE " + target.clientAddress);
     }
   }
 
   private Member target() {
     final List<Member> near = new ArrayList<>();
     final List<Member> far = new ArrayList<>();
-    for (final Member member : membership.up(NodeRole.EDGE)) {
-      if (member.ready && !member.front.isEmpty()) {
+    for (final Member member : membership.membersUp(NodeRole.EDGE)) {
+      if (member.ready && !member.clientAddress.isEmpty()) {
         (member.zone.equals(membership.self().zone) ? near : far).add(member);
       }
     }
     final List<Member> chosen = near.isEmpty() ? far : near;
-    return chosen.isEmpty() ? null : chosen.get(Math.floorMod(turn++, chosen.size()));
+    return chosen.isEmpty() ? null : chosen.get(Math.floorMod(nextTarget++, chosen.size()));
   }
 }
--- a/src/main/java/yewjunction/gateway/DisconnectedClients.java
+++ b/src/main/java/yewjunction/gateway/DisconnectedClients.java
@@ -12,34 +12,34 @@
  */
 final class DisconnectedClients {
   private final AddWinsSet subscriptions;
-  private final Map<String, Long> awayMs = new HashMap<>();
+  private final Map<String, Long> disconnectedSinceMs = new HashMap<>();
 
   DisconnectedClients(final AddWinsSet subscriptions) {
     this.subscriptions = subscriptions;
   }
 
-  void here(final String client) {
-    awayMs.remove(client);
-    subscriptions.absent(client, false);
+  void onConnected(final String client) {
+    disconnectedSinceMs.remove(client);
+    subscriptions.setDisconnected(client, false);
   }
 
   /** A cut is no unsubscribe: the set keeps the client, marked as away. */
-  void away(final String client, final long nowMs) {
-    subscriptions.absent(client, true);
-    awayMs.put(client, nowMs);
+  void onDisconnected(final String client, final long nowMs) {
+    subscriptions.setDisconnected(client, true);
+    disconnectedSinceMs.put(client, nowMs);
   }
 
-  void look(final long nowMs) {
-    awayMs
+  void removeExpired(final long nowMs) {
+    disconnectedSinceMs
         .entrySet()
         .removeIf(
             one -> {
               final boolean over = nowMs - one.getValue() > DISCONNECTED_CLIENT_RETENTION_MS;
               if (over) {
                 subscriptions
-                    .topicsHere(one.getKey())
+                    .topicsOf(one.getKey())
                     .forEach(topic -> subscriptions.remove(topic, one.getKey()));
-                subscriptions.absent(one.getKey(), false);
+                subscriptions.setDisconnected(one.getKey(), false);
               }
               return over;
             });
--- a/src/main/java/yewjunction/gateway/Filter.java
+++ b/src/main/java/yewjunction/gateway/Filter.java
@@ -22,7 +22,7 @@
    * Sorted, and none the beginning of another: then only the nearest one at or before a key can
    * begin it.
    */
-  private final byte[][] beginnings;
+  private final byte[][] prefixes;
 
   /**
    * As the client wrote it: answers name it, so that a client knows which of its filters one speaks
@@ -33,14 +33,14 @@
   private Filter(final String text, final byte[][] exact, final byte[][] beginnings) {
     this.text = text;
     this.exact = exact;
-    this.beginnings = beginnings;
+    this.prefixes = beginnings;
   }
 
   /**
    * Reads patterns with commas between them: a key, the beginning of a key and '*', or '*' alone
    * for all.
    */
-  static Filter read(final String text) {
+  static Filter parse(final String text) {
     final String[] patterns = text.split(",", -1);
     if (text.length() > MAX_FILTER_BYTES || patterns.length > MAX_FILTER_PATTERNS) {
       throw new FilterException(
@@ -61,7 +61,7 @@
         beginnings.add(CommandParser.ascii(pattern.substring(0, star)));
       }
     }
-    return new Filter(text, sorted(exact), withoutCovered(sorted(beginnings)));
+    return new Filter(text, sorted(exact), withoutCoveredPrefixes(sorted(beginnings)));
   }
 
   private static byte[][] sorted(final List<byte[]> keys) {
@@ -69,18 +69,19 @@
     return keys.toArray(new byte[0][]);
   }
 
-  private static byte[][] withoutCovered(final byte[][] sorted) {
+  private static byte[][] withoutCoveredPrefixes(final byte[][] sorted) {
     final List<byte[]> kept = new ArrayList<>();
     for (final byte[] one : sorted) {
       final byte[] last = kept.isEmpty() ? null : kept.get(kept.size() - 1);
-      if (last == null || !begins(last, one, one.length)) {
+      if (last == null || !startsWith(last, one, one.length)) {
         kept.add(one);
       }
     }
     return kept.toArray(new byte[0][]);
   }
 
-  private static boolean begins(final byte[] beginning, final byte[] body, final int keyLength) {
+  private static boolean startsWith(
+      final byte[] beginning, final byte[] body, final int keyLength) {
     return beginning.length <= keyLength
         && Arrays.equals(beginning, 0, beginning.length, body, 0, beginning.length);
   }
@@ -94,14 +95,16 @@
     return length;
   }
 
-  boolean wants(final byte[] body) {
+  boolean matches(final byte[] body) {
     final int keyLength = keyLength(body);
     final int place = floor(exact, body, keyLength);
-    if (place >= 0 && exact[place].length == keyLength && begins(exact[place], body, keyLength)) {
+    if (place >= 0
+        && exact[place].length == keyLength
+        && startsWith(exact[place], body, keyLength)) {
       return true;
     }
-    final int before = floor(beginnings, body, keyLength);
-    return before >= 0 && begins(beginnings[before], body, keyLength);
+    final int before = floor(prefixes, body, keyLength);
+    return before >= 0 && startsWith(prefixes[before], body, keyLength);
   }
 
   /** The place of the last one that is not behind the key, -1 for none. */
--- a/src/main/java/yewjunction/gateway/OrderViolationCounters.java
+++ b/src/main/java/yewjunction/gateway/OrderViolationCounters.java
@@ -12,13 +12,15 @@
 /** Breaks of the declared order that this edge met since its start, by channel. */
 public final class OrderViolationCounters {
   /** Where all further channels are counted together. */
-  private static final String OTHERS = "*";
+  private static final String OTHER_CHANNELS = "*";
 
   private final Map<String, OrderViolations> byTopic = new TreeMap<>();
 
-  private OrderViolations of(final String topic) {
+  private OrderViolations counterOf(final String topic) {
     final String key =
-        byTopic.containsKey(topic) || byTopic.size() < MAX_VIOLATION_CHANNELS ? topic : OTHERS;
+        byTopic.containsKey(topic) || byTopic.size() < MAX_VIOLATION_CHANNELS
+            ? topic
+            : OTHER_CHANNELS;
     return byTopic.computeIfAbsent(
         key,
         name -> {
@@ -28,15 +30,16 @@
         });
   }
 
-  void broken(final String topic, final String client, final String breach) {
-    of(topic).breaks++;
-    LogEvent.ORDER_BROKEN.warn(topic + " to " + client + ": " + breach);
+  void onViolation(final String topic, final String client, final String breach) {
+    counterOf(topic).violations++;
+    LogEvent.ORDER_VIOLATION.warn(topic + " to " + client + ": " + breach);
   }
 
   /** What the client lacks is no longer kept: nothing can close the gap behind its cursor. */
-  void gap(final String topic, final String client, final long position) {
-    of(topic).gaps++;
-    LogEvent.ORDER_GAP.info(topic + " to " + client + ": nothing kept reaches back to " + position);
+  void onGap(final String topic, final String client, final long position) {
+    counterOf(topic).gaps++;
+    LogEvent.CURSOR_EXPIRED.info(
+        topic + " to " + client + ": nothing kept reaches back to " + position);
   }
 
   public List<OrderViolations> all() {
--- a/src/main/java/yewjunction/gateway/OrderingConstraints.java
+++ b/src/main/java/yewjunction/gateway/OrderingConstraints.java
@@ -9,20 +9,20 @@
 /** Which messages of a link must wait for earlier ones of the channels that theirs follows. */
 final class OrderingConstraints {
   /** Some channel follows another: where none does, nothing here costs anything. */
-  private boolean any;
+  private boolean anyDeclared;
 
-  void charter(final Configuration configuration) {
-    any = configuration.spaces().stream().anyMatch(route -> !route.after().isEmpty());
+  void setConfiguration(final Configuration configuration) {
+    anyDeclared = configuration.routes().stream().anyMatch(route -> !route.after().isEmpty());
   }
 
   /** Whether messages of this subscription may have to wait for those of others. */
-  boolean follows(final Subscription subscription) {
-    return any && subscription.route != null && !subscription.route.after().isEmpty();
+  boolean isConstrained(final Subscription subscription) {
+    return anyDeclared && subscription.route != null && !subscription.route.after().isEmpty();
   }
 
   /** Whether all earlier messages of the channels it follows have been written to this link. */
-  boolean free(final Subscription subscription, final long index) {
-    for (final Subscription other : subscription.session.subs.values()) {
+  boolean mayDeliver(final Subscription subscription, final long index) {
+    for (final Subscription other : subscription.session.subscriptions.values()) {
       if (other != subscription
           && other.route != null
           && subscription.route.follows(other.route)
@@ -37,10 +37,10 @@
    * A client that comes back names its subscriptions one after another: those it follows may not
    * have been read yet.
    */
-  boolean bursting(final Subscription subscription, final long nowMs) {
+  boolean inSubscribeBurst(final Subscription subscription, final long nowMs) {
     final ClientSession session = subscription.session;
-    return subscription.sinceMs - session.greetedMs < RESENT_AFTER_HELLO_MS
+    return subscription.subscribedMs - session.helloMs < RESENT_AFTER_HELLO_MS
         && nowMs - session.subscribedMs < SUBSCRIBE_BURST_GAP_MS
-        && nowMs - subscription.sinceMs < MAX_SUBSCRIBE_BURST_MS;
+        && nowMs - subscription.subscribedMs < MAX_SUBSCRIBE_BURST_MS;
   }
 }
--- a/src/main/java/yewjunction/gateway/OrderingGuard.java
+++ b/src/main/java/yewjunction/gateway/OrderingGuard.java
@@ -14,7 +14,7 @@
  * channels declare, and nothing of how messages get there, so it finds what the mechanisms miss.
  */
 final class OrderingGuard {
-  private final Map<String, WrittenMessages> watches = new HashMap<>();
+  private final Map<String, WrittenMessages> writtenByTopic = new HashMap<>();
 
   /** Messages written to this link: tells what was written before a subscription began. */
   private long writes;
@@ -22,7 +22,7 @@
   /** What was written of one subscription. */
   private static final class WrittenMessages {
     Route route;
-    long openedAt;
+    long firstWrite;
     long lastIndex = -1;
     long lastWrite;
 
@@ -41,28 +41,28 @@
         };
   }
 
-  void opened(final String topic, final Route route) {
+  void onSubscribed(final String topic, final Route route) {
     final WrittenMessages written = new WrittenMessages();
     written.route = route;
-    written.openedAt = writes;
-    watches.put(topic, written);
+    written.firstWrite = writes;
+    writtenByTopic.put(topic, written);
   }
 
-  void ended(final String topic) {
-    watches.remove(topic);
+  void onUnsubscribed(final String topic) {
+    writtenByTopic.remove(topic);
   }
 
   /** Another configuration: what the channel declares from now on. */
-  void declared(final String topic, final Route route) {
-    final WrittenMessages written = watches.get(topic);
+  void onRouteChanged(final String topic, final Route route) {
+    final WrittenMessages written = writtenByTopic.get(topic);
     if (written != null) {
       written.route = route;
     }
   }
 
   /** What writing it would break, or null: then it counts as written. */
-  String breach(final StoredMessage message, final long nowMs) {
-    final WrittenMessages written = watches.get(message.topic);
+  String violation(final StoredMessage message, final long nowMs) {
+    final WrittenMessages written = writtenByTopic.get(message.topic);
     if (written == null) {
       return "not subscribed";
     }
@@ -70,21 +70,23 @@
       return message.index + " after " + written.lastIndex;
     }
     final long[] last = written.senders.get(message.client);
-    if (last != null && nowMs - last[1] < NUMBER_RETENTION_MS && message.number <= last[0]) {
+    if (last != null
+        && nowMs - last[1] < NUMBER_RETENTION_MS
+        && message.sequenceNumber <= last[0]) {
       return message.index
           + ": number "
-          + message.number
+          + message.sequenceNumber
           + " of "
           + message.client
           + " after "
           + last[0];
     }
-    for (final Map.Entry<String, WrittenMessages> other : watches.entrySet()) {
+    for (final Map.Entry<String, WrittenMessages> other : writtenByTopic.entrySet()) {
       final WrittenMessages later = other.getValue();
       // Whoever follows this channel may have written only what is earlier, since this one was
       // subscribed.
       if (later.lastIndex > message.index
-          && later.lastWrite > written.openedAt
+          && later.lastWrite > written.firstWrite
           && later.route != null
           && written.route != null
           && later.route.follows(written.route)) {
@@ -99,7 +101,7 @@
     writes++;
     written.lastIndex = message.index;
     written.lastWrite = writes;
-    written.senders.put(message.client, new long[] {message.number, nowMs});
+    written.senders.put(message.client, new long[] {message.sequenceNumber, nowMs});
     return null;
   }
 }
--- a/src/main/java/yewjunction/gateway/PublishDependencies.java
+++ b/src/main/java/yewjunction/gateway/PublishDependencies.java
@@ -14,55 +14,55 @@
  * are settled: only so do they get a later place in the log.
  */
 final class PublishDependencies {
-  private final Map<PendingPublish, Set<PendingPublish>> held = new LinkedHashMap<>();
+  private final Map<PendingPublish, Set<PendingPublish>> predecessors = new LinkedHashMap<>();
 
   /** True when it waits for some of those under way. */
-  boolean holds(final PendingPublish publish, final Collection<PendingPublish> underWay) {
+  boolean holdIfDependent(final PendingPublish publish, final Collection<PendingPublish> underWay) {
     final Set<PendingPublish> earlier = new HashSet<>();
     for (final PendingPublish other : underWay) {
       if (other.session == publish.session
-          && other.message.number < publish.message.number
+          && other.message.sequenceNumber < publish.message.sequenceNumber
           && publish.route.follows(other.route)) {
         earlier.add(other);
       }
     }
     if (!earlier.isEmpty()) {
-      held.put(publish, earlier);
+      predecessors.put(publish, earlier);
     }
     return !earlier.isEmpty();
   }
 
-  boolean holding(final PendingPublish publish) {
-    return held.containsKey(publish);
+  boolean isHeld(final PendingPublish publish) {
+    return predecessors.containsKey(publish);
   }
 
   void drop(final PendingPublish publish) {
-    held.remove(publish);
+    predecessors.remove(publish);
   }
 
   /** One that waited no longer does: those that have nothing left to wait for. */
-  List<PendingPublish> accepted(final PendingPublish publish) {
+  List<PendingPublish> onAccepted(final PendingPublish publish) {
     final List<PendingPublish> free = new ArrayList<>();
-    held.forEach(
+    predecessors.forEach(
         (later, earlier) -> {
           if (earlier.remove(publish) && earlier.isEmpty()) {
             free.add(later);
           }
         });
-    free.forEach(held::remove);
+    free.forEach(predecessors::remove);
     return free;
   }
 
   /** What they were to follow was not accepted: they must not go either. */
-  List<PendingPublish> bereft(final PendingPublish publish) {
+  List<PendingPublish> dependentsOf(final PendingPublish publish) {
     final List<PendingPublish> bereft = new ArrayList<>();
-    held.forEach(
+    predecessors.forEach(
         (later, earlier) -> {
           if (earlier.contains(publish)) {
             bereft.add(later);
           }
         });
-    bereft.forEach(held::remove);
+    bereft.forEach(predecessors::remove);
     return bereft;
   }
 }
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -36,35 +36,35 @@
   private final PendingRequests<PeerConnection, PendingPublish> pendingOffers;
   private PeerConnection leaderConnection;
   private String leader = "";
-  private long requests;
-  private int offered;
+  private long newestRequestId;
+  private int inFlight;
 
   /** No offers before this: whoever said that it does not lead is not asked at once again. */
-  private long pauseUntilMs;
+  private long backoffUntilMs;
 
-  private long pauseMs = MIN_PUBLISH_BACKOFF_MS;
+  private long backoffMs = MIN_PUBLISH_BACKOFF_MS;
 
   /** Since when messages wait without any answer of a leader; 0 while none do. */
-  private long unansweredMs;
+  private long unansweredSinceMs;
 
-  private boolean dark;
+  private boolean leaderUnreachable;
 
   PublishForwarder(final AgentContext context, final PeerTransport transport, final long life) {
     this.context = context;
     this.transport = transport;
     pendingOffers = new PendingRequests<>(life);
-    transport.on(AdmitResponse.class, this::verdict);
+    transport.onMessage(AdmitResponse.class, this::onAdmitResponse);
     transport.onClose(
         connection -> {
           if (connection == leaderConnection) {
             leaderConnection = null;
-            takeBack();
-            pause();
+            requeueInFlight();
+            backOff();
           }
         });
   }
 
-  void ship(
+  void publish(
       final ClientSession session,
       final String topic,
       final long number,
@@ -75,50 +75,50 @@
     final StoredMessage message = new StoredMessage();
     message.topic = topic;
     message.client = session.client;
-    message.number = number;
+    message.sequenceNumber = number;
     message.body = body;
     message.tenant(tenant);
     final PendingPublish publish =
-        new PendingPublish(++requests, session, message, tenant, context.nowMs(), route);
-    publish.sent = !firstTry;
+        new PendingPublish(++newestRequestId, session, message, tenant, context.nowMs(), route);
+    publish.maybeSent = !firstTry;
     // No prospect: said at once, and the client may try where there is more.
     final boolean follows = !route.after().isEmpty();
-    final boolean bereft = follows && session.bereft(route, publish.startMs);
-    publish.revoked = bereft && publish.sent;
-    if (dark
-        || bereft && !publish.sent
-        || !(follows && !bereft && dependencies.holds(publish, publishes.values()))
+    final boolean bereft = follows && session.followsRefused(route, publish.receivedMs);
+    publish.revoked = bereft && publish.maybeSent;
+    if (leaderUnreachable
+        || bereft && !publish.maybeSent
+        || !(follows && !bereft && dependencies.holdIfDependent(publish, publishes.values()))
             && !publishQueue.add(publish)) {
       giveUp(publish);
       return;
     }
-    if (unansweredMs == 0) {
-      unansweredMs = publish.startMs;
+    if (unansweredSinceMs == 0) {
+      unansweredSinceMs = publish.receivedMs;
     }
-    session.underWay++;
-    publishes.put(publish.request, publish);
-    offer();
+    session.publishesInFlight++;
+    publishes.put(publish.id, publish);
+    sendQueued();
   }
 
   /** Tenants in turn, a message each, up to the window; within a tenant in the order of arrival. */
-  private void offer() {
+  private void sendQueued() {
     final long nowMs = context.nowMs();
-    if (leader.isEmpty() || nowMs < pauseUntilMs) {
+    if (leader.isEmpty() || nowMs < backoffUntilMs) {
       return;
     }
-    while (offered < MAX_PUBLISHES_IN_FLIGHT && !publishQueue.isEmpty()) {
-      if (leaderConnection == null || !leaderConnection.open()) {
-        leaderConnection = transport.dial(leader);
+    while (inFlight < MAX_PUBLISHES_IN_FLIGHT && !publishQueue.isEmpty()) {
+      if (leaderConnection == null || !leaderConnection.isOpen()) {
+        leaderConnection = transport.connect(leader);
       }
       final PendingPublish publish = publishQueue.next();
       final AdmitRequest request = new AdmitRequest();
-      request.request = publish.offer(pendingOffers, leaderConnection);
+      request.requestId = publish.onSent(pendingOffers, leaderConnection);
       request.message = publish.message;
       request.revoked = publish.revoked ? true : null;
-      offered++;
+      inFlight++;
       if (!leaderConnection.send(request)) {
-        takeBack();
-        pause();
+        requeueInFlight();
+        backOff();
         return;
       }
     }
@@ -128,15 +128,15 @@
    * What was offered and not answered goes back to its place: the same numbers again, which a
    * leader knows how to take.
    */
-  private void takeBack() {
-    offered = 0;
+  private void requeueInFlight() {
+    inFlight = 0;
     publishQueue.clear();
     publishes.values().stream()
-        .filter(publish -> !dependencies.holding(publish))
+        .filter(publish -> !dependencies.isHeld(publish))
         .forEach(
             publish -> {
-              publish.offered = false;
-              publishQueue.put(publish);
+              publish.inFlight = false;
+              publishQueue.requeue(publish);
             });
   }
 
@@ -144,73 +144,74 @@
    * A growing pause with some luck in it, so that edges do not come back all together to a vault in
    * trouble.
    */
-  private void pause() {
-    pauseUntilMs = context.nowMs() + pauseMs + context.luck().nextInt((int) pauseMs);
-    pauseMs = Math.min(MAX_PUBLISH_BACKOFF_MS, 2 * pauseMs);
-    context.after(pauseUntilMs - context.nowMs(), this::offer);
+  private void backOff() {
+    backoffUntilMs = context.nowMs() + backoffMs + context.random().nextInt((int) backoffMs);
+    backoffMs = Math.min(MAX_PUBLISH_BACKOFF_MS, 2 * backoffMs);
+    context.schedule(backoffUntilMs - context.nowMs(), this::sendQueued);
   }
 
-  void leaderIs(final String address) {
+  void onLeaderChange(final String address) {
     leader = address;
     leaderConnection = null;
-    pauseUntilMs = 0;
-    pauseMs = MIN_PUBLISH_BACKOFF_MS;
-    takeBack();
-    inTouch();
-    offer();
+    backoffUntilMs = 0;
+    backoffMs = MIN_PUBLISH_BACKOFF_MS;
+    requeueInFlight();
+    markLeaderReachable();
+    sendQueued();
   }
 
   /** The home hears a leader: worth a try, also where none answered here. */
-  void leaderHeard() {
-    if (dark) {
-      inTouch();
-      offer();
+  void onLeaderReachable() {
+    if (leaderUnreachable) {
+      markLeaderReachable();
+      sendQueued();
     }
   }
 
-  private void inTouch() {
-    unansweredMs = 0;
-    if (dark) {
-      dark = false;
-      LogEvent.SITE_BACK.info("folding in " + publishQueue.size() + " messages");
+  private void markLeaderReachable() {
+    unansweredSinceMs = 0;
+    if (leaderUnreachable) {
+      leaderUnreachable = false;
+      LogEvent.LEADER_REACHABLE.info("folding in " + publishQueue.size() + " messages");
     }
   }
 
-  private void verdict(final PeerConnection connection, final AdmitResponse response) {
-    final PendingPublish publish = pendingOffers.answered(response.request, connection);
+  private void onAdmitResponse(final PeerConnection connection, final AdmitResponse response) {
+    final PendingPublish publish = pendingOffers.complete(response.requestId, connection);
     // Bad news on an earlier offer binds nobody once another leader, or the same one anew, has been
     // asked.
     if (publish == null
-        || response.what != AdmissionMessages.ACCEPTED && !publish.newestOffer(response.request)) {
+        || response.outcome != AdmissionMessages.ACCEPTED
+            && !publish.isNewestRequest(response.requestId)) {
       return;
     }
-    if (response.what == AdmissionMessages.ELSEWHERE) {
+    if (response.outcome == AdmissionMessages.NOT_LEADER) {
       // Not leading, or not yet: the first word says it all.
-      if (connection == leaderConnection && offered > 0) {
-        takeBack();
-        pause();
+      if (connection == leaderConnection && inFlight > 0) {
+        requeueInFlight();
+        backOff();
       }
       return;
     }
-    publishes.remove(publish.request);
-    settled(publish);
-    pauseMs = MIN_PUBLISH_BACKOFF_MS;
-    inTouch();
-    if (response.what == AdmissionMessages.ACCEPTED) {
-      publish.session.ack(publish.message.topic, publish.message.number);
-      dependencies.accepted(publish).forEach(publishQueue::put);
+    publishes.remove(publish.id);
+    onSettled(publish);
+    backoffMs = MIN_PUBLISH_BACKOFF_MS;
+    markLeaderReachable();
+    if (response.outcome == AdmissionMessages.ACCEPTED) {
+      publish.session.sendAck(publish.message.topic, publish.message.sequenceNumber);
+      dependencies.onAccepted(publish).forEach(publishQueue::requeue);
     } else {
       refuse(publish, "RETRY");
     }
-    offer();
+    sendQueued();
   }
 
-  private void settled(final PendingPublish publish) {
-    publish.offers.forEach(pendingOffers::drop);
-    publish.session.underWay--;
+  private void onSettled(final PendingPublish publish) {
+    publish.requestIds.forEach(pendingOffers::cancel);
+    publish.session.publishesInFlight--;
     dependencies.drop(publish);
-    if (publish.offered) {
-      offered--;
+    if (publish.inFlight) {
+      inFlight--;
     } else {
       publishQueue.remove(publish);
     }
@@ -218,70 +219,72 @@
 
   /** Not accepted here, as far as is known: RETRY promises that it never left this edge. */
   private void giveUp(final PendingPublish publish) {
-    refuse(publish, publish.sent ? "UNKNOWN" : "RETRY");
+    refuse(publish, publish.maybeSent ? "UNKNOWN" : "RETRY");
   }
 
   private void refuse(final PendingPublish publish, final String reason) {
-    publish.session.denied(publish.route, context.nowMs());
+    publish.session.onRefused(publish.route, context.nowMs());
     // What was to follow it must not get a place in the log before it.
-    for (final PendingPublish later : dependencies.bereft(publish)) {
-      if (later.sent) {
+    for (final PendingPublish later : dependencies.dependentsOf(publish)) {
+      if (later.maybeSent) {
         // Another edge may have sent it on: the leader says what became of it, and that nothing
         // more will.
         later.revoked = true;
-        publishQueue.put(later);
+        publishQueue.requeue(later);
       } else {
-        publishes.remove(later.request);
-        settled(later);
+        publishes.remove(later.id);
+        onSettled(later);
         giveUp(later);
       }
     }
-    publish.session.refuse(
-        "PUB", publish.message.topic, String.valueOf(publish.message.number), reason);
+    publish.session.sendRefuse(
+        "PUB", publish.message.topic, String.valueOf(publish.message.sequenceNumber), reason);
   }
 
-  void look(final long nowMs) {
+  void check(final long nowMs) {
     for (final PendingPublish publish : new ArrayList<>(publishes.values())) {
-      final long heldMs = nowMs - publish.startMs;
+      final long heldMs = nowMs - publish.receivedMs;
       // What never left is promised away early; of the rest nothing is known here.
       if (heldMs
           > publish.timeoutMs
-              * (publish.sent ? SENT_PUBLISH_DEADLINE_SHARE : UNSENT_PUBLISH_DEADLINE_SHARE)) {
-        if (publishes.remove(publish.request) != null) {
-          settled(publish);
+              * (publish.maybeSent ? SENT_PUBLISH_DEADLINE_SHARE : UNSENT_PUBLISH_DEADLINE_SHARE)) {
+        if (publishes.remove(publish.id) != null) {
+          onSettled(publish);
           giveUp(publish);
         }
       }
     }
-    if (!dark && unansweredMs > 0 && nowMs - unansweredMs > LEADER_UNREACHABLE_AFTER_MS) {
-      dark = true;
-      LogEvent.SITE_DARK.warn("no leader answers, " + publishes.size() + " messages wait");
+    if (!leaderUnreachable
+        && unansweredSinceMs > 0
+        && nowMs - unansweredSinceMs > LEADER_UNREACHABLE_AFTER_MS) {
+      leaderUnreachable = true;
+      LogEvent.LEADER_UNREACHABLE.warn("no leader answers, " + publishes.size() + " messages wait");
     }
-    offer();
+    sendQueued();
   }
 
   /** Messages that wait for a leader's answer. */
-  public int depth() {
+  public int waitingCount() {
     return publishes.size();
   }
 
   /** No leader answers: new messages are denied at once. */
-  public boolean dark() {
-    return dark;
+  public boolean isLeaderUnreachable() {
+    return leaderUnreachable;
   }
 
   /**
    * A link is gone: its messages are not sent again from here, since the client will do so
    * elsewhere.
    */
-  void gone(final ClientSession session) {
+  void onSessionClosed(final ClientSession session) {
     publishes.values().stream()
         .filter(publish -> publish.session == session)
         .toList()
         .forEach(
             publish -> {
-              publishes.remove(publish.request);
-              settled(publish);
+              publishes.remove(publish.id);
+              onSettled(publish);
             });
   }
 }
--- a/src/main/java/yewjunction/gateway/PublishQueue.java
+++ b/src/main/java/yewjunction/gateway/PublishQueue.java
@@ -18,34 +18,34 @@
  * and lanes take turns.
  */
 final class PublishQueue {
-  private final Map<String, ArrayDeque<PendingPublish>> lanes = new LinkedHashMap<>();
+  private final Map<String, ArrayDeque<PendingPublish>> queueByTenant = new LinkedHashMap<>();
   private int size;
   private long bytes;
 
   /** One message of a client, until it has its final answer. */
   static final class PendingPublish {
-    final long request;
+    final long id;
     final ClientSession session;
     final StoredMessage message;
     final String tenant;
-    final long startMs;
+    final long receivedMs;
     final Route route;
     final long timeoutMs;
 
     /** On its way to a leader right now. */
-    boolean offered;
+    boolean inFlight;
 
     /**
      * Each offer is a question of its own: only the newest one's denial binds, for another leader
      * may have been asked since.
      */
-    final List<Long> offers = new ArrayList<>(1);
+    final List<Long> requestIds = new ArrayList<>(1);
 
     /**
      * Left this edge, or may have left another, at least once: then only the leader may promise
      * that it was not accepted.
      */
-    boolean sent;
+    boolean maybeSent;
 
     /** It must not be accepted any more, and only a leader may promise that. */
     boolean revoked;
@@ -57,28 +57,28 @@
         final String tenant,
         final long startMs,
         final Route route) {
-      this.request = request;
+      this.id = request;
       this.session = session;
       this.message = message;
       this.tenant = tenant;
-      this.startMs = startMs;
+      this.receivedMs = startMs;
       this.route = route;
       timeoutMs = route.timeoutMs();
     }
 
     /** Goes to a leader; the number that its verdict is to repeat. */
-    long offer(
+    long onSent(
         final PendingRequests<PeerConnection, PendingPublish> pendingRequests,
         final PeerConnection connection) {
-      offered = true;
-      sent = true;
-      final long number = pendingRequests.ask(connection, this);
-      offers.add(number);
+      inFlight = true;
+      maybeSent = true;
+      final long number = pendingRequests.add(connection, this);
+      requestIds.add(number);
       return number;
     }
 
-    boolean newestOffer(final long offer) {
-      return !offers.isEmpty() && offers.get(offers.size() - 1) == offer;
+    boolean isNewestRequest(final long offer) {
+      return !requestIds.isEmpty() && requestIds.get(requestIds.size() - 1) == offer;
     }
   }
 
@@ -87,13 +87,13 @@
     if (size >= MAX_QUEUED_PUBLISHES || bytes >= MAX_QUEUED_PUBLISH_BYTES) {
       return false;
     }
-    put(publish);
+    requeue(publish);
     return true;
   }
 
   /** One that had its place already. */
-  void put(final PendingPublish publish) {
-    lanes.computeIfAbsent(publish.tenant, key -> new ArrayDeque<>()).add(publish);
+  void requeue(final PendingPublish publish) {
+    queueByTenant.computeIfAbsent(publish.tenant, key -> new ArrayDeque<>()).add(publish);
     size++;
     bytes += publish.message.body.length;
   }
@@ -102,33 +102,34 @@
    * The next one of the tenant whose turn it is; the tenant then waits until all others had theirs.
    */
   PendingPublish next() {
-    final Map.Entry<String, ArrayDeque<PendingPublish>> first = lanes.entrySet().iterator().next();
-    final ArrayDeque<PendingPublish> lane = lanes.remove(first.getKey());
+    final Map.Entry<String, ArrayDeque<PendingPublish>> first =
+        queueByTenant.entrySet().iterator().next();
+    final ArrayDeque<PendingPublish> lane = queueByTenant.remove(first.getKey());
     final PendingPublish publish = lane.poll();
     if (!lane.isEmpty()) {
-      lanes.put(first.getKey(), lane);
+      queueByTenant.put(first.getKey(), lane);
     }
-    left(publish);
+    onRemoved(publish);
     return publish;
   }
 
   void remove(final PendingPublish publish) {
-    final ArrayDeque<PendingPublish> lane = lanes.get(publish.tenant);
+    final ArrayDeque<PendingPublish> lane = queueByTenant.get(publish.tenant);
     if (lane != null && lane.remove(publish)) {
-      left(publish);
+      onRemoved(publish);
       if (lane.isEmpty()) {
-        lanes.remove(publish.tenant);
+        queueByTenant.remove(publish.tenant);
       }
     }
   }
 
-  private void left(final PendingPublish publish) {
+  private void onRemoved(final PendingPublish publish) {
     size--;
     bytes -= publish.message.body.length;
   }
 
   void clear() {
-    lanes.clear();
+    queueByTenant.clear();
     size = 0;
     bytes = 0;
   }
--- a/src/main/java/yewjunction/gateway/ReplayScheduler.java
+++ b/src/main/java/yewjunction/gateway/ReplayScheduler.java
@@ -23,17 +23,17 @@
  */
 final class ReplayScheduler {
   private final AgentContext context;
-  private final Consumer<Subscription> asker;
-  private final Map<String, TenantReplays> turns = new LinkedHashMap<>();
+  private final Consumer<Subscription> fetcher;
+  private final Map<String, TenantReplays> replaysByTenant = new LinkedHashMap<>();
   private final OrderingConstraints constraints;
-  private boolean stepping;
+  private boolean turnScheduled;
   private int written;
-  private boolean held;
+  private boolean heldByOrder;
 
   /** One tenant's subscriptions that catch up, and what of its last turn it may still use. */
   private static final class TenantReplays {
-    final ArrayDeque<Subscription> subs = new ArrayDeque<>();
-    int bytes;
+    final ArrayDeque<Subscription> subscriptions = new ArrayDeque<>();
+    int remainingBytes;
   }
 
   /** Asker: fetches the next piece of a subscription's older messages. */
@@ -43,7 +43,7 @@
       final Consumer<Subscription> asker) {
     this.context = context;
     this.constraints = constraints;
-    this.asker = asker;
+    this.fetcher = asker;
   }
 
   /** What one subscription may write at once: a short replay needs no turns. */
@@ -61,20 +61,20 @@
 
   /** The subscription has something to write, or a next piece to ask for. */
   void add(final Subscription subscription) {
-    subscription.catching = true;
+    subscription.catchingUp = true;
     final TenantReplays replays =
-        turns.computeIfAbsent(subscription.tenant, key -> new TenantReplays());
-    if (!replays.subs.contains(subscription)) {
-      replays.subs.add(subscription);
+        replaysByTenant.computeIfAbsent(subscription.tenant, key -> new TenantReplays());
+    if (!replays.subscriptions.contains(subscription)) {
+      replays.subscriptions.add(subscription);
     }
-    if (!stepping) {
-      stepping = true;
-      context.post(this::step);
+    if (!turnScheduled) {
+      turnScheduled = true;
+      context.execute(this::runTurn);
     }
   }
 
   /** A new message for a subscription that still catches up waits behind the older ones. */
-  void hold(final Subscription subscription, final StoredMessage message) {
+  void holdLive(final Subscription subscription, final StoredMessage message) {
     subscription.live.add(message);
     if (subscription.live.size() > REPLAY_MAX_LIVE_MESSAGES) {
       // It takes up its cursors again, which asks for pieces in place of holding them here.
@@ -82,33 +82,36 @@
     }
   }
 
-  private void step() {
+  private void runTurn() {
     final long nowMs = context.nowMs();
     written = 0;
-    held = false;
-    for (final Iterator<TenantReplays> each = turns.values().iterator(); each.hasNext(); ) {
+    heldByOrder = false;
+    for (final Iterator<TenantReplays> each = replaysByTenant.values().iterator();
+        each.hasNext(); ) {
       final TenantReplays replays = each.next();
-      replays.bytes += REPLAY_QUANTUM_BYTES;
-      for (int left = replays.subs.size(); left > 0 && replays.bytes > 0; left--) {
-        final Subscription subscription = replays.subs.poll();
-        if (write(subscription, replays, nowMs)) {
-          replays.subs.add(subscription);
+      replays.remainingBytes += REPLAY_QUANTUM_BYTES;
+      for (int left = replays.subscriptions.size();
+          left > 0 && replays.remainingBytes > 0;
+          left--) {
+        final Subscription subscription = replays.subscriptions.poll();
+        if (writeSome(subscription, replays, nowMs)) {
+          replays.subscriptions.add(subscription);
         }
       }
-      replays.bytes = Math.min(replays.bytes, 0);
-      if (replays.subs.isEmpty()) {
+      replays.remainingBytes = Math.min(replays.remainingBytes, 0);
+      if (replays.subscriptions.isEmpty()) {
         each.remove();
       }
     }
-    stepping = !turns.isEmpty();
-    if (stepping) {
+    turnScheduled = !replaysByTenant.isEmpty();
+    if (turnScheduled) {
       // Between two turns the agent serves what came meanwhile; when all wait for slow readers it
       // looks seldom.
-      context.after(
+      context.schedule(
           written > 0
               ? REPLAY_TURN_INTERVAL_MS
-              : held ? ORDER_CHECK_INTERVAL_MS : SESSION_CHECK_INTERVAL_MS,
-          this::step);
+              : heldByOrder ? ORDER_CHECK_INTERVAL_MS : SESSION_CHECK_INTERVAL_MS,
+          this::runTurn);
     }
   }
 
@@ -116,18 +119,18 @@
    * The channel follows others: whether earlier messages of those are still to be written, or may
    * be named yet.
    */
-  private boolean waits(
+  private boolean mustWait(
       final Subscription subscription, final StoredMessage message, final long nowMs) {
     final boolean waits =
-        constraints.bursting(subscription, nowMs)
-            || message != null && !constraints.free(subscription, message.index);
+        constraints.inSubscribeBurst(subscription, nowMs)
+            || message != null && !constraints.mayDeliver(subscription, message.index);
     if (!waits) {
-      subscription.heldMs = 0;
+      subscription.heldSinceMs = 0;
       return false;
     }
-    held = true;
-    subscription.heldMs = subscription.heldMs == 0 ? nowMs : subscription.heldMs;
-    if (nowMs - subscription.heldMs > MAX_ORDER_WAIT_MS) {
+    heldByOrder = true;
+    subscription.heldSinceMs = subscription.heldSinceMs == 0 ? nowMs : subscription.heldSinceMs;
+    if (nowMs - subscription.heldSinceMs > MAX_ORDER_WAIT_MS) {
       // It would wait without end: taken up anew by the cursors.
       subscription.session.connection.close();
     }
@@ -135,37 +138,37 @@
   }
 
   /** True while the subscription still has something to write. */
-  private boolean write(
+  private boolean writeSome(
       final Subscription subscription, final TenantReplays replays, final long nowMs) {
-    if (!subscription.session.connection.open()
-        || subscription.session.subs.get(subscription.topic) != subscription) {
+    if (!subscription.session.connection.isOpen()
+        || subscription.session.subscriptions.get(subscription.topic) != subscription) {
       return false;
     }
-    while (replays.bytes > 0 && subscription.session.connection.open()) {
+    while (replays.remainingBytes > 0 && subscription.session.connection.isOpen()) {
       // A client that reads slowly is not written to ahead: its own replay waits for it, and only
       // its own.
-      if (subscription.session.connection.waiting() > REPLAY_MAX_UNREAD_BYTES) {
+      if (subscription.session.connection.queuedBytes() > REPLAY_MAX_UNREAD_BYTES) {
         return true;
       }
-      if (subscription.replay.isEmpty() && subscription.replayTo > 0) {
-        if (!subscription.asked) {
-          subscription.asked = true;
-          asker.accept(subscription);
+      if (subscription.replay.isEmpty() && subscription.replayThrough > 0) {
+        if (!subscription.fetching) {
+          subscription.fetching = true;
+          fetcher.accept(subscription);
         }
         return false;
       }
       final ArrayDeque<StoredMessage> queue =
           subscription.replay.isEmpty() ? subscription.live : subscription.replay;
       final StoredMessage message = queue.peek();
-      if (constraints.follows(subscription) && waits(subscription, message, nowMs)) {
+      if (constraints.isConstrained(subscription) && mustWait(subscription, message, nowMs)) {
         return true;
       }
       if (message == null) {
-        subscription.catching = false;
+        subscription.catchingUp = false;
         return false;
       }
       queue.poll();
-      replays.bytes -= size(message);
+      replays.remainingBytes -= size(message);
       written++;
       subscription.deliver(message, nowMs);
     }
--- a/src/main/java/yewjunction/gateway/SlowReaderLimit.java
+++ b/src/main/java/yewjunction/gateway/SlowReaderLimit.java
@@ -15,19 +15,20 @@
    * Readers that stall in numbers would fill the memory together: those that are furthest behind
    * are cut.
    */
-  static void cutSlowest(final Collection<ClientSession> berths) {
+  static void closeSlowest(final Collection<ClientSession> berths) {
     final List<ClientSession> slow = new ArrayList<>();
     long waiting = 0;
     for (final ClientSession session : berths) {
-      if (session.connection.waiting() > 0) {
+      if (session.connection.queuedBytes() > 0) {
         slow.add(session);
-        waiting += session.connection.waiting();
+        waiting += session.connection.queuedBytes();
       }
     }
     slow.sort(
-        (one, other) -> Integer.compare(other.connection.waiting(), one.connection.waiting()));
+        (one, other) ->
+            Integer.compare(other.connection.queuedBytes(), one.connection.queuedBytes()));
     for (int place = 0; waiting > MAX_TOTAL_CLIENT_QUEUE_BYTES; place++) {
-      waiting -= slow.get(place).connection.waiting();
+      waiting -= slow.get(place).connection.queuedBytes();
       LogEvent.CLIENT_SLOW.info(slow.get(place).client);
       slow.get(place).connection.close();
     }
--- a/src/main/java/yewjunction/gateway/Subscription.java
+++ b/src/main/java/yewjunction/gateway/Subscription.java
@@ -15,7 +15,7 @@
   /** What the client gave, -1 for none. */
   final long position;
 
-  final long sinceMs;
+  final long subscribedMs;
 
   /** What its channel declares, by the configuration in force. */
   Route route;
@@ -23,7 +23,7 @@
   long instance;
 
   /** Messages up to here were judged: delivered, or not wanted. */
-  long after;
+  long judgedIndex;
 
   boolean open;
 
@@ -31,12 +31,12 @@
   private Filter filter;
 
   /** Changes asked for while the subscription was still joining: each is owed an answer. */
-  private int changesOwed;
+  private int pendingFilterChanges;
 
   /** The newest cursor that the client holds, and since when. */
-  private long told;
+  private long cursor;
 
-  private long toldMs;
+  private long cursorSentMs;
 
   /**
    * Older messages on their way: those that came, those that come meanwhile and wait, and whether
@@ -45,15 +45,15 @@
   final ArrayDeque<StoredMessage> replay = new ArrayDeque<>();
 
   final ArrayDeque<StoredMessage> live = new ArrayDeque<>();
-  boolean catching;
+  boolean catchingUp;
 
   /** Where the older messages end that are still to be asked for; 0 when none are. */
-  long replayTo;
+  long replayThrough;
 
-  boolean asked;
+  boolean fetching;
 
   /** Since when its next message waits for an earlier one of another channel; 0 while none does. */
-  long heldMs;
+  long heldSinceMs;
 
   Subscription(
       final ClientSession session,
@@ -69,7 +69,7 @@
     this.tenant = tenant;
     this.position = position;
     this.filter = filter;
-    this.sinceMs = sinceMs;
+    this.subscribedMs = sinceMs;
   }
 
   /** No message before this index is still to be written here. */
@@ -80,53 +80,55 @@
     if (!replay.isEmpty()) {
       return replay.peek().index;
     }
-    return replayTo > 0 ? after + 1 : live.isEmpty() ? Long.MAX_VALUE : live.peek().index;
+    return replayThrough > 0
+        ? judgedIndex + 1
+        : live.isEmpty() ? Long.MAX_VALUE : live.peek().index;
   }
 
-  boolean filtered() {
+  boolean hasFilter() {
     return filter != null;
   }
 
   /** The answer to SUB: from here on what is behind its position is delivered. */
   void open(final long startPosition, final long nowMs) {
     open = true;
-    after = startPosition;
-    answer(nowMs);
-    for (; changesOwed > 0; changesOwed--) {
-      answer(nowMs);
+    judgedIndex = startPosition;
+    sendOk(nowMs);
+    for (; pendingFilterChanges > 0; pendingFilterChanges--) {
+      sendOk(nowMs);
     }
   }
 
-  private void answer(final long nowMs) {
-    told = after;
-    toldMs = nowMs;
-    session.ok("SUB", topic, String.valueOf(after), filter == null ? "" : filter.text);
+  private void sendOk(final long nowMs) {
+    cursor = judgedIndex;
+    cursorSentMs = nowMs;
+    session.sendOk("SUB", topic, String.valueOf(judgedIndex), filter == null ? "" : filter.text);
   }
 
   /**
    * Asked once more on the same link: a filter replaces the one in force, from the named position
    * on.
    */
-  void again(final Filter newFilter, final long nowMs) {
+  void resubscribe(final Filter newFilter, final long nowMs) {
     if (newFilter != null) {
       filter = newFilter;
     }
     if (open) {
-      answer(nowMs);
+      sendOk(nowMs);
     } else if (newFilter != null) {
-      changesOwed++;
+      pendingFilterChanges++;
     }
   }
 
   /** Each message is judged once, in its order, by the filter in force at that moment. */
   void deliver(final StoredMessage message, final long nowMs) {
     // Invariant of the stream: each index once and in order, whichever way it came.
-    if (open && message.index > after) {
-      after = message.index;
-      if (filter == null || filter.wants(message.body)) {
-        told = after;
-        toldMs = nowMs;
-        session.message(message);
+    if (open && message.index > judgedIndex) {
+      judgedIndex = message.index;
+      if (filter == null || filter.matches(message.body)) {
+        cursor = judgedIndex;
+        cursorSentMs = nowMs;
+        session.sendMessage(message);
       }
     }
   }
@@ -135,9 +137,9 @@
    * A filter that lets nothing through would leave the client a cursor that expires though it lacks
    * nothing.
    */
-  void renew(final long nowMs, final long paceMs) {
-    if (open && filter != null && after > told && nowMs - toldMs > paceMs) {
-      answer(nowMs);
+  void renewCursor(final long nowMs, final long paceMs) {
+    if (open && filter != null && judgedIndex > cursor && nowMs - cursorSentMs > paceMs) {
+      sendOk(nowMs);
     }
   }
 }
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -28,19 +28,19 @@
   private final OrderingConstraints constraints = new OrderingConstraints();
   private final ReplayScheduler replayScheduler;
   private final Map<String, List<Subscription>> byTopic = new HashMap<>();
-  private final Map<Long, Subscription> joining = new LinkedHashMap<>();
+  private final Map<Long, Subscription> pendingById = new LinkedHashMap<>();
 
   /** Of those that join: which the home was asked about, and which wait for their turn to be. */
-  private final Set<Long> asked = new HashSet<>();
+  private final Set<Long> requested = new HashSet<>();
 
-  private final ArrayDeque<Long> unasked = new ArrayDeque<>();
+  private final ArrayDeque<Long> queued = new ArrayDeque<>();
 
   /** Subscriptions for which the home was asked for a next piece. */
   private final Map<Long, Subscription> fetching = new LinkedHashMap<>();
 
   private final Set<Subscription> filtered = new HashSet<>();
   private StreamClient streamClient;
-  private long requests;
+  private long newestRequestId;
 
   SubscriptionManager(
       final ClientRegistry clientRegistry,
@@ -49,48 +49,48 @@
     this.clientRegistry = clientRegistry;
     this.context = context;
     this.subscriptions = subscriptions;
-    replayScheduler = new ReplayScheduler(context, constraints, this::fetch);
+    replayScheduler = new ReplayScheduler(context, constraints, this::fetchNext);
   }
 
-  void envoy(final StreamClient chosenStreamClient) {
+  void setStreamClient(final StreamClient chosenStreamClient) {
     streamClient = chosenStreamClient;
   }
 
   /** What the channels declare from now on. */
-  void charter(final Configuration configuration) {
-    constraints.charter(configuration);
-    for (final ClientSession session : clientRegistry.berths()) {
+  void setConfiguration(final Configuration configuration) {
+    constraints.setConfiguration(configuration);
+    for (final ClientSession session : clientRegistry.sessions()) {
       session
-          .subs
+          .subscriptions
           .values()
           .forEach(
               subscription -> {
-                subscription.route = configuration.space(subscription.topic);
-                session.guard.declared(subscription.topic, subscription.route);
+                subscription.route = configuration.routeOf(subscription.topic);
+                session.guard.onRouteChanged(subscription.topic, subscription.route);
               });
     }
   }
 
-  List<Subscription> subs(final String topic) {
+  List<Subscription> subscribersOf(final String topic) {
     return byTopic.getOrDefault(topic, List.of());
   }
 
-  void join(final Subscription subscription) {
-    if (subscription.filtered()) {
+  void subscribe(final Subscription subscription) {
+    if (subscription.hasFilter()) {
       filtered.add(subscription);
     }
-    subscription.session.subs.put(subscription.topic, subscription);
+    subscription.session.subscriptions.put(subscription.topic, subscription);
     subscription.session.subscribedMs = context.nowMs();
-    subscription.session.guard.opened(subscription.topic, subscription.route);
+    subscription.session.guard.onSubscribed(subscription.topic, subscription.route);
     // Taken up from another edge: that edge's instance is cancelled by the set's own operations.
-    if (subscriptions.elsewhere(subscription.topic, subscription.session.client)) {
+    if (subscriptions.isActiveElsewhere(subscription.topic, subscription.session.client)) {
       subscriptions.remove(subscription.topic, subscription.session.client);
     }
     subscription.instance = subscriptions.add(subscription.topic, subscription.session.client);
-    final long request = ++requests;
-    joining.put(request, subscription);
-    unasked.add(request);
-    askMore();
+    final long request = ++newestRequestId;
+    pendingById.put(request, subscription);
+    queued.add(request);
+    requestQueued();
   }
 
   /**
@@ -98,38 +98,38 @@
    * cursors at once, and a home that gets all of it answers nobody in time, is left as silent, and
    * is asked everything again.
    */
-  private void askMore() {
-    while (asked.size() < MAX_SUBSCRIBES_IN_FLIGHT && !unasked.isEmpty()) {
-      final long request = unasked.poll();
-      final Subscription subscription = joining.get(request);
+  private void requestQueued() {
+    while (requested.size() < MAX_SUBSCRIBES_IN_FLIGHT && !queued.isEmpty()) {
+      final long request = queued.poll();
+      final Subscription subscription = pendingById.get(request);
       if (subscription != null) {
-        asked.add(request);
-        notice(request, subscription);
+        requested.add(request);
+        sendSubscribeRequest(request, subscription);
       }
     }
   }
 
   /** Asked once more on the same link, with a filter or without. */
-  void again(final Subscription subscription, final Filter filter) {
+  void resubscribe(final Subscription subscription, final Filter filter) {
     if (filter != null) {
       filtered.add(subscription);
     }
-    subscription.again(filter, context.nowMs());
+    subscription.resubscribe(filter, context.nowMs());
   }
 
   /** A new home knows nothing of what the old one was asked. */
-  void askAgain() {
-    asked.clear();
-    unasked.clear();
-    unasked.addAll(joining.keySet());
-    askMore();
-    fetching.forEach(this::further);
+  void requestAllAgain() {
+    requested.clear();
+    queued.clear();
+    queued.addAll(pendingById.keySet());
+    requestQueued();
+    fetching.forEach(this::sendReplayRequest);
   }
 
-  private void notice(final long request, final Subscription subscription) {
+  private void sendSubscribeRequest(final long request, final Subscription subscription) {
     streamClient
-        .weft()
-        .notice(
+        .syncClient()
+        .announceSubscription(
             request,
             subscription.topic,
             subscription.session.client,
@@ -137,85 +137,86 @@
             subscription.position);
   }
 
-  private void fetch(final Subscription subscription) {
-    final long request = ++requests;
+  private void fetchNext(final Subscription subscription) {
+    final long request = ++newestRequestId;
     fetching.put(request, subscription);
-    further(request, subscription);
+    sendReplayRequest(request, subscription);
   }
 
-  private void further(final long request, final Subscription subscription) {
+  private void sendReplayRequest(final long request, final Subscription subscription) {
     streamClient
-        .weft()
-        .further(
+        .syncClient()
+        .requestReplay(
             request,
             subscription.topic,
             subscription.replay.isEmpty()
-                ? subscription.after
+                ? subscription.judgedIndex
                 : subscription.replay.getLast().index,
-            subscription.replayTo);
+            subscription.replayThrough);
   }
 
   /**
    * A home's word on a subscription: where it starts, and the first piece of what lies behind its
    * cursor.
    */
-  void taken(
+  void onReplay(
       final long request,
       final boolean expired,
       final long position,
       final List<StoredMessage> behind,
       final boolean more) {
-    asked.remove(request);
-    askMore();
+    requested.remove(request);
+    requestQueued();
     final Subscription waiting = fetching.remove(request);
-    final Subscription subscription = waiting != null ? waiting : joining.remove(request);
-    if (subscription == null || subscription.session.subs.get(subscription.topic) != subscription) {
+    final Subscription subscription = waiting != null ? waiting : pendingById.remove(request);
+    if (subscription == null
+        || subscription.session.subscriptions.get(subscription.topic) != subscription) {
       return;
     }
     if (expired) {
       clientRegistry
-          .disorders()
-          .gap(subscription.topic, subscription.session.client, subscription.position);
-      giveUp(subscription, "EXPIRED");
+          .violations()
+          .onGap(subscription.topic, subscription.session.client, subscription.position);
+      refuse(subscription, "EXPIRED");
     } else if (waiting != null) {
-      subscription.asked = false;
+      subscription.fetching = false;
       subscription.replay.addAll(behind);
-      subscription.replayTo = more ? subscription.replayTo : 0;
+      subscription.replayThrough = more ? subscription.replayThrough : 0;
       replayScheduler.add(subscription);
     } else {
       byTopic.computeIfAbsent(subscription.topic, key -> new ArrayList<>()).add(subscription);
-      clientRegistry.whenHeld(() -> begin(subscription, position, behind, more));
+      clientRegistry.deliverUnderLease(() -> open(subscription, position, behind, more));
     }
   }
 
-  private void begin(
+  private void open(
       final Subscription subscription,
       final long position,
       final List<StoredMessage> behind,
       final boolean more) {
-    if (subscription.session.subs.get(subscription.topic) != subscription) {
+    if (subscription.session.subscriptions.get(subscription.topic) != subscription) {
       return;
     }
     final long nowMs = context.nowMs();
     subscription.open(subscription.position >= 0 ? subscription.position : position, nowMs);
-    if (!more && ReplayScheduler.isShort(behind) && !constraints.follows(subscription)) {
+    if (!more && ReplayScheduler.isShort(behind) && !constraints.isConstrained(subscription)) {
       behind.forEach(message -> subscription.deliver(message, nowMs));
-      subscription.after = Math.max(subscription.after, position);
+      subscription.judgedIndex = Math.max(subscription.judgedIndex, position);
     } else {
       subscription.replay.addAll(behind);
-      subscription.replayTo = more ? position : 0;
+      subscription.replayThrough = more ? position : 0;
       replayScheduler.add(subscription);
     }
   }
 
   void deliver(final StoredMessage message, final long nowMs) {
     // Copied: a slow client's link may be cut while it is written to.
-    for (final Subscription subscription : new ArrayList<>(subs(message.topic))) {
-      if (subscription.catching) {
-        replayScheduler.hold(subscription, message);
-      } else if (constraints.follows(subscription)
-          && !constraints.free(subscription, message.index)) {
-        replayScheduler.hold(subscription, message);
+    for (final Subscription subscription : new ArrayList<>(subscribersOf(message.topic))) {
+      if (subscription.catchingUp) {
+        replayScheduler.holdLive(subscription, message);
+      } else if (constraints.isConstrained(subscription)
+          && !constraints.mayDeliver(subscription, message.index)) {
+        replayScheduler.holdLive(subscription, message);
         replayScheduler.add(subscription);
       } else {
         subscription.deliver(message, nowMs);
@@ -223,18 +224,18 @@
     }
   }
 
-  private void giveUp(final Subscription subscription, final String reason) {
-    forget(subscription);
+  private void refuse(final Subscription subscription, final String reason) {
+    remove(subscription);
     subscriptions.remove(subscription.topic, subscription.session.client);
-    subscription.session.refuse("SUB", subscription.topic, "", reason);
+    subscription.session.sendRefuse("SUB", subscription.topic, "", reason);
   }
 
   /** The link is gone, or the client gave the topic up: nothing more is delivered. */
-  void forget(final Subscription subscription) {
-    if (subscription.session.subs.remove(subscription.topic, subscription)) {
-      subscription.session.guard.ended(subscription.topic);
+  void remove(final Subscription subscription) {
+    if (subscription.session.subscriptions.remove(subscription.topic, subscription)) {
+      subscription.session.guard.onUnsubscribed(subscription.topic);
     }
-    joining.values().remove(subscription);
+    pendingById.values().remove(subscription);
     fetching.values().remove(subscription);
     filtered.remove(subscription);
     final List<Subscription> subs = byTopic.get(subscription.topic);
@@ -243,21 +244,22 @@
     }
   }
 
-  void drop(final ClientSession session, final String topic) {
-    final Subscription subscription = session.subs.get(topic);
+  void unsubscribe(final ClientSession session, final String topic) {
+    final Subscription subscription = session.subscriptions.get(topic);
     if (subscription != null) {
-      forget(subscription);
+      remove(subscription);
     }
     subscriptions.remove(topic, session.client);
   }
 
-  void look(final long nowMs) {
-    for (final Subscription subscription : new ArrayList<>(joining.values())) {
-      if (nowMs - subscription.sinceMs > SUBSCRIBE_TIMEOUT_MS) {
-        giveUp(subscription, "RETRY");
+  void check(final long nowMs) {
+    for (final Subscription subscription : new ArrayList<>(pendingById.values())) {
+      if (nowMs - subscription.subscribedMs > SUBSCRIBE_TIMEOUT_MS) {
+        refuse(subscription, "RETRY");
       }
     }
     filtered.forEach(
-        subscription -> subscription.renew(nowMs, clientRegistry.renewMs(subscription.topic)));
+        subscription ->
+            subscription.renewCursor(nowMs, clientRegistry.cursorRenewalMs(subscription.topic)));
   }
 }
--- a/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
+++ b/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
@@ -23,7 +23,7 @@
  */
 public final class MaintenanceWindows {
   private final List<PlannedWork> planned = new ArrayList<>();
-  private final List<String> bad = new ArrayList<>();
+  private final List<String> unreadable = new ArrayList<>();
 
   private record PlannedWork(VEvent event, TimeZone zone, Duration length) {}
 
@@ -36,7 +36,7 @@
       try (Stream<Path> files = Files.list(place)) {
         files.filter(file -> file.toString().endsWith(".ics")).sorted().forEach(windows::add);
       } catch (final IOException failure) {
-        windows.bad.add(place + ": " + failure.getMessage());
+        windows.unreadable.add(place + ": " + failure.getMessage());
       }
     } else {
       windows.add(place);
@@ -47,24 +47,24 @@
   private void add(final Path file) {
     try {
       if (Files.size(file) > MAX_CALENDAR_BYTES) {
-        bad.add(file + ": larger than " + MAX_CALENDAR_BYTES + " bytes");
+        unreadable.add(file + ": larger than " + MAX_CALENDAR_BYTES + " bytes");
         return;
       }
       final List<ICalendar> calendars = Biweekly.parse(Files.readString(file)).all();
       if (calendars.isEmpty()) {
-        bad.add(file + ": holds no calendar");
+        unreadable.add(file + ": holds no calendar");
       }
       for (final ICalendar calendar : calendars) {
         calendar.getEvents().forEach(event -> add(file, calendar, event));
       }
     } catch (final IOException | RuntimeException failure) {
-      bad.add(file + ": " + failure.getMessage());
+      unreadable.add(file + ": " + failure.getMessage());
     }
   }
 
   private void add(final Path file, final ICalendar calendar, final VEvent event) {
     if (event.getDateStart() == null || event.getDateStart().getValue() == null) {
-      bad.add(file + ": an event without a start");
+      unreadable.add(file + ": an event without a start");
       return;
     }
     final Instant start = event.getDateStart().getValue().toInstant();
@@ -79,7 +79,7 @@
       length = event.getDateStart().getValue().hasTime() ? Duration.ZERO : Duration.ofDays(1);
     }
     if (length.isNegative()) {
-      bad.add(file + ": an event that ends before it starts");
+      unreadable.add(file + ": an event that ends before it starts");
       return;
     }
     final var assigned = calendar.getTimezoneInfo().getTimezone(event.getDateStart());
@@ -89,15 +89,15 @@
             event, assigned == null ? TimeZone.getDefault() : assigned.getTimeZone(), length));
   }
 
-  public List<String> bad() {
-    return bad;
+  public List<String> unreadable() {
+    return unreadable;
   }
 
   /** What is planned at that moment for something with one of these names, or null. */
-  public String explains(final Instant moment, final List<String> names) {
+  public String plannedWorkFor(final Instant moment, final List<String> names) {
     for (final PlannedWork one : planned) {
       final String text = text(one.event);
-      if (names.stream().anyMatch(name -> names(text, name)) && covers(one, moment)) {
+      if (names.stream().anyMatch(name -> mentions(text, name)) && isActive(one, moment)) {
         return one.event.getSummary() == null ? "planned work" : one.event.getSummary().getValue();
       }
     }
@@ -113,22 +113,22 @@
   }
 
   /** The name stands there as a word of its own: edge-a-1 is not meant by edge-a-12. */
-  private static boolean names(final String text, final String name) {
+  private static boolean mentions(final String text, final String name) {
     for (int at = text.indexOf(name); at >= 0; at = text.indexOf(name, at + 1)) {
       final int end = at + name.length();
-      if ((at == 0 || !part(text.charAt(at - 1)))
-          && (end == text.length() || !part(text.charAt(end)))) {
+      if ((at == 0 || !isWordPart(text.charAt(at - 1)))
+          && (end == text.length() || !isWordPart(text.charAt(end)))) {
         return true;
       }
     }
     return false;
   }
 
-  private static boolean part(final char sign) {
+  private static boolean isWordPart(final char sign) {
     return Character.isLetterOrDigit(sign) || sign == '-' || sign == '_';
   }
 
-  private static boolean covers(final PlannedWork one, final Instant moment) {
+  private static boolean isActive(final PlannedWork one, final Instant moment) {
     final DateIterator starts = one.event.getDateIterator(one.zone);
     // Jumps near the moment; the turns are bounded, since a rule may name a start each second for
     // ever.
--- a/src/main/java/yewjunction/membership/FailureDetector.java
+++ b/src/main/java/yewjunction/membership/FailureDetector.java
@@ -20,8 +20,8 @@
 final class FailureDetector {
   private final AgentContext context;
   private final MembershipList membership;
-  private final ArrayDeque<String> nearTurn = new ArrayDeque<>();
-  private final ArrayDeque<String> farTurn = new ArrayDeque<>();
+  private final ArrayDeque<String> ownZoneQueue = new ArrayDeque<>();
+  private final ArrayDeque<String> otherZonesQueue = new ArrayDeque<>();
 
   /** By address: a datagram has no link that would end with its sender. */
   private final PendingRequests<String, Runnable> pendingRequests;
@@ -30,7 +30,7 @@
    * Sent, for others too: what is asked for them changes the turn, or all that started together
    * would look across together.
    */
-  private long probes;
+  private long pingsSent;
 
   FailureDetector(final AgentContext context, final MembershipList membership) {
     this.context = context;
@@ -40,64 +40,64 @@
 
   void start() {
     // Spread over a period, so that processes started together do not probe together.
-    context.after(context.luck().nextInt((int) PING_INTERVAL_MS), this::probeNext);
+    context.schedule(context.random().nextInt((int) PING_INTERVAL_MS), this::pingNext);
   }
 
-  void take(final String from, final MembershipMessage message) {
+  void onMessage(final String from, final MembershipMessage message) {
     if (message instanceof Ping ping) {
       final Ack ack = new Ack();
-      ack.number = ping.number;
+      ack.requestId = ping.requestId;
       membership.send(from, ack);
     } else if (message instanceof Ack ack) {
-      final Runnable answered = pendingRequests.answered(ack.number, message.self.address);
+      final Runnable answered = pendingRequests.complete(ack.requestId, message.sender.address);
       if (answered != null) {
         answered.run();
       }
     } else if (message instanceof PingRequest pingRequest) {
       final long number =
-          probe(
+          ping(
               pingRequest.target,
               () -> {
                 final Ack ack = new Ack();
-                ack.number = pingRequest.number;
+                ack.requestId = pingRequest.requestId;
                 membership.send(from, ack);
               });
-      context.after(PING_INTERVAL_MS, () -> pendingRequests.drop(number));
+      context.schedule(PING_INTERVAL_MS, () -> pendingRequests.cancel(number));
     }
   }
 
-  private long probe(final String target, final Runnable answered) {
-    probes++;
+  private long ping(final String target, final Runnable answered) {
+    pingsSent++;
     final Ping ping = new Ping();
-    ping.number = pendingRequests.ask(target, answered);
+    ping.requestId = pendingRequests.add(target, answered);
     membership.send(target, ping);
-    return ping.number;
+    return ping.requestId;
   }
 
-  private void probeNext() {
-    if (membership.left()) {
+  private void pingNext() {
+    if (membership.hasLeft()) {
       return;
     }
-    context.after(PING_INTERVAL_MS, this::probeNext);
-    membership.sweep();
+    context.schedule(PING_INTERVAL_MS, this::pingNext);
+    membership.expireMembers();
     final String target = nextTarget();
     if (target == null) {
       return;
     }
     final boolean[] answered = new boolean[1];
     final List<Long> numbers = new ArrayList<>();
-    numbers.add(probe(target, () -> answered[0] = true));
-    context.after(
+    numbers.add(ping(target, () -> answered[0] = true));
+    context.schedule(
         PING_TIMEOUT_MS,
         () -> {
           if (!answered[0]) {
-            askOthers(target, () -> answered[0] = true, numbers);
+            requestIndirectPings(target, () -> answered[0] = true, numbers);
           }
         });
-    context.after(
+    context.schedule(
         PING_INTERVAL_MS - 50,
         () -> {
-          numbers.forEach(pendingRequests::drop);
+          numbers.forEach(pendingRequests::cancel);
           if (!answered[0]) {
             membership.suspect(target);
           }
@@ -105,42 +105,43 @@
   }
 
   private String nextTarget() {
-    final boolean across = probes % CROSS_ZONE_PING_EVERY == CROSS_ZONE_PING_EVERY - 1;
-    String target = nextOf(across ? farTurn : nearTurn, across);
+    final boolean across = pingsSent % CROSS_ZONE_PING_EVERY == CROSS_ZONE_PING_EVERY - 1;
+    String target = nextFrom(across ? otherZonesQueue : ownZoneQueue, across);
     // A zone with nobody else in it looks across every time.
-    return target != null ? target : nextOf(across ? nearTurn : farTurn, !across);
+    return target != null ? target : nextFrom(across ? ownZoneQueue : otherZonesQueue, !across);
   }
 
-  private String nextOf(final ArrayDeque<String> turn, final boolean across) {
+  private String nextFrom(final ArrayDeque<String> turn, final boolean across) {
     if (turn.isEmpty()) {
       final List<String> addresses = new ArrayList<>();
       for (final Member member : membership.all()) {
-        if (member.up() && member.zone.equals(membership.self().zone) != across) {
+        if (member.isUp() && member.zone.equals(membership.self().zone) != across) {
           addresses.add(member.address);
         }
       }
       Collections.sort(addresses);
-      Collections.shuffle(addresses, context.luck());
+      Collections.shuffle(addresses, context.random());
       turn.addAll(addresses);
     }
     return turn.poll();
   }
 
-  private void askOthers(final String target, final Runnable answered, final List<Long> numbers) {
+  private void requestIndirectPings(
+      final String target, final Runnable answered, final List<Long> numbers) {
     final List<String> helpers = new ArrayList<>();
     for (final Member member : membership.all()) {
-      if (member.standing == Member.UP
+      if (member.state == Member.UP
           && member.zone.equals(membership.self().zone)
           && !member.address.equals(target)) {
         helpers.add(member.address);
       }
     }
-    Collections.shuffle(helpers, context.luck());
+    Collections.shuffle(helpers, context.random());
     for (int i = 0; i < Math.min(PING_REQUEST_HELPERS, helpers.size()); i++) {
       final PingRequest pingRequest = new PingRequest();
       // Each opinion is a question of its own: it counts from whom it was asked.
-      pingRequest.number = pendingRequests.ask(helpers.get(i), answered);
-      numbers.add(pingRequest.number);
+      pingRequest.requestId = pendingRequests.add(helpers.get(i), answered);
+      numbers.add(pingRequest.requestId);
       pingRequest.target = target;
       membership.send(helpers.get(i), pingRequest);
     }
--- a/src/main/java/yewjunction/membership/Member.java
+++ b/src/main/java/yewjunction/membership/Member.java
@@ -14,24 +14,24 @@
   public String zone = "";
 
   /** tide, vault or crux. */
-  public String duty = "";
+  public String role = "";
 
   /** Where clients connect, empty where they do not. */
-  public String front = "";
+  public String clientAddress = "";
 
   /** Drawn at each start of the process: tells lives at one address apart. */
   public long life;
 
   public boolean ready;
-  long number;
-  int standing;
+  long incarnation;
+  int state;
 
   /**
    * A life's first number, above all of earlier lives where clocks are about right; where not,
    * refuting mends it.
    */
-  public void begin(final long firstNumber) {
-    number = firstNumber;
+  public void setIncarnation(final long firstNumber) {
+    incarnation = firstNumber;
   }
 
   Member copy() {
@@ -39,33 +39,34 @@
     copied.address = address;
     copied.node = node;
     copied.zone = zone;
-    copied.duty = duty;
-    copied.front = front;
+    copied.role = role;
+    copied.clientAddress = clientAddress;
     copied.life = life;
     copied.ready = ready;
-    copied.number = number;
-    copied.standing = standing;
+    copied.incarnation = incarnation;
+    copied.state = state;
     return copied;
   }
 
   /** Differs where two know different things of it. */
   long digest() {
     long mixed =
-        (address.hashCode() * 31L + life) * 0x9e3779b97f4a7c15L + number * 2 + (ready ? 1 : 0);
+        (address.hashCode() * 31L + life) * 0x9e3779b97f4a7c15L + incarnation * 2 + (ready ? 1 : 0);
     mixed = (mixed ^ mixed >>> 29) * 0xbf58476d1ce4e5b9L;
     return mixed ^ mixed >>> 32;
   }
 
-  public boolean up() {
-    return standing <= SUSPECT;
+  public boolean isUp() {
+    return state <= SUSPECT;
   }
 
-  public boolean suspect() {
-    return standing == SUSPECT;
+  public boolean isSuspect() {
+    return state == SUSPECT;
   }
 
   /** Whether this news goes over what is known: a higher number wins, then the worse standing. */
-  boolean over(final Member known) {
-    return number > known.number || number == known.number && standing > known.standing;
+  boolean supersedes(final Member known) {
+    return incarnation > known.incarnation
+        || incarnation == known.incarnation && state > known.state;
   }
 }
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -30,11 +30,11 @@
   private final AgentContext context;
   private final Member self;
   private final BiConsumer<String, Object> sender;
-  private final Map<String, Member> peers = new HashMap<>();
+  private final Map<String, Member> members = new HashMap<>();
   private final Map<String, Long> changedMs = new HashMap<>();
-  private final Map<String, Integer> newsLeft = new LinkedHashMap<>();
+  private final Map<String, Integer> pendingUpdates = new LinkedHashMap<>();
   private final FailureDetector failureDetector;
-  private Function<Member, String> planned = member -> null;
+  private Function<Member, String> plannedWork = member -> null;
   private final SeedJoiner seedJoiner;
   private boolean left;
 
@@ -49,16 +49,16 @@
 
   /** Seeds are peer addresses of crux processes; some may be stale. */
   public void start(final List<String> firstSeeds) {
-    seedJoiner.seeds(firstSeeds);
+    seedJoiner.setSeeds(firstSeeds);
     seedJoiner.start();
     failureDetector.start();
   }
 
-  public void seeds(final List<String> newSeeds) {
-    seedJoiner.seeds(newSeeds);
+  public void setSeeds(final List<String> newSeeds) {
+    seedJoiner.setSeeds(newSeeds);
   }
 
-  boolean left() {
+  boolean hasLeft() {
     return left;
   }
 
@@ -67,14 +67,14 @@
   }
 
   public Collection<Member> all() {
-    return Collections.unmodifiableCollection(peers.values());
+    return Collections.unmodifiableCollection(members.values());
   }
 
   /** Peers of a duty that are up, own zone first, without this process. */
-  public List<Member> up(final NodeRole role) {
+  public List<Member> membersUp(final NodeRole role) {
     final List<Member> chosen = new ArrayList<>();
-    for (final Member member : peers.values()) {
-      if (member.up() && role.is(member.duty)) {
+    for (final Member member : members.values()) {
+      if (member.isUp() && role.is(member.role)) {
         chosen.add(member);
       }
     }
@@ -84,62 +84,62 @@
     return chosen;
   }
 
-  public Member at(final String address) {
-    return peers.get(address);
+  public Member memberAt(final String address) {
+    return members.get(address);
   }
 
   /** The zone of an address, empty when it is not known. */
-  public String zoneAt(final String address) {
-    final Member member = address.equals(self.address) ? self : peers.get(address);
+  public String zoneOf(final String address) {
+    final Member member = address.equals(self.address) ? self : members.get(address);
     return member == null ? "" : member.zone;
   }
 
-  public void ready(final boolean ready) {
+  public void setReady(final boolean ready) {
     if (self.ready != ready) {
       self.ready = ready;
-      raise(self.number + 1);
+      refute(self.incarnation + 1);
     }
   }
 
   /** Says goodbye, so that nobody suspects first. */
   public void leave() {
     left = true;
-    self.standing = Member.LEFT;
+    self.state = Member.LEFT;
     self.ready = false;
-    raise(self.number + 1);
-    for (final Member member : peers.values()) {
-      if (member.up() && member.zone.equals(self.zone)) {
+    refute(self.incarnation + 1);
+    for (final Member member : members.values()) {
+      if (member.isUp() && member.zone.equals(self.zone)) {
         send(member.address, new Ack());
       }
     }
   }
 
-  private void raise(final long number) {
-    self.number = number;
-    tell(self.address);
+  private void refute(final long number) {
+    self.incarnation = number;
+    scheduleUpdate(self.address);
   }
 
-  private void tell(final String address) {
-    newsLeft.remove(address);
-    newsLeft.put(address, UPDATE_TRANSMISSIONS);
+  private void scheduleUpdate(final String address) {
+    pendingUpdates.remove(address);
+    pendingUpdates.put(address, UPDATE_TRANSMISSIONS);
   }
 
   /** Who explains why a peer may be away: planned work, or null for none. */
-  public void planned(final Function<Member, String> explainer) {
-    planned = explainer;
+  public void setPlannedWork(final Function<Member, String> explainer) {
+    plannedWork = explainer;
   }
 
-  private String about(final Member member) {
-    final String work = planned.apply(member);
-    return member.node + " " + member.duty + (work == null ? "" : " planned: " + work);
+  private String describe(final Member member) {
+    final String work = plannedWork.apply(member);
+    return member.node + " " + member.role + (work == null ? "" : " planned: " + work);
   }
 
   void suspect(final String address) {
-    final Member member = peers.get(address);
-    if (member != null && member.standing == Member.UP) {
-      LogEvent.SIBLING_SUSPECT.info(about(member));
-      change(member, Member.SUSPECT);
-      tellSuspect(member);
+    final Member member = members.get(address);
+    if (member != null && member.state == Member.UP) {
+      LogEvent.MEMBER_SUSPECTED.info(describe(member));
+      setState(member, Member.SUSPECT);
+      notifySuspect(member);
     }
   }
 
@@ -147,28 +147,28 @@
    * Told at once and again, so that it can refute before the time is over though datagrams get
    * lost.
    */
-  private void tellSuspect(final Member member) {
-    if (peers.get(member.address) == member && member.standing == Member.SUSPECT && !left) {
+  private void notifySuspect(final Member member) {
+    if (members.get(member.address) == member && member.state == Member.SUSPECT && !left) {
       send(member.address, new Ack());
-      context.after(SUSPICION_TIMEOUT_MS / 4, () -> tellSuspect(member));
+      context.schedule(SUSPICION_TIMEOUT_MS / 4, () -> notifySuspect(member));
     }
   }
 
-  private void change(final Member member, final int standing) {
-    member.standing = standing;
+  private void setState(final Member member, final int standing) {
+    member.state = standing;
     changedMs.put(member.address, context.nowMs());
-    tell(member.address);
+    scheduleUpdate(member.address);
   }
 
-  void sweep() {
+  void expireMembers() {
     final long nowMs = context.nowMs();
-    for (final Iterator<Member> each = peers.values().iterator(); each.hasNext(); ) {
+    for (final Iterator<Member> each = members.values().iterator(); each.hasNext(); ) {
       final Member member = each.next();
       final long sinceMs = nowMs - changedMs.getOrDefault(member.address, nowMs);
-      if (member.standing == Member.SUSPECT && sinceMs > SUSPICION_TIMEOUT_MS) {
-        LogEvent.SIBLING_GONE.info(about(member));
-        change(member, Member.GONE);
-      } else if (!member.up() && sinceMs > DEAD_MEMBER_RETENTION_MS) {
+      if (member.state == Member.SUSPECT && sinceMs > SUSPICION_TIMEOUT_MS) {
+        LogEvent.MEMBER_REMOVED.info(describe(member));
+        setState(member, Member.GONE);
+      } else if (!member.isUp() && sinceMs > DEAD_MEMBER_RETENTION_MS) {
         each.remove();
         changedMs.remove(member.address);
       }
@@ -176,73 +176,73 @@
   }
 
   void send(final String address, final MembershipMessage message) {
-    message.self = self.copy();
+    message.sender = self.copy();
     // Whoever is thought to be away hears so first: a restarted or wrongly suspected one then
     // refutes it.
-    final Member receiver = peers.get(address);
-    if (receiver != null && receiver.standing != Member.UP) {
-      message.news.add(receiver.copy());
+    final Member receiver = members.get(address);
+    if (receiver != null && receiver.state != Member.UP) {
+      message.updates.add(receiver.copy());
     }
-    for (final String about : List.copyOf(newsLeft.keySet())) {
-      if (message.news.size() >= MAX_UPDATES_PER_PING) {
+    for (final String about : List.copyOf(pendingUpdates.keySet())) {
+      if (message.updates.size() >= MAX_UPDATES_PER_PING) {
         break;
       }
-      final int left = newsLeft.merge(about, -1, Integer::sum);
+      final int left = pendingUpdates.merge(about, -1, Integer::sum);
       if (left <= 0) {
-        newsLeft.remove(about);
+        pendingUpdates.remove(about);
       }
-      final Member known = peers.get(about);
+      final Member known = members.get(about);
       if (known != null) {
-        message.news.add(known.copy());
+        message.updates.add(known.copy());
       }
     }
     sender.accept(address, message);
   }
 
-  public void take(final String from, final Object taken) {
-    if (!(taken instanceof MembershipMessage message) || message.self == null) {
+  public void onMessage(final String from, final Object taken) {
+    if (!(taken instanceof MembershipMessage message) || message.sender == null) {
       return;
     }
-    final long numberBefore = self.number;
-    hear(message.self, true);
+    final long numberBefore = self.incarnation;
+    onUpdate(message.sender, true);
     // Whoever asks a seed hears all of it: passing that on would cost each of a hundred that start
     // together as many times.
-    message.news.forEach(news -> hear(news, !(message instanceof SyncResponse)));
-    if (self.number != numberBefore) {
+    message.updates.forEach(news -> onUpdate(news, !(message instanceof SyncResponse)));
+    if (self.incarnation != numberBefore) {
       // A refutation goes straight back to whoever doubted.
       send(from, new Ack());
     }
     if (message instanceof SyncRequest syncRequest) {
-      seedJoiner.answer(from, syncRequest);
+      seedJoiner.respond(from, syncRequest);
     } else {
-      failureDetector.take(from, message);
+      failureDetector.onMessage(from, message);
     }
   }
 
-  private void hear(final Member news, final boolean passedOn) {
+  private void onUpdate(final Member news, final boolean passedOn) {
     if (news.address.equals(self.address)) {
       // News of an earlier life, or a suspicion: refuted by a higher number.
       if (!left
-          && news.number >= self.number
-          && (news.life != self.life || news.standing != Member.UP)) {
-        raise(news.number + 1);
+          && news.incarnation >= self.incarnation
+          && (news.life != self.life || news.state != Member.UP)) {
+        refute(news.incarnation + 1);
       }
       return;
     }
-    final Member known = peers.get(news.address);
+    final Member known = members.get(news.address);
     if (known == null) {
       // Someone unknown who is gone already is no news.
-      if (news.up()) {
-        peers.put(news.address, news);
+      if (news.isUp()) {
+        members.put(news.address, news);
         changedMs.put(news.address, context.nowMs());
         if (passedOn) {
-          tell(news.address);
+          scheduleUpdate(news.address);
         }
-        LogEvent.SIBLING_JOINED.info(news.node + " " + news.duty);
+        LogEvent.MEMBER_JOINED.info(news.node + " " + news.role);
       }
-    } else if (news.over(known)) {
-      peers.put(news.address, news);
-      change(news, news.standing);
+    } else if (news.supersedes(known)) {
+      members.put(news.address, news);
+      setState(news, news.state);
     }
   }
 }
--- a/src/main/java/yewjunction/membership/MembershipMessages.java
+++ b/src/main/java/yewjunction/membership/MembershipMessages.java
@@ -8,31 +8,31 @@
 public final class MembershipMessages {
   private MembershipMessages() {}
 
-  public static void know(final MessageCodec codec) {
+  public static void register(final MessageCodec codec) {
     codec
-        .know(30, Ping.class)
-        .know(31, Ack.class)
-        .know(32, PingRequest.class)
-        .know(33, SyncRequest.class)
-        .know(34, SyncResponse.class);
+        .register(30, Ping.class)
+        .register(31, Ack.class)
+        .register(32, PingRequest.class)
+        .register(33, SyncRequest.class)
+        .register(34, SyncResponse.class);
   }
 
   abstract static class MembershipMessage {
-    Member self;
-    List<Member> news = new ArrayList<>();
+    Member sender;
+    List<Member> updates = new ArrayList<>();
   }
 
   static final class Ping extends MembershipMessage {
-    long number;
+    long requestId;
   }
 
   static final class Ack extends MembershipMessage {
-    long number;
+    long requestId;
   }
 
   /** Asks the receiver for a second opinion about the target. */
   static final class PingRequest extends MembershipMessage {
-    long number;
+    long requestId;
     String target;
   }
 
--- a/src/main/java/yewjunction/membership/SeedJoiner.java
+++ b/src/main/java/yewjunction/membership/SeedJoiner.java
@@ -17,15 +17,15 @@
   private final AgentContext context;
   private final MembershipList membership;
   private List<String> seeds = List.of();
-  private long paceMs = FIRST_SYNC_INTERVAL_MS;
-  private int hails;
+  private long intervalMs = FIRST_SYNC_INTERVAL_MS;
+  private int syncsSent;
 
   SeedJoiner(final AgentContext context, final MembershipList membership) {
     this.context = context;
     this.membership = membership;
   }
 
-  void seeds(final List<String> newSeeds) {
+  void setSeeds(final List<String> newSeeds) {
     seeds = newSeeds;
   }
 
@@ -35,7 +35,7 @@
    * it heals a roster that split.
    */
   void start() {
-    if (membership.left()) {
+    if (membership.hasLeft()) {
       return;
     }
     final List<String> others = new ArrayList<>(seeds);
@@ -43,13 +43,13 @@
     // Once others are known one of the own zone knows as much, and its bytes cost nothing; the
     // seeds now and then.
     // Not at first: where all have started together their neighbours know as little as they do.
-    if (++hails > SEED_SYNCS_AT_START && context.luck().nextInt(SEED_SYNC_EVERY) > 0) {
+    if (++syncsSent > SEED_SYNCS_AT_START && context.random().nextInt(SEED_SYNC_EVERY) > 0) {
       final List<String> near =
           membership.all().stream()
               .filter(
                   member ->
-                      member.up()
-                          && !NodeRole.EDGE.is(member.duty)
+                      member.isUp()
+                          && !NodeRole.EDGE.is(member.role)
                           && member.zone.equals(membership.self().zone))
               .map(member -> member.address)
               .sorted()
@@ -62,18 +62,18 @@
     if (!others.isEmpty()) {
       final SyncRequest syncRequest = new SyncRequest();
       syncRequest.digest = digest();
-      membership.send(others.get(context.luck().nextInt(others.size())), syncRequest);
+      membership.send(others.get(context.random().nextInt(others.size())), syncRequest);
     }
-    context.after(paceMs, this::start);
+    context.schedule(intervalMs, this::start);
     if (!membership.all().isEmpty()) {
-      paceMs = Math.min(MAX_SYNC_INTERVAL_MS, 3 * paceMs);
+      intervalMs = Math.min(MAX_SYNC_INTERVAL_MS, 3 * intervalMs);
     }
   }
 
   private long digest() {
     long sum = membership.self().digest();
     for (final Member member : membership.all()) {
-      sum += member.up() ? member.digest() : 0;
+      sum += member.isUp() ? member.digest() : 0;
     }
     return sum;
   }
@@ -82,17 +82,17 @@
    * The whole crew, in datagrams of a bounded size; to one that knows the same only that this
    * process is there.
    */
-  void answer(final String from, final SyncRequest syncRequest) {
+  void respond(final String from, final SyncRequest syncRequest) {
     SyncResponse syncResponse = new SyncResponse();
     if (syncRequest.digest == digest()) {
       membership.send(from, syncResponse);
       return;
     }
     for (final Member member : membership.all()) {
-      if (member.up()) {
-        syncResponse.news.add(member.copy());
+      if (member.isUp()) {
+        syncResponse.updates.add(member.copy());
       }
-      if (syncResponse.news.size() == MAX_MEMBERS_PER_DATAGRAM) {
+      if (syncResponse.updates.size() == MAX_MEMBERS_PER_DATAGRAM) {
         membership.send(from, syncResponse);
         syncResponse = new SyncResponse();
       }
--- a/src/main/java/yewjunction/node/ControlNode.java
+++ b/src/main/java/yewjunction/node/ControlNode.java
@@ -42,22 +42,22 @@
   @Override
   public void start() {
     controlService.start(
-        settings.founding(), settings.coreAddresses(), RaftNode.identitySuffix(life));
-    membership.ready(true);
+        settings.bootstrap(), settings.controlNodeAddresses(), RaftNode.identitySuffix(life));
+    membership.setReady(true);
   }
 
-  public OperatorApi desk() {
-    return controlService.desk();
+  public OperatorApi operatorApi() {
+    return controlService.operatorApi();
   }
 
   @Override
   public void stop(final Runnable ended) {
     controlService
-        .ledger()
+        .raftNode()
         .groupMembership()
         .leaveGroup(
             () -> {
-              controlService.ledger().stop();
+              controlService.raftNode().stop();
               ended.run();
             });
   }
--- a/src/main/java/yewjunction/node/EdgeNode.java
+++ b/src/main/java/yewjunction/node/EdgeNode.java
@@ -49,8 +49,9 @@
     this.life = life;
     address = settings.address(Settings.DATA_PORT_OFFSET);
     leaseClient =
-        new LeaseClient(context, transport, () -> Node.cruxes(membership, settings), this)
-            .named(address, settings.node(), settings.zone(), NodeRole.EDGE, life);
+        new LeaseClient(
+                context, transport, () -> Node.controlNodeAddresses(membership, settings), this)
+            .identifiedAs(address, settings.node(), settings.zone(), NodeRole.EDGE, life);
     clientRegistry =
         new ClientRegistry(context, transport, leaseClient, subscriptions, settings.pingS());
     streamClient =
@@ -59,64 +60,67 @@
             transport,
             subscriptions,
             settings.node(),
-            this::vaults,
+            this::storeAddresses,
             clientRegistry,
-            clientRegistry::setChanged);
-    clientRegistry.envoy(streamClient);
-    leaseClient.reporting(
+            clientRegistry::onSubscriptionsMerged);
+    clientRegistry.setStreamClient(streamClient);
+    leaseClient.beforeEachReport(
         () -> {
-          leaseClient.waiting(clientRegistry.shipping().depth(), clientRegistry.shipping().dark());
-          leaseClient.disorders(clientRegistry.disorders().all());
+          leaseClient.setWaitingPublishes(
+              clientRegistry.publishForwarder().waitingCount(),
+              clientRegistry.publishForwarder().isLeaderUnreachable());
+          leaseClient.setOrderViolations(clientRegistry.violations().all());
         });
-    clientRegistry.live(replica -> Node.live(replica, subscriptions, leaseClient, membership));
+    clientRegistry.setLiveReplicas(
+        replica -> Node.isLive(replica, subscriptions, leaseClient, membership));
   }
 
   @Override
   public void start() {
     leaseClient.start();
-    context.every(READINESS_CHECK_INTERVAL_MS, this::look);
+    context.scheduleAtFixedRate(READINESS_CHECK_INTERVAL_MS, this::updateReadiness);
   }
 
   /**
    * Vaults, the own zone's first: those the roster knows, and before it knows any, those the core
    * has named.
    */
-  private List<String> vaults() {
+  private List<String> storeAddresses() {
     final Set<String> addresses = new LinkedHashSet<>();
-    final List<Member> known = membership.up(NodeRole.STORE);
-    final Set<String> retiring = leaseClient.facts().retiringAddresses();
+    final List<Member> known = membership.membersUp(NodeRole.STORE);
+    final Set<String> retiring = leaseClient.clusterState().retiringAddresses();
     known.stream()
         .filter(member -> member.zone.equals(settings.zone()) && !retiring.contains(member.address))
         .forEach(member -> addresses.add(member.address));
     final List<String> named =
-        new ArrayList<>(leaseClient.facts().vaultAddresses(settings.zone(), true));
+        new ArrayList<>(leaseClient.clusterState().storeAddresses(settings.zone(), true));
     known.forEach(member -> named.add(member.address));
-    named.addAll(leaseClient.facts().vaultAddresses(settings.zone(), false));
+    named.addAll(leaseClient.clusterState().storeAddresses(settings.zone(), false));
     for (final String address : named) {
-      final Member member = membership.at(address);
-      if (!retiring.contains(address) && (member == null || member.up())) {
+      final Member member = membership.memberAt(address);
+      if (!retiring.contains(address) && (member == null || member.isUp())) {
         addresses.add(address);
       }
     }
     return new ArrayList<>(addresses);
   }
 
-  private void look() {
+  private void updateReadiness() {
     final boolean able =
         !draining
             && subscriptions.self() != 0
-            && leaseClient.held()
-            && streamClient.homelessMs() < DETACHED_NOT_READY_MS
+            && leaseClient.isHeld()
+            && streamClient.detachedMs() < DETACHED_NOT_READY_MS
             && !streamClient.leader().isEmpty();
     if (able != ready) {
       ready = able;
       (able ? LogEvent.READY : LogEvent.NOT_READY).info(settings.node());
-      membership.ready(able);
+      membership.setReady(able);
     }
   }
 
-  public ClientConnection.Handler greet(final ClientConnection connection) {
-    return clientRegistry.greet(connection);
+  public ClientConnection.Handler newHandler(final ClientConnection connection) {
+    return clientRegistry.newSession(connection);
   }
 
   /** Whether the platform may send clients here; asked from another thread. */
@@ -127,28 +131,28 @@
   @Override
   public void stop(final Runnable ended) {
     draining = true;
-    look();
+    updateReadiness();
     new ConnectionDrainer(context, clientRegistry, membership, ended).start();
   }
 
   @Override
-  public void configChanged(final Configuration configuration) {
-    clientRegistry.configChanged(configuration);
+  public void onConfigurationChanged(final Configuration configuration) {
+    clientRegistry.onConfigurationChanged(configuration);
   }
 
   @Override
-  public void factsChanged(final ClusterState clusterState) {
-    final long name = clusterState.replica(address, life);
+  public void onClusterStateChanged(final ClusterState clusterState) {
+    final long name = clusterState.replicaId(address, life);
     final long before = subscriptions.self();
     subscriptions.self(name);
-    subscriptions.replicas(clusterState.newestReplica(), clusterState.liveReplicas());
+    subscriptions.setReplicas(clusterState.newestReplicaId(), clusterState.liveReplicaIds());
     if (before != 0 && name != before) {
       // Given up while this process was away, or for an earlier life's late letter: under that name
       // nobody is told of
       // its clients any more. They come again, and what it says of them stands under the new one.
-      LogEvent.REPLICA_LOST.warn(before + " now " + name);
-      clientRegistry.gapped();
-      streamClient.renamed();
+      LogEvent.REPLICA_ID_LOST.warn(before + " now " + name);
+      clientRegistry.onStreamGap();
+      streamClient.onReplicaIdChanged();
     } else if (name != before) {
       streamClient.attach();
     }
--- a/src/main/java/yewjunction/node/Node.java
+++ b/src/main/java/yewjunction/node/Node.java
@@ -16,27 +16,28 @@
   void stop(Runnable ended);
 
   /** The settings file changed. */
-  default void reread(final Settings fresh) {}
+  default void onSettingsChanged(final Settings fresh) {}
 
   /** Cruxes, nearest first; before the roster knows any, those on the seeds' machines. */
-  static List<String> cruxes(final MembershipList membership, final Settings settings) {
+  static List<String> controlNodeAddresses(
+      final MembershipList membership, final Settings settings) {
     final List<String> known = addresses(membership, NodeRole.CONTROL);
-    return known.isEmpty() ? settings.coreAddresses() : known;
+    return known.isEmpty() ? settings.controlNodeAddresses() : known;
   }
 
   /** Peer addresses of a duty, own zone first, as the roster knows them now. */
   static List<String> addresses(final MembershipList membership, final NodeRole role) {
-    return membership.up(role).stream().map(member -> member.address).toList();
+    return membership.membersUp(role).stream().map(member -> member.address).toList();
   }
 
   /** Whether a replica's clients count as there: its process is up, as far as the roster knows. */
-  static boolean live(
+  static boolean isLive(
       final long replica,
       final AddWinsSet subscriptions,
       final LeaseClient leaseClient,
       final MembershipList membership) {
-    final String address = leaseClient.facts().addressOf(replica);
-    final Member member = address == null ? null : membership.at(address);
-    return replica == subscriptions.self() || member != null && member.up();
+    final String address = leaseClient.clusterState().addressOf(replica);
+    final Member member = address == null ? null : membership.memberAt(address);
+    return replica == subscriptions.self() || member != null && member.isUp();
   }
 }
--- a/src/main/java/yewjunction/node/StoreNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -61,17 +61,18 @@
     admission = new AdmissionController(context, transport, raftNode, messageStore);
     streamServer = new StreamServer(context, transport, raftNode, messageStore, subscriptions);
     leaseClient =
-        new LeaseClient(context, transport, () -> Node.cruxes(membership, settings), this)
-            .named(address, settings.node(), settings.zone(), NodeRole.STORE, life);
-    leaseClient.reporting(
-        () -> leaseClient.diskOwed(raftNode.commitTracker().oldestPendingWriteMs()));
+        new LeaseClient(
+                context, transport, () -> Node.controlNodeAddresses(membership, settings), this)
+            .identifiedAs(address, settings.node(), settings.zone(), NodeRole.STORE, life);
+    leaseClient.beforeEachReport(
+        () -> leaseClient.setDiskDelay(raftNode.commitTracker().oldestPendingWriteMs()));
     new SubscriptionSyncServer(
         context,
         transport,
         subscriptions,
         membership,
         streamServer,
-        replica -> Node.live(replica, subscriptions, leaseClient, membership));
+        replica -> Node.isLive(replica, subscriptions, leaseClient, membership));
   }
 
   @Override
@@ -85,48 +86,50 @@
         .setPlacement(
             new VoterPlacement(
                 settings.votersNeeded(),
-                () -> leaseClient.facts().retiringAddresses(),
-                membership::zoneAt));
+                () -> leaseClient.clusterState().retiringAddresses(),
+                membership::zoneOf));
     raftNode
         .groupMembership()
-        .start(this::vaults, () -> !leaseClient.facts().retiringAddresses().contains(address));
-    leaseClient.identity(raftNode.identity());
+        .start(
+            this::storeAddresses,
+            () -> !leaseClient.clusterState().retiringAddresses().contains(address));
+    leaseClient.setIdentity(raftNode.identity());
     leaseClient.start();
-    context.every(REGISTRATION_INTERVAL_MS, this::settleDuties);
+    context.scheduleAtFixedRate(REGISTRATION_INTERVAL_MS, this::reportAndRetire);
   }
 
-  public boolean leads() {
+  public boolean isLeader() {
     return raftNode.isReadyLeader();
   }
 
   /** What this vault keeps. */
-  public MessageStore cellar() {
+  public MessageStore messageStore() {
     return messageStore;
   }
 
   /** Until the first voters are chosen there is nothing to join. */
-  private List<String> vaults() {
-    return leaseClient.facts().vaults().isEmpty()
+  private List<String> storeAddresses() {
+    return leaseClient.clusterState().stores().isEmpty()
         ? List.of()
         : Node.addresses(membership, NodeRole.STORE);
   }
 
   /** Says how far it is, and empties what the core wants emptied. */
-  private void settleDuties() {
-    leaseClient.applied(raftNode.appliedIndex());
-    leaseClient.balances(messageStore.balances());
+  private void reportAndRetire() {
+    leaseClient.setAppliedIndex(raftNode.appliedIndex());
+    leaseClient.setBalances(messageStore.balances());
     final List<String> voters = raftNode.voters();
     if (raftNode.isReadyLeader()) {
-      admission.lending().look(leaseClient.charter());
-      emptyRetiring(voters);
+      admission.borrowing().proposeChanges(leaseClient.configuration());
+      reportEmptiedNodes(voters);
     }
   }
 
-  private void emptyRetiring(final List<String> voters) {
-    final Set<String> retiring = leaseClient.facts().retiringAddresses();
+  private void reportEmptiedNodes(final List<String> voters) {
+    final Set<String> retiring = leaseClient.clusterState().retiringAddresses();
     final List<String> emptied = new ArrayList<>();
     for (final String one : retiring) {
-      final String node = leaseClient.facts().retiringNode(one);
+      final String node = leaseClient.clusterState().nodeRetiringAt(one);
       // Only once the change is committed: then a majority of those that stay holds all that was
       // ever acknowledged.
       if (node != null
@@ -135,13 +138,13 @@
         emptied.add(node);
       }
     }
-    leaseClient.emptied(emptied);
+    leaseClient.setEmptiedNodes(emptied);
   }
 
   @Override
   public void stop(final Runnable ended) {
     // Edges leave first; the seat goes to a spare, and the lead to a peer that holds everything.
-    streamServer.close();
+    streamServer.detachAll();
     raftNode
         .groupMembership()
         .leaveGroup(
@@ -152,43 +155,43 @@
   }
 
   @Override
-  public void configChanged(final Configuration configuration) {
-    messageStore.charter(configuration);
-    admission.lending().look(configuration);
+  public void onConfigurationChanged(final Configuration configuration) {
+    messageStore.setConfiguration(configuration);
+    admission.borrowing().proposeChanges(configuration);
   }
 
   @Override
-  public void factsChanged(final ClusterState clusterState) {
-    subscriptions.replicas(clusterState.newestReplica(), clusterState.liveReplicas());
+  public void onClusterStateChanged(final ClusterState clusterState) {
+    subscriptions.setReplicas(clusterState.newestReplicaId(), clusterState.liveReplicaIds());
     if (clusterState.retiringAddresses().contains(address)) {
       // It may be taken away the moment it is empty: its edges find another home while it still
       // answers.
-      streamServer.close();
+      streamServer.detachAll();
     }
-    if (clusterState.vaults().contains(raftNode.identity())) {
-      raftNode.bootstrap(clusterState.vaults());
+    if (clusterState.stores().contains(raftNode.identity())) {
+      raftNode.bootstrap(clusterState.stores());
     }
   }
 
   @Override
-  public boolean admittedHere(final StoredMessage message) {
-    return admission != null && admission.admitted(message);
+  public boolean isAdmittedHere(final StoredMessage message) {
+    return admission != null && admission.isInFlight(message);
   }
 
   @Override
-  public void settledTo(final long commit) {
+  public void onCommitted(final long commit) {
     if (streamServer != null) {
-      streamServer.settled();
+      streamServer.onCommitted();
     }
   }
 
   @Override
-  public void leaderIs(final String identity, final boolean self) {
+  public void onLeaderChange(final String identity, final boolean self) {
     if (streamServer != null) {
       if (!self) {
-        admission.leaderChanged();
+        admission.onLeaderChange();
       }
-      streamServer.leaderChanged();
+      streamServer.onLeaderChange();
     }
   }
 }
--- a/src/main/java/yewjunction/raft/AppendOnlyFile.java
+++ b/src/main/java/yewjunction/raft/AppendOnlyFile.java
@@ -38,7 +38,8 @@
           name + " is damaged at byte " + scan.validBytes() + " of " + bytes.length);
     }
     if (scan.validBytes() < bytes.length) {
-      LogEvent.TAIL_CUT.warn(name + " at byte " + scan.validBytes() + " of " + bytes.length);
+      LogEvent.LOG_TAIL_TRUNCATED.warn(
+          name + " at byte " + scan.validBytes() + " of " + bytes.length);
       disk.truncate(name, scan.validBytes());
     }
     // Synced before anything builds on it: what was read may not have reached the disk yet.
--- a/src/main/java/yewjunction/raft/CommitTracker.java
+++ b/src/main/java/yewjunction/raft/CommitTracker.java
@@ -178,7 +178,7 @@
         () -> {
           compacting = false;
           compactedBytes = raftNode.storage.fileBytes();
-          LogEvent.LEDGER_REWRITTEN.info("group " + raftNode.group + " bytes " + compactedBytes);
+          LogEvent.LOG_COMPACTED.info("group " + raftNode.group + " bytes " + compactedBytes);
         });
   }
 
--- a/src/main/java/yewjunction/raft/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -35,7 +35,7 @@
     electionDueMs =
         raftNode.context.nowMs()
             + leastMs
-            + raftNode.context.luck().nextInt((int) (mostMs - leastMs));
+            + raftNode.context.random().nextInt((int) (mostMs - leastMs));
   }
 
   /** After a loss of power all members start together and nobody leads: the first wait is short. */
@@ -50,7 +50,7 @@
    */
   void onLeaderDisconnected() {
     resetTimeout(MIN_DISCONNECT_ELECTION_TIMEOUT_MS, MAX_DISCONNECT_ELECTION_TIMEOUT_MS);
-    raftNode.context.after(electionDueMs - raftNode.context.nowMs(), this::campaignIfDue);
+    raftNode.context.schedule(electionDueMs - raftNode.context.nowMs(), this::campaignIfDue);
   }
 
   private void campaignIfDue() {
@@ -69,7 +69,7 @@
       campaignIfDue();
     } finally {
       // A turn that fails must not be the last look.
-      raftNode.context.after(
+      raftNode.context.schedule(
           Math.max(
               10,
               raftNode.isLeader()
@@ -126,7 +126,7 @@
         request.lastIndex = raftNode.log.lastIndex();
         request.lastTerm = raftNode.log.lastTerm();
         raftNode.handshakes.send(
-            raftNode.transport.dial(RaftNode.addressOf(voter)),
+            raftNode.transport.connect(RaftNode.addressOf(voter)),
             RaftMessages.withTerm(
                 raftNode.withHeader(request, voter), raftNode.storage.term + (pre ? 1 : 0)));
       }
@@ -155,7 +155,7 @@
       requestVotes(false);
     } else {
       end();
-      LogEvent.LEADER_WON.info("group " + raftNode.group + " term " + raftNode.storage.term);
+      LogEvent.LEADERSHIP_GAINED.info("group " + raftNode.group + " term " + raftNode.storage.term);
       raftNode.becomeLeader();
     }
   }
--- a/src/main/java/yewjunction/raft/FollowerState.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -27,7 +27,7 @@
     final JoinRequest request = raftNode.withHeader(new JoinRequest(), null);
     request.wantsVote = wantsVote;
     request.leaving = leaves ? true : null;
-    raftNode.handshakes.send(raftNode.transport.dial(peerAddress), request);
+    raftNode.handshakes.send(raftNode.transport.connect(peerAddress), request);
   }
 
   void onVoteRequest(final PeerConnection connection, final VoteRequest request) {
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -39,7 +39,7 @@
       final Supplier<List<String>> chosenPeers, final BooleanSupplier chosenWantsVote) {
     peers = chosenPeers;
     wantsVote = chosenWantsVote;
-    raftNode.context.every(REGISTRATION_INTERVAL_MS, this::requestToJoin);
+    raftNode.context.scheduleAtFixedRate(REGISTRATION_INTERVAL_MS, this::requestToJoin);
   }
 
   /** Whether this member votes, as far as its own log says. */
@@ -88,7 +88,7 @@
     if (!raftNode.isLeader()) {
       requestToJoin();
     }
-    raftNode.context.after(LEAVE_CHECK_INTERVAL_MS, () -> awaitReplacement(startMs, ended));
+    raftNode.context.schedule(LEAVE_CHECK_INTERVAL_MS, () -> awaitReplacement(startMs, ended));
   }
 
   /**
--- a/src/main/java/yewjunction/raft/LeaderState.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -85,7 +85,7 @@
       return;
     }
     // Armed first: a turn that fails must not be the last beat.
-    raftNode.context.after(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
+    raftNode.context.schedule(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
     final long nowMs = raftNode.context.nowMs();
     // A leader that a majority no longer answers steps down, so that others are not led astray.
     final List<String> voters = raftNode.voters();
@@ -127,7 +127,7 @@
   private void scheduleSend() {
     if (!sendScheduled) {
       sendScheduled = true;
-      raftNode.context.post(
+      raftNode.context.execute(
           () -> {
             sendScheduled = false;
             replicateToAll();
@@ -142,7 +142,7 @@
   private void scheduleCommitNotice() {
     if (!commitNoticeScheduled) {
       commitNoticeScheduled = true;
-      raftNode.context.after(
+      raftNode.context.schedule(
           COMMIT_NOTICE_DELAY_MS,
           () -> {
             commitNoticeScheduled = false;
--- a/src/main/java/yewjunction/raft/MessageRouter.java
+++ b/src/main/java/yewjunction/raft/MessageRouter.java
@@ -54,7 +54,7 @@
             // The newcomer may not know the leader's machine yet; passed on once, so that it never
             // runs in circles.
             request.forwarded = true;
-            raftNode.transport.dial(RaftNode.addressOf(raftNode.leader())).send(request);
+            raftNode.transport.connect(RaftNode.addressOf(raftNode.leader())).send(request);
           }
         });
     handle(
@@ -69,7 +69,7 @@
 
   private <T extends RaftMessages.RaftMessage> void handle(
       final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-    raftNode.transport.on(
+    raftNode.transport.onMessage(
         kind,
         (connection, letter) -> {
           // Another group, or an identity whose disk is gone: not for this member.
--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -10,16 +10,16 @@
 
   public static void register(final MessageCodec codec) {
     codec
-        .know(10, VoteRequest.class)
-        .know(11, VoteResponse.class)
-        .know(12, AppendEntriesRequest.class)
-        .know(13, AppendEntriesResponse.class)
-        .know(14, InstallSnapshotRequest.class)
-        .know(15, TimeoutNowRequest.class)
-        .know(16, JoinRequest.class)
-        .know(17, InstallSnapshotResponse.class)
-        .know(18, FetchRequest.class)
-        .know(19, FetchResponse.class);
+        .register(10, VoteRequest.class)
+        .register(11, VoteResponse.class)
+        .register(12, AppendEntriesRequest.class)
+        .register(13, AppendEntriesResponse.class)
+        .register(14, InstallSnapshotRequest.class)
+        .register(15, TimeoutNowRequest.class)
+        .register(16, JoinRequest.class)
+        .register(17, InstallSnapshotResponse.class)
+        .register(18, FetchRequest.class)
+        .register(19, FetchResponse.class);
   }
 
   /** Common to all: the group, who speaks, to whom, in which term. */
--- a/src/main/java/yewjunction/raft/RaftNode.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -61,7 +61,7 @@
     election = new Election(this);
     commitTracker = new CommitTracker(this, stateMachine);
     leaderContactMs = -MAX_ELECTION_TIMEOUT_MS;
-    LogEvent.LEDGER_OPENED.info(
+    LogEvent.LOG_OPENED.info(
         "group "
             + group
             + " identity "
@@ -192,7 +192,7 @@
   }
 
   void sendTo(final String identity, final RaftMessages.RaftMessage message) {
-    handshakes.send(transport.dial(addressOf(identity)), withHeader(message, identity));
+    handshakes.send(transport.connect(addressOf(identity)), withHeader(message, identity));
   }
 
   void resetElectionTimeout() {
@@ -247,7 +247,7 @@
     if (led) {
       // Whoever is told no here must not find a leader any more: it would propose in a term that is
       // another's.
-      LogEvent.LEADER_LOST.info("group " + group + " term " + storage.term);
+      LogEvent.LEADERSHIP_LOST.info("group " + group + " term " + storage.term);
       leaderState.stop();
     }
     election.end();
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -247,7 +247,7 @@
     }
     transferring = true;
     transferSent = false;
-    LogEvent.LEADER_HANDED.info("group " + raftNode.group);
+    LogEvent.LEADERSHIP_TRANSFERRED.info("group " + raftNode.group);
     leaderState.progressByMember.forEach(this::continueTransfer);
     awaitTransfer(raftNode.context.nowMs(), done);
   }
@@ -257,7 +257,7 @@
       reset();
       done.run();
     } else {
-      raftNode.context.after(20, () -> awaitTransfer(startMs, done));
+      raftNode.context.schedule(20, () -> awaitTransfer(startMs, done));
     }
   }
 
--- a/src/main/java/yewjunction/raft/ZoneRelay.java
+++ b/src/main/java/yewjunction/raft/ZoneRelay.java
@@ -48,7 +48,7 @@
     request.nextIndex = raftNode.log.lastIndex() + 1;
     request.lastTerm = raftNode.log.lastTerm();
     lastFetchMs = raftNode.context.nowMs();
-    raftNode.handshakes.send(raftNode.transport.dial(sourceAddress), request);
+    raftNode.handshakes.send(raftNode.transport.connect(sourceAddress), request);
   }
 
   /**
--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -18,7 +18,7 @@
  */
 final class BlockingTaskExecutor implements TaskExecutor {
   private final AgentContext context;
-  private final IntConsumer ending;
+  private final IntConsumer exit;
   private final ExecutorService pool =
       Executors.newSingleThreadExecutor(
           task -> {
@@ -30,7 +30,7 @@
   /** Ending ends the process with a code, at once. */
   BlockingTaskExecutor(final AgentContext context, final IntConsumer ending) {
     this.context = context;
-    this.ending = ending;
+    this.exit = ending;
   }
 
   @Override
@@ -38,8 +38,8 @@
     pool.execute(
         () -> {
           try {
-            insist(blocking);
-            context.post(afterwards);
+            runRetryingFullDisk(blocking);
+            context.execute(afterwards);
           } catch (final Throwable failure) {
             // A disk that fails a sync can no longer be trusted: better down than wrong. An error
             // too, as of memory: the
@@ -48,7 +48,7 @@
             try {
               LogEvent.DISK_FAILED.warn(String.valueOf(failure.getMessage()), failure);
             } finally {
-              ending.accept(ExitCode.DISK_FAILED);
+              exit.accept(ExitCode.DISK_FAILED);
             }
           }
         });
@@ -58,13 +58,13 @@
    * A full disk takes nothing and nothing is acknowledged; once there is room the very same is
    * written.
    */
-  private static void insist(final Runnable blocking) throws InterruptedException {
+  private static void runRetryingFullDisk(final Runnable blocking) throws InterruptedException {
     boolean told = false;
     while (true) {
       try {
         blocking.run();
         if (told) {
-          LogEvent.DISK_TAKES.info("after a while without room");
+          LogEvent.DISK_RECOVERED.info("after a while without room");
         }
         return;
       } catch (final YewjunctionException failure) {
--- a/src/main/java/yewjunction/server/HttpEndpoint.java
+++ b/src/main/java/yewjunction/server/HttpEndpoint.java
@@ -67,7 +67,7 @@
 
   /** What the owner of the tables does with a call; it answers once, maybe later. */
   interface Owner {
-    void take(OperatorApi.Request request, Consumer<OperatorApi.Response> responder);
+    void handle(OperatorApi.Request request, Consumer<OperatorApi.Response> responder);
   }
 
   /**
@@ -82,13 +82,13 @@
           final OperatorApi.Request request = read(exchange);
           final CompletableFuture<OperatorApi.Response> promise = new CompletableFuture<>();
           promise.thenAcceptAsync(response -> reply(exchange, response), pool);
-          context.post(
+          context.execute(
               () -> {
-                context.after(request.patienceMs(), () -> promise.complete(NO_ANSWER));
+                context.schedule(request.callerTimeoutMs(), () -> promise.complete(NO_ANSWER));
                 try {
-                  owner.take(request, promise::complete);
+                  owner.handle(request, promise::complete);
                 } catch (final RuntimeException failure) {
-                  LogEvent.TURN_DEFECT.warn("an operator's call", failure);
+                  LogEvent.UNEXPECTED_ERROR.warn("an operator's call", failure);
                   promise.complete(NO_ANSWER);
                 }
               });
@@ -105,7 +105,7 @@
               try {
                 blocking.run();
               } finally {
-                context.post(afterwards);
+                context.execute(afterwards);
               }
             });
   }
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -44,7 +44,7 @@
   private boolean stopping;
 
   /** Written by the owner before it ends, read by whoever awaited that. */
-  private RuntimeException startDefect;
+  private RuntimeException startFailure;
 
   public ServerProcess(final SettingsReloader file, final Settings settings, final NodeRole role) {
     this.file = file;
@@ -57,45 +57,45 @@
     agent = new EventLoopAgent(life ^ System.nanoTime());
     final MessageCodec codec = new MessageCodec();
     yewjunction.raft.RaftMessages.register(codec);
-    yewjunction.membership.MembershipMessages.know(codec);
-    yewjunction.control.LeaseMessages.know(codec);
-    yewjunction.store.AdmissionMessages.know(codec);
-    yewjunction.fanout.FanoutMessages.know(codec);
+    yewjunction.membership.MembershipMessages.register(codec);
+    yewjunction.control.LeaseMessages.register(codec);
+    yewjunction.store.AdmissionMessages.register(codec);
+    yewjunction.fanout.FanoutMessages.register(codec);
     final TcpPeerTransport transport =
         new TcpPeerTransport(agent, codec, SocketAddresses.parse(address));
     final Member self = new Member();
     self.address = address;
     self.node = settings.node();
     self.zone = settings.zone();
-    self.duty = role.wireName();
-    self.front = settings.front();
+    self.role = role.wireName();
+    self.clientAddress = settings.clientAddress();
     self.life = life;
-    self.begin(System.currentTimeMillis());
+    self.setIncarnation(System.currentTimeMillis());
     final UdpTransport datagrams = new UdpTransport(agent, codec, SocketAddresses.parse(address));
     membership = new MembershipList(agent, self, datagrams::send);
-    datagrams.onLetter(membership::take);
+    datagrams.onMessage(membership::onMessage);
     node =
         switch (role) {
           case CONTROL ->
-              new ControlNode(agent, transport, disk(), worker(), membership, settings, life);
+              new ControlNode(agent, transport, disk(), executor(), membership, settings, life);
           case STORE ->
-              new StoreNode(agent, transport, disk(), worker(), membership, settings, life);
+              new StoreNode(agent, transport, disk(), executor(), membership, settings, life);
           case EDGE -> new EdgeNode(agent, transport, membership, settings, life);
         };
   }
 
-  private BlockingTaskExecutor worker() {
+  private BlockingTaskExecutor executor() {
     return new BlockingTaskExecutor(agent, Runtime.getRuntime()::halt);
   }
 
   /** Whose signals it takes; those of a process of its own. */
-  public ServerProcess signalled(final SignalHandlers chosenSignals) {
+  public ServerProcess withSignals(final SignalHandlers chosenSignals) {
     signals = chosenSignals;
     return this;
   }
 
   /** Planned work from calendar files; read again with the settings. */
-  public ServerProcess planned(final String chosenCalendar) {
+  public ServerProcess withCalendar(final String chosenCalendar) {
     calendar = chosenCalendar;
     readCalendar();
     return this;
@@ -104,9 +104,9 @@
   private void readCalendar() {
     if (calendar != null) {
       final MaintenanceWindows windows = MaintenanceWindows.read(Path.of(calendar));
-      windows.bad().forEach(LogEvent.CALENDAR_BAD::warn);
-      membership.planned(
-          member -> windows.explains(Instant.now(), List.of(member.node, member.zone)));
+      windows.unreadable().forEach(LogEvent.CALENDAR_INVALID::warn);
+      membership.setPlannedWork(
+          member -> windows.plannedWorkFor(Instant.now(), List.of(member.node, member.zone)));
     }
   }
 
@@ -119,11 +119,12 @@
   /** Opens the doors to the outside that this duty has. */
   private void listen() {
     if (node instanceof ControlNode controlNode) {
-      controlNode.desk().readBy(HttpEndpoint.reader(agent));
-      HttpEndpoint.operator(settings.control(), agent, controlNode.desk()::take);
+      controlNode.operatorApi().setExecutor(HttpEndpoint.reader(agent));
+      HttpEndpoint.operator(settings.operatorAddress(), agent, controlNode.operatorApi()::handle);
     } else if (node instanceof EdgeNode edge) {
-      TcpClientConnection.listen(agent, SocketAddresses.parse(settings.front()), edge::greet);
-      HttpEndpoint.readiness(settings.ready(), edge::ready);
+      TcpClientConnection.listen(
+          agent, SocketAddresses.parse(settings.clientAddress()), edge::newHandler);
+      HttpEndpoint.readiness(settings.readinessAddress(), edge::ready);
     }
   }
 
@@ -132,18 +133,18 @@
     final AgentRunner runner =
         new AgentRunner(
             NoOpIdleStrategy.INSTANCE,
-            failure -> broken(failure, Runtime.getRuntime()::halt),
+            failure -> onAgentError(failure, Runtime.getRuntime()::halt),
             null,
             agent);
-    agent.post(this::start);
+    agent.execute(this::start);
     // Behind the start: a signal that came early finds a process that has started.
-    signals.deliver(
-        kind -> agent.post(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::hungUp));
-    agent.every(
+    signals.setReceiver(
+        kind -> agent.execute(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::onHangUp));
+    agent.scheduleAtFixedRate(
         SETTINGS_CHECK_INTERVAL_MS,
         () -> {
-          if (file.due()) {
-            reread();
+          if (file.shouldReload()) {
+            reloadSettings();
           }
         });
     AgentRunner.startOnThread(runner);
@@ -152,22 +153,22 @@
     } catch (final InterruptedException failure) {
       Thread.currentThread().interrupt();
     }
-    if (startDefect != null) {
-      throw startDefect;
+    if (startFailure != null) {
+      throw startFailure;
     }
     return ExitCode.OK;
   }
 
   private void start() {
     try {
-      membership.start(settings.coreAddresses());
+      membership.start(settings.controlNodeAddresses());
       node.start();
       listen();
       LogEvent.STARTED.info(settings.node() + " " + settings.role());
     } catch (final RuntimeException failure) {
       // A process without its doors serves nobody, and nobody would notice: it ends and says why.
       stopping = true;
-      startDefect = failure;
+      startFailure = failure;
       ended.countDown();
     }
   }
@@ -176,9 +177,9 @@
    * What one turn can't contain: after an error tables may be half changed, and only the disk says
    * what was promised.
    */
-  static void broken(final Throwable failure, final IntConsumer ending) {
+  static void onAgentError(final Throwable failure, final IntConsumer ending) {
     try {
-      LogEvent.TURN_DEFECT.warn("loom", failure);
+      LogEvent.UNEXPECTED_ERROR.warn("loom", failure);
     } finally {
       if (failure instanceof Error) {
         ending.accept(ExitCode.UNEXPECTED_ERROR);
@@ -195,7 +196,7 @@
       } catch (final RuntimeException failure) {
         // What it could not give up in order ends as by a kill, and at once rather than after the
         // platform's grace.
-        LogEvent.TURN_DEFECT.warn("stop", failure);
+        LogEvent.UNEXPECTED_ERROR.warn("stop", failure);
         end();
       }
     }
@@ -204,26 +205,26 @@
   private void end() {
     // One more turn, so that what is written in this one leaves; armed first, so that it ends
     // whatever fails here.
-    agent.after(20, ended::countDown);
+    agent.schedule(20, ended::countDown);
     membership.leave();
     LogEvent.STOPPED.info(settings.node() + " " + settings.role());
   }
 
-  private void hungUp() {
-    file.lookAgain();
-    reread();
+  private void onHangUp() {
+    file.forceNextCheck();
+    reloadSettings();
   }
 
-  private void reread() {
+  private void reloadSettings() {
     try {
       final Settings fresh = file.load();
-      membership.seeds(fresh.coreAddresses());
-      node.reread(fresh);
+      membership.setSeeds(fresh.controlNodeAddresses());
+      node.onSettingsChanged(fresh);
       readCalendar();
-      LogEvent.SETTINGS_REREAD.info(file.toString());
+      LogEvent.SETTINGS_RELOADED.info(file.toString());
     } catch (final YewjunctionException failure) {
       // The settings in force stay: a bad file must not stop a node that works.
-      LogEvent.SETTINGS_BAD.warn(failure.code() + " " + failure.getMessage());
+      LogEvent.SETTINGS_INVALID.warn(failure.code() + " " + failure.getMessage());
     }
   }
 }
--- a/src/main/java/yewjunction/server/SettingsReloader.java
+++ b/src/main/java/yewjunction/server/SettingsReloader.java
@@ -11,13 +11,13 @@
   private final Path file;
 
   /** The file's time and size before it was last read; null where it could not be looked at. */
-  private String readState;
+  private String loadedState;
 
   /**
    * The writer may still have been at it, within one tick of the file's clock: read once more at
    * the next look.
    */
-  private boolean again;
+  private boolean checkAgain;
 
   public SettingsReloader(final Path file) {
     this.file = file;
@@ -28,25 +28,25 @@
    * look.
    */
   public Settings load() {
-    readState = state();
+    loadedState = fileState();
     return Settings.load(file);
   }
 
   /** To be read at the next look, whatever its time says. */
-  void lookAgain() {
-    again = true;
+  void forceNextCheck() {
+    checkAgain = true;
   }
 
   /** Whether it is to be read: once for a change, and once more a look later. */
-  boolean due() {
-    final String state = state();
-    final boolean changed = state != null && !state.equals(readState);
-    final boolean due = changed || again;
-    again = changed;
+  boolean shouldReload() {
+    final String state = fileState();
+    final boolean changed = state != null && !state.equals(loadedState);
+    final boolean due = changed || checkAgain;
+    checkAgain = changed;
     return due;
   }
 
-  private String state() {
+  private String fileState() {
     try {
       final BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
       return attributes.lastModifiedTime().toMillis() + " " + attributes.size();
--- a/src/main/java/yewjunction/server/SignalHandlers.java
+++ b/src/main/java/yewjunction/server/SignalHandlers.java
@@ -13,33 +13,33 @@
   /** What a signal asks for. */
   enum Kind {
     STOP,
-    REREAD
+    RELOAD
   }
 
-  private final ArrayDeque<Kind> early = new ArrayDeque<>();
-  private Consumer<Kind> taker;
+  private final ArrayDeque<Kind> pendingSignals = new ArrayDeque<>();
+  private Consumer<Kind> receiver;
 
   public static SignalHandlers listen() {
     final SignalHandlers signals = new SignalHandlers();
-    Signal.handle(new Signal("TERM"), signal -> signals.came(Kind.STOP));
-    Signal.handle(new Signal("INT"), signal -> signals.came(Kind.STOP));
-    Signal.handle(new Signal("HUP"), signal -> signals.came(Kind.REREAD));
+    Signal.handle(new Signal("TERM"), signal -> signals.onSignal(Kind.STOP));
+    Signal.handle(new Signal("INT"), signal -> signals.onSignal(Kind.STOP));
+    Signal.handle(new Signal("HUP"), signal -> signals.onSignal(Kind.RELOAD));
     return signals;
   }
 
   /** The lock is held for a put into the owner's queue at most: nobody waits inside. */
-  synchronized void came(final Kind kind) {
-    if (taker == null) {
-      early.add(kind);
+  synchronized void onSignal(final Kind kind) {
+    if (receiver == null) {
+      pendingSignals.add(kind);
     } else {
-      taker.accept(kind);
+      receiver.accept(kind);
     }
   }
 
   /** From now on they go there, those that came early first and in their order. */
-  synchronized void deliver(final Consumer<Kind> newTaker) {
-    early.forEach(newTaker);
-    early.clear();
-    taker = newTaker;
+  synchronized void setReceiver(final Consumer<Kind> newTaker) {
+    pendingSignals.forEach(newTaker);
+    pendingSignals.clear();
+    receiver = newTaker;
   }
 }
--- a/src/main/java/yewjunction/settings/Settings.java
+++ b/src/main/java/yewjunction/settings/Settings.java
@@ -23,15 +23,15 @@
     List<String> serves,
     String ip,
     String zone,
-    String front,
-    String ready,
-    String control,
+    String clientAddress,
+    String readinessAddress,
+    String operatorAddress,
     int firstPort,
     int lastPort,
     List<String> seeds,
-    boolean founding,
+    boolean bootstrap,
     String dataFolder,
-    int lossesBorne,
+    int toleratedLosses,
     double pingS,
     double quotaWindowS,
     double quotaExcess,
@@ -69,7 +69,7 @@
     final Map<?, ?> listen = map(map, "Listen");
     final Map<?, ?> bounds = map(map, "Bounds");
     final Map<?, ?> tolerate = map(map, "Tolerate");
-    final List<String> serves = texts(map, "Serves");
+    final List<String> serves = textList(map, "Serves");
     final List<?> ports = list(map, "PortRange");
     if (ports.size() != 2
         || !(ports.get(0) instanceof Integer first)
@@ -83,7 +83,7 @@
     final boolean edge = serves.contains("edge");
     final boolean disk =
         serves.contains("store") || serves.contains("ctl") && map.get("Datadir") != null;
-    final List<String> seeds = texts(map, "Seeds");
+    final List<String> seeds = textList(map, "Seeds");
     seeds.forEach(seed -> address(seed, "Seeds"));
     final String ip = text(map, "Ip");
     address(ip + ":1", "Ip");
@@ -93,9 +93,9 @@
         serves,
         ip,
         text(map, "Az"),
-        edge ? listening(listen, "Fe") : "",
-        edge ? listening(listen, "Ready") : "",
-        serves.contains("ctl") ? listening(listen, "Ctl") : "",
+        edge ? listenAddress(listen, "Fe") : "",
+        edge ? listenAddress(listen, "Ready") : "",
+        serves.contains("ctl") ? listenAddress(listen, "Ctl") : "",
         first,
         last,
         seeds,
@@ -127,7 +127,7 @@
     return list;
   }
 
-  private static List<String> texts(final Map<?, ?> from, final String field) {
+  private static List<String> textList(final Map<?, ?> from, final String field) {
     final List<String> texts = new ArrayList<>();
     list(from, field).forEach(item -> texts.add(String.valueOf(item)));
     return texts;
@@ -141,7 +141,7 @@
     return String.valueOf(value);
   }
 
-  private static String listening(final Map<?, ?> listen, final String field) {
+  private static String listenAddress(final Map<?, ?> listen, final String field) {
     final Object value = listen.get(field);
     if (value == null) {
       throw new SettingsException(SETTINGS_FIELD, "Listen." + field + ": is missing");
@@ -172,7 +172,7 @@
   }
 
   /** Peer addresses of the cruxes on the seeds' machines: ports are alike on all. */
-  public List<String> coreAddresses() {
+  public List<String> controlNodeAddresses() {
     return seeds.stream()
         .map(seed -> SocketAddresses.ip(seed) + ":" + (firstPort + CONTROL_PORT_OFFSET))
         .distinct()
@@ -183,7 +183,7 @@
    * Two copies must outlast the losses to be borne: so many voters make a majority without them.
    */
   public int votersNeeded() {
-    return 2 * Math.max(1, lossesBorne) + 1;
+    return 2 * Math.max(1, toleratedLosses) + 1;
   }
 
   public String address(final int offset) {
--- a/src/main/java/yewjunction/store/AcceptedNumbers.java
+++ b/src/main/java/yewjunction/store/AcceptedNumbers.java
@@ -10,15 +10,15 @@
 
 /** Which numbers of a client were accepted on a topic. */
 final class AcceptedNumbers {
-  private final Map<String, SenderHistory> tracks = new HashMap<>();
+  private final Map<String, SenderHistory> histories = new HashMap<>();
 
   /** One client on one topic. */
   static final class SenderHistory {
     String key = "";
     long highest;
     List<Long> recent = new ArrayList<>();
-    transient List<Long> recentAtMs = new ArrayList<>();
-    transient long atMs;
+    transient List<Long> recentReceivedMs = new ArrayList<>();
+    transient long lastReceivedMs;
   }
 
   static String key(final String client, final String topic) {
@@ -27,7 +27,7 @@
 
   void accept(final String client, final String topic, final long number, final long nowMs) {
     final SenderHistory history =
-        tracks.computeIfAbsent(key(client, topic), key -> new SenderHistory());
+        histories.computeIfAbsent(key(client, topic), key -> new SenderHistory());
     // Invariant: numbers of a client rise on a topic; the gate lets nothing else through.
     if (number <= history.highest) {
       throw new IllegalStateException(
@@ -35,46 +35,47 @@
     }
     history.key = key(client, topic);
     history.highest = number;
-    history.atMs = nowMs;
+    history.lastReceivedMs = nowMs;
     history.recent.add(number);
-    history.recentAtMs.add(nowMs);
+    history.recentReceivedMs.add(nowMs);
   }
 
   boolean accepted(final String client, final String topic, final long number) {
-    final SenderHistory history = tracks.get(key(client, topic));
+    final SenderHistory history = histories.get(key(client, topic));
     return history != null && history.recent.contains(number);
   }
 
   long highest(final String client, final String topic) {
-    final SenderHistory history = tracks.get(key(client, topic));
+    final SenderHistory history = histories.get(key(client, topic));
     return history == null ? 0 : history.highest;
   }
 
-  void sweep(final long nowMs) {
-    for (final Iterator<SenderHistory> each = tracks.values().iterator(); each.hasNext(); ) {
+  void removeExpired(final long nowMs) {
+    for (final Iterator<SenderHistory> each = histories.values().iterator(); each.hasNext(); ) {
       final SenderHistory history = each.next();
-      while (!history.recent.isEmpty() && nowMs - history.recentAtMs.get(0) > NUMBER_RETENTION_MS) {
+      while (!history.recent.isEmpty()
+          && nowMs - history.recentReceivedMs.get(0) > NUMBER_RETENTION_MS) {
         history.recent.remove(0);
-        history.recentAtMs.remove(0);
+        history.recentReceivedMs.remove(0);
       }
       // The highest number outlives the list: a much later low one must still be denied.
-      if (history.recent.isEmpty() && nowMs - history.atMs > 10 * NUMBER_RETENTION_MS) {
+      if (history.recent.isEmpty() && nowMs - history.lastReceivedMs > 10 * NUMBER_RETENTION_MS) {
         each.remove();
       }
     }
   }
 
   List<SenderHistory> all() {
-    return new ArrayList<>(tracks.values());
+    return new ArrayList<>(histories.values());
   }
 
   void restore(final List<SenderHistory> saved, final long nowMs) {
-    tracks.clear();
+    histories.clear();
     for (final SenderHistory history : saved) {
-      history.atMs = nowMs;
-      history.recentAtMs = new ArrayList<>();
-      history.recent.forEach(number -> history.recentAtMs.add(nowMs));
-      tracks.put(history.key, history);
+      history.lastReceivedMs = nowMs;
+      history.recentReceivedMs = new ArrayList<>();
+      history.recent.forEach(number -> history.recentReceivedMs.add(nowMs));
+      histories.put(history.key, history);
     }
   }
 }
--- a/src/main/java/yewjunction/store/AdmissionController.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -3,7 +3,7 @@
 import static yewjunction.limits.QuotaLimits.NUMBER_RETENTION_MS;
 import static yewjunction.store.AdmissionMessages.ACCEPTED;
 import static yewjunction.store.AdmissionMessages.DENIED;
-import static yewjunction.store.AdmissionMessages.ELSEWHERE;
+import static yewjunction.store.AdmissionMessages.NOT_LEADER;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -31,7 +31,7 @@
 
   private final QuotaBorrowing borrowing;
 
-  private record Requester(PeerConnection connection, long request) {}
+  private record Requester(PeerConnection connection, long requestId) {}
 
   public AdmissionController(
       final AgentContext context,
@@ -42,28 +42,29 @@
     this.raftNode = raftNode;
     this.messageStore = messageStore;
     borrowing = new QuotaBorrowing(context, raftNode, messageStore);
-    transport.on(AdmitRequest.class, this::admit);
+    transport.onMessage(AdmitRequest.class, this::onAdmitRequest);
   }
 
   private static String key(final StoredMessage message) {
-    return AcceptedNumbers.key(message.client, message.topic) + " " + message.number;
+    return AcceptedNumbers.key(message.client, message.topic) + " " + message.sequenceNumber;
   }
 
   /** The leader's side of borrowing ahead. */
-  public QuotaBorrowing lending() {
+  public QuotaBorrowing borrowing() {
     return borrowing;
   }
 
-  private void admit(final PeerConnection connection, final AdmitRequest request) {
+  private void onAdmitRequest(final PeerConnection connection, final AdmitRequest request) {
     // What an edge says of accounts counts for nothing: only the leader stamps.
-    request.message.stampMs = null;
-    request.message.change = null;
-    final Requester requester = new Requester(connection, request.request);
+    request.message.logTimeMs = null;
+    request.message.termsChange = null;
+    final Requester requester = new Requester(connection, request.requestId);
     final StoredMessage message = request.message;
     if (request.revoked != null
         && raftNode.isReadyLeader()
         && !inFlight.containsKey(key(message))
-        && !messageStore.acceptedNumbers.accepted(message.client, message.topic, message.number)) {
+        && !messageStore.acceptedNumbers.accepted(
+            message.client, message.topic, message.sequenceNumber)) {
       deny(key(message), requester);
     } else {
       decide(requester, message, false);
@@ -74,51 +75,52 @@
   private void decide(
       final Requester requester, final StoredMessage message, final boolean inTurn) {
     if (!raftNode.isReadyLeader()) {
-      answer(requester, ELSEWHERE);
+      respond(requester, NOT_LEADER);
       return;
     }
     final String key = key(message);
     final String track = AcceptedNumbers.key(message.client, message.topic);
     final List<Requester> askers = inFlight.get(key);
-    if (messageStore.acceptedNumbers.accepted(message.client, message.topic, message.number)) {
-      answer(requester, ACCEPTED);
+    if (messageStore.acceptedNumbers.accepted(
+        message.client, message.topic, message.sequenceNumber)) {
+      respond(requester, ACCEPTED);
     } else if (askers != null) {
       askers.add(requester);
     } else if (deniedMs.containsKey(key)) {
-      answer(requester, DENIED);
-    } else if (message.number
+      respond(requester, DENIED);
+    } else if (message.sequenceNumber
         <= Math.max(
             messageStore.acceptedNumbers.highest(message.client, message.topic),
             highestInFlight.getOrDefault(track, 0L))) {
       // Never accepted and below an accepted one: it would break the sender's order.
       deny(key, requester);
-    } else if (borrowing.keeps(message.tenant)) {
-      account(key, track, message, requester, inTurn);
-    } else if (!messageStore.rateLimiter.take(message.tenant, context.nowMs())) {
+    } else if (borrowing.hasAccount(message.tenant)) {
+      decideByAccount(key, track, message, requester, inTurn);
+    } else if (!messageStore.rateLimiter.tryAcquire(message.tenant, context.nowMs())) {
       deny(key, requester);
     } else {
-      append(key, track, message, requester);
+      propose(key, track, message, requester);
     }
   }
 
-  private void account(
+  private void decideByAccount(
       final String key,
       final String track,
       final StoredMessage message,
       final Requester requester,
       final boolean inTurn) {
-    final long stampMs = borrowing.stampMs();
-    switch (borrowing.verdict(message.tenant, stampMs, inTurn)) {
-      case PAYS, BORROWS -> {
-        message.stampMs = stampMs;
-        append(key, track, message, requester);
+    final long stampMs = borrowing.logTimeMs();
+    switch (borrowing.decide(message.tenant, stampMs, inTurn)) {
+      case PAY, BORROW -> {
+        message.logTimeMs = stampMs;
+        propose(key, track, message, requester);
       }
-      case WAITS -> borrowing.await(message.tenant, () -> decide(requester, message, true));
+      case WAIT -> borrowing.await(message.tenant, () -> decide(requester, message, true));
       default -> deny(key, requester);
     }
   }
 
-  private void append(
+  private void propose(
       final String key,
       final String track,
       final StoredMessage message,
@@ -126,28 +128,28 @@
     final List<Requester> askers = new ArrayList<>(1);
     askers.add(requester);
     inFlight.put(key, askers);
-    highestInFlight.put(track, message.number);
+    highestInFlight.put(track, message.sequenceNumber);
     final boolean taken =
         raftNode.propose(
-            MessageStore.bytes(message),
+            MessageStore.encode(message),
             done -> {
               final List<Requester> owed = inFlight.remove(key);
-              highestInFlight.remove(track, message.number);
-              borrowing.settled();
+              highestInFlight.remove(track, message.sequenceNumber);
+              borrowing.onSettled();
               // Without a clear end nothing is said: the edge asks the next leader with the same
               // number.
               if (done && owed != null) {
-                owed.forEach(one -> answer(one, ACCEPTED));
+                owed.forEach(one -> respond(one, ACCEPTED));
               }
             });
     if (taken) {
-      borrowing.proposed(
-          message.stampMs == null ? "" : message.tenant,
-          message.stampMs == null ? 0 : message.stampMs);
+      borrowing.onProposed(
+          message.logTimeMs == null ? "" : message.tenant,
+          message.logTimeMs == null ? 0 : message.logTimeMs);
     } else {
       inFlight.remove(key);
       highestInFlight.remove(track);
-      answer(requester, ELSEWHERE);
+      respond(requester, NOT_LEADER);
     }
   }
 
@@ -161,25 +163,25 @@
       }
       each.remove();
     }
-    answer(requester, DENIED);
+    respond(requester, DENIED);
   }
 
-  private static void answer(final Requester requester, final int what) {
+  private static void respond(final Requester requester, final int what) {
     final AdmitResponse response = new AdmitResponse();
-    response.request = requester.request;
-    response.what = what;
+    response.requestId = requester.requestId;
+    response.outcome = what;
     requester.connection.send(response);
   }
 
   /** Whether this leader admitted the message itself. */
-  public boolean admitted(final StoredMessage message) {
+  public boolean isInFlight(final StoredMessage message) {
     return inFlight.containsKey(key(message));
   }
 
   /** The leadership changed: what was in flight is the log's matter now. */
-  public void leaderChanged() {
+  public void onLeaderChange() {
     inFlight.clear();
     highestInFlight.clear();
-    borrowing.leaderChanged();
+    borrowing.onLeaderChange();
   }
 }
--- a/src/main/java/yewjunction/store/AdmissionMessages.java
+++ b/src/main/java/yewjunction/store/AdmissionMessages.java
@@ -12,14 +12,14 @@
   public static final int DENIED = 2;
 
   /** Not the leader: nothing was done here. */
-  public static final int ELSEWHERE = 3;
+  public static final int NOT_LEADER = 3;
 
-  public static void know(final MessageCodec codec) {
-    codec.know(70, AdmitRequest.class).know(71, AdmitResponse.class);
+  public static void register(final MessageCodec codec) {
+    codec.register(70, AdmitRequest.class).register(71, AdmitResponse.class);
   }
 
   public static final class AdmitRequest {
-    public long request;
+    public long requestId;
     public StoredMessage message;
 
     /**
@@ -30,7 +30,7 @@
   }
 
   public static final class AdmitResponse {
-    public long request;
-    public int what;
+    public long requestId;
+    public int outcome;
   }
 }
--- a/src/main/java/yewjunction/store/BorrowingAccount.java
+++ b/src/main/java/yewjunction/store/BorrowingAccount.java
@@ -8,16 +8,16 @@
  */
 final class BorrowingAccount {
   /** Thousandths that make a message. */
-  static final long ONE = 1_000;
+  static final long THOUSANDTHS = 1_000;
 
   /** Millionths that make the whole of a share. */
-  private static final long WHOLE = 1_000_000;
+  private static final long MILLIONTHS = 1_000_000;
 
   /**
    * Thousandths a second, times ms, reckoned at once: its product with a share stays far inside a
    * long.
    */
-  private static final long STEP_MOST = 1_000_000_000_000_000L;
+  private static final long MAX_STEP = 1_000_000_000_000_000L;
 
   BorrowingTerms terms = new BorrowingTerms();
   long tokens;
@@ -26,15 +26,15 @@
   long repaid;
 
   /** What was too little to count yet: of a thousandth that grows, and of one that is repaid. */
-  private long growing;
+  private long growthRemainder;
 
-  private long repaying;
+  private long repaymentRemainder;
 
   /** Log time up to which it has grown. */
-  long atMs;
+  long refilledToMs;
 
   /** The entry that touched it last. */
-  long index;
+  long lastIndex;
 
   BorrowingAccount copy() {
     final BorrowingAccount copy = new BorrowingAccount();
@@ -43,10 +43,10 @@
     copy.debt = debt;
     copy.borrowed = borrowed;
     copy.repaid = repaid;
-    copy.growing = growing;
-    copy.repaying = repaying;
-    copy.atMs = atMs;
-    copy.index = index;
+    copy.growthRemainder = growthRemainder;
+    copy.repaymentRemainder = repaymentRemainder;
+    copy.refilledToMs = refilledToMs;
+    copy.lastIndex = lastIndex;
     return copy;
   }
 
@@ -55,63 +55,64 @@
    * look in between.
    */
   void refill(final long toMs) {
-    while (terms.rate > 0 && atMs < toMs) {
-      final long stepMs = Math.min(toMs - atMs, Math.max(1, STEP_MOST / terms.rate));
-      growing += stepMs * terms.rate;
-      grow(growing / ONE);
-      growing %= ONE;
-      atMs += stepMs;
+    while (terms.ratePerSecond > 0 && refilledToMs < toMs) {
+      final long stepMs =
+          Math.min(toMs - refilledToMs, Math.max(1, MAX_STEP / terms.ratePerSecond));
+      growthRemainder += stepMs * terms.ratePerSecond;
+      grow(growthRemainder / THOUSANDTHS);
+      growthRemainder %= THOUSANDTHS;
+      refilledToMs += stepMs;
     }
-    atMs = Math.max(atMs, toMs);
-    check();
+    refilledToMs = Math.max(refilledToMs, toMs);
+    checkInvariants();
   }
 
   private void grow(final long gain) {
     long kept = gain;
     if (debt > 0) {
-      repaying += gain * terms.repayPpm;
-      final long pays = Math.min(debt, repaying / WHOLE);
+      repaymentRemainder += gain * terms.repayPpm;
+      final long pays = Math.min(debt, repaymentRemainder / MILLIONTHS);
       debt -= pays;
       repaid += pays;
       kept -= pays;
-      repaying = debt == 0 ? 0 : repaying % WHOLE;
+      repaymentRemainder = debt == 0 ? 0 : repaymentRemainder % MILLIONTHS;
     }
-    tokens = Math.min(terms.depth, tokens + kept);
+    tokens = Math.min(terms.bucketDepth, tokens + kept);
   }
 
   /** A message may pass without borrowing. */
-  boolean pays() {
-    return tokens >= ONE;
+  boolean canPay() {
+    return tokens >= THOUSANDTHS;
   }
 
-  boolean lends() {
-    return debt + ONE <= terms.borrowMax;
+  boolean canBorrow() {
+    return debt + THOUSANDTHS <= terms.borrowMax;
   }
 
   /** Takes one message, borrowed where there is no token for it. */
   void charge(final long stampMs) {
     refill(stampMs);
-    if (pays()) {
-      tokens -= ONE;
+    if (canPay()) {
+      tokens -= THOUSANDTHS;
       return;
     }
     // Invariant: the leader admits a message only where the account bears it, by this same
     // arithmetic.
-    if (!lends()) {
+    if (!canBorrow()) {
       throw new IllegalStateException(terms.tenant + " owes " + debt + " of " + terms.borrowMax);
     }
-    debt += ONE;
-    borrowed += ONE;
-    check();
+    debt += THOUSANDTHS;
+    borrowed += THOUSANDTHS;
+    checkInvariants();
   }
 
-  void agree(final BorrowingTerms newTerms) {
+  void updateTerms(final BorrowingTerms newTerms) {
     terms = newTerms;
     // A lower limit leaves the debt as it is and allows no more.
-    tokens = Math.min(tokens, terms.depth);
+    tokens = Math.min(tokens, terms.bucketDepth);
   }
 
-  private void check() {
+  private void checkInvariants() {
     // Invariant: nothing borrowed is forgotten, and nothing is repaid twice.
     if (borrowed - repaid != debt || debt < 0 || tokens < 0) {
       throw new IllegalStateException(
@@ -122,7 +123,7 @@
   AccountBalance balance() {
     final AccountBalance balance = new AccountBalance();
     balance.tenant = terms.tenant;
-    balance.index = index;
+    balance.index = lastIndex;
     balance.borrowMax = terms.borrowMax;
     balance.repayPpm = terms.repayPpm;
     balance.tokens = tokens;
--- a/src/main/java/yewjunction/store/BorrowingAccounts.java
+++ b/src/main/java/yewjunction/store/BorrowingAccounts.java
@@ -23,16 +23,16 @@
   /** The newest log time, and when this vault heard it by its own steady clock. */
   private long stampMs;
 
-  private long heardMs;
+  private long stampReceivedMs;
 
   /**
    * Told of an account that ends, with what it held; null in a leader's copy, which also logs
    * nothing.
    */
-  private final BiConsumer<String, Long> ended;
+  private final BiConsumer<String, Long> onAccountEnded;
 
   BorrowingAccounts(final BiConsumer<String, Long> ended) {
-    this.ended = ended;
+    this.onAccountEnded = ended;
   }
 
   /** As a snapshot holds it. */
@@ -42,7 +42,7 @@
     List<BorrowingAccount> accounts = new ArrayList<>();
   }
 
-  boolean none() {
+  boolean isEmpty() {
     return byTenant.isEmpty();
   }
 
@@ -50,7 +50,7 @@
     return version;
   }
 
-  BorrowingAccount of(final String tenant) {
+  BorrowingAccount accountOf(final String tenant) {
     return byTenant.get(tenant);
   }
 
@@ -63,19 +63,19 @@
    * was not counted, as between two leaders or while all were down, makes a debt fall later, never
    * sooner.
    */
-  long timeMs(final long nowMs) {
-    return stampMs + Math.max(0, nowMs - heardMs);
+  long logTimeMs(final long nowMs) {
+    return stampMs + Math.max(0, nowMs - stampReceivedMs);
   }
 
   /**
    * What the accounts will be once all that is in flight is applied; its time goes on from here.
    */
-  BorrowingAccounts ahead() {
+  BorrowingAccounts copyForLeader() {
     final BorrowingAccounts copy = new BorrowingAccounts(null);
     byTenant.forEach((tenant, account) -> copy.byTenant.put(tenant, account.copy()));
     copy.version = version;
     copy.stampMs = stampMs;
-    copy.heardMs = heardMs;
+    copy.stampReceivedMs = stampReceivedMs;
     return copy;
   }
 
@@ -83,19 +83,19 @@
    * An entry that was admitted while the tenant had no account bears no stamp and changes nothing.
    */
   void apply(final long index, final StoredMessage message, final long nowMs) {
-    if (message.stampMs == null) {
+    if (message.logTimeMs == null) {
       return;
     }
     // Invariant: log time never goes back.
-    if (message.stampMs < stampMs) {
-      throw new IllegalStateException("stamp " + message.stampMs + " after " + stampMs);
+    if (message.logTimeMs < stampMs) {
+      throw new IllegalStateException("stamp " + message.logTimeMs + " after " + stampMs);
     }
-    stampMs = message.stampMs;
-    heardMs = nowMs;
-    if (message.change == null) {
+    stampMs = message.logTimeMs;
+    stampReceivedMs = nowMs;
+    if (message.termsChange == null) {
       charge(index, message.tenant, stampMs);
     } else {
-      change(index, message.change, stampMs);
+      applyTerms(index, message.termsChange, stampMs);
     }
   }
 
@@ -103,32 +103,32 @@
     final BorrowingAccount account = byTenant.get(tenant);
     final long before = account.debt;
     account.charge(atMs);
-    account.index = index;
-    told(account, before);
+    account.lastIndex = index;
+    logDebtChange(account, before);
   }
 
-  private void told(final BorrowingAccount account, final long before) {
-    if (ended != null && before == 0 && account.debt > 0) {
-      LogEvent.BORROWING_BEGAN.info(account.terms.tenant + " at " + account.index);
-    } else if (ended != null && before > 0 && account.debt == 0) {
+  private void logDebtChange(final BorrowingAccount account, final long before) {
+    if (onAccountEnded != null && before == 0 && account.debt > 0) {
+      LogEvent.BORROWING_STARTED.info(account.terms.tenant + " at " + account.lastIndex);
+    } else if (onAccountEnded != null && before > 0 && account.debt == 0) {
       LogEvent.DEBT_REPAID.info(
           account.terms.tenant
               + " at "
-              + account.index
+              + account.lastIndex
               + ", in all "
-              + account.repaid / BorrowingAccount.ONE);
+              + account.repaid / BorrowingAccount.THOUSANDTHS);
     }
   }
 
-  void change(final long index, final BorrowingTerms.TermsChange change, final long atMs) {
+  void applyTerms(final long index, final BorrowingTerms.TermsChange change, final long atMs) {
     byTenant
         .values()
         .forEach(
             account -> {
               final long before = account.debt;
               account.refill(atMs);
-              account.index = index;
-              told(account, before);
+              account.lastIndex = index;
+              logDebtChange(account, before);
             });
     if (change.version >= version && change.version > 0) {
       version = change.version;
@@ -146,17 +146,17 @@
               key -> {
                 final BorrowingAccount fresh = new BorrowingAccount();
                 fresh.tokens = terms.firstTokens;
-                fresh.atMs = atMs;
-                fresh.index = index;
+                fresh.refilledToMs = atMs;
+                fresh.lastIndex = index;
                 return fresh;
               });
-      account.agree(terms.copy());
+      account.updateTerms(terms.copy());
     }
     for (final BorrowingAccount account : new ArrayList<>(byTenant.values())) {
       if (!named.contains(account.terms.tenant) && account.debt == 0) {
         byTenant.remove(account.terms.tenant);
-        if (ended != null) {
-          ended.accept(account.terms.tenant, account.tokens);
+        if (onAccountEnded != null) {
+          onAccountEnded.accept(account.terms.tenant, account.tokens);
         }
       }
     }
@@ -169,7 +169,7 @@
   }
 
   /** Null where nobody has borrowed yet: snapshots are then as they were. */
-  Snapshot saved() {
+  Snapshot snapshot() {
     if (stampMs == 0 && byTenant.isEmpty()) {
       return null;
     }
@@ -182,7 +182,7 @@
 
   void restore(final Snapshot saved, final long nowMs) {
     byTenant.clear();
-    heardMs = nowMs;
+    stampReceivedMs = nowMs;
     version = saved == null ? 0 : saved.version;
     stampMs = saved == null ? 0 : saved.stampMs;
     if (saved != null) {
--- a/src/main/java/yewjunction/store/BorrowingTerms.java
+++ b/src/main/java/yewjunction/store/BorrowingTerms.java
@@ -8,9 +8,9 @@
   String tenant = "";
 
   /** A second. */
-  long rate;
+  long ratePerSecond;
 
-  long depth;
+  long bucketDepth;
   long borrowMax;
   long repayPpm;
 
@@ -18,10 +18,10 @@
   long firstTokens;
 
   /** Whether both say the same to an account that there is already. */
-  boolean same(final BorrowingTerms other) {
+  boolean sameTerms(final BorrowingTerms other) {
     return tenant.equals(other.tenant)
-        && rate == other.rate
-        && depth == other.depth
+        && ratePerSecond == other.ratePerSecond
+        && bucketDepth == other.bucketDepth
         && borrowMax == other.borrowMax
         && repayPpm == other.repayPpm;
   }
@@ -29,8 +29,8 @@
   BorrowingTerms copy() {
     final BorrowingTerms copy = new BorrowingTerms();
     copy.tenant = tenant;
-    copy.rate = rate;
-    copy.depth = depth;
+    copy.ratePerSecond = ratePerSecond;
+    copy.bucketDepth = bucketDepth;
     copy.borrowMax = borrowMax;
     copy.repayPpm = repayPpm;
     return copy;
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -22,30 +22,30 @@
 
 /** The kept messages of one vault, driven by the vaults' ledger. */
 public final class MessageStore implements StateMachine {
-  private static final Schema<StoredMessage> MESSAGES =
+  private static final Schema<StoredMessage> MESSAGE_SCHEMA =
       RuntimeSchema.getSchema(StoredMessage.class);
-  private static final Schema<Snapshot> IMAGES = RuntimeSchema.getSchema(Snapshot.class);
+  private static final Schema<Snapshot> SNAPSHOT_SCHEMA = RuntimeSchema.getSchema(Snapshot.class);
   private final AgentContext context;
-  private final Listener watcher;
+  private final Listener listener;
   private final TreeMap<Long, StoredMessage> byIndex = new TreeMap<>();
   private final Map<String, TopicMessages> byTopic = new HashMap<>();
   final AcceptedNumbers acceptedNumbers = new AcceptedNumbers();
   final TenantRateLimiter rateLimiter;
   final BorrowingAccounts accounts;
   private Configuration configuration;
-  private long floor;
+  private long lastDroppedIndex;
 
   /** A topic's messages and the index of the last one dropped. */
   private static final class TopicMessages {
     final ArrayDeque<StoredMessage> messages = new ArrayDeque<>();
-    long floor;
+    long lastDroppedIndex;
   }
 
   static final class Snapshot {
     List<StoredMessage> messages = new ArrayList<>();
-    List<AcceptedNumbers.SenderHistory> tracks = new ArrayList<>();
+    List<AcceptedNumbers.SenderHistory> senderHistories = new ArrayList<>();
     List<TopicFloor> floors = new ArrayList<>();
-    long floor;
+    long lastDroppedIndex;
 
     /** Null while nobody borrows ahead. */
     BorrowingAccounts.Snapshot accounts;
@@ -53,17 +53,17 @@
 
   static final class TopicFloor {
     String topic = "";
-    long index;
+    long lastDroppedIndex;
   }
 
   /** Told of what is new here. */
   public interface Listener {
     /** Whether this vault admitted it in its present leadership, so that it is counted already. */
-    boolean admittedHere(StoredMessage message);
+    boolean isAdmittedHere(StoredMessage message);
 
-    void settledTo(long commit);
+    void onCommitted(long commit);
 
-    void leaderIs(String identity, boolean self);
+    void onLeaderChange(String identity, boolean self);
   }
 
   public MessageStore(final AgentContext context, final Listener watcher, final Settings settings) {
@@ -74,36 +74,37 @@
             settings.quotaExcess(),
             settings.quotaSlack(),
             context.nowMs());
-    this.watcher = watcher;
+    this.listener = watcher;
     accounts =
         new BorrowingAccounts(
-            (tenant, tokens) -> rateLimiter.continued(tenant, tokens, context.nowMs()));
-    context.every(RETENTION_CHECK_INTERVAL_MS, this::sweep);
+            (tenant, tokens) -> rateLimiter.continueFrom(tenant, tokens, context.nowMs()));
+    context.scheduleAtFixedRate(RETENTION_CHECK_INTERVAL_MS, this::dropExpired);
   }
 
-  public void charter(final Configuration newConfiguration) {
+  public void setConfiguration(final Configuration newConfiguration) {
     configuration = newConfiguration;
-    rateLimiter.charter(newConfiguration);
+    rateLimiter.setConfiguration(newConfiguration);
   }
 
-  static byte[] bytes(final StoredMessage message) {
-    return ProtostuffIOUtil.toByteArray(message, MESSAGES, LinkedBuffer.allocate(512));
+  static byte[] encode(final StoredMessage message) {
+    return ProtostuffIOUtil.toByteArray(message, MESSAGE_SCHEMA, LinkedBuffer.allocate(512));
   }
 
   @Override
   public void apply(final long index, final byte[] data) {
-    final StoredMessage message = MESSAGES.newMessage();
-    ProtostuffIOUtil.mergeFrom(data, message, MESSAGES);
+    final StoredMessage message = MESSAGE_SCHEMA.newMessage();
+    ProtostuffIOUtil.mergeFrom(data, message, MESSAGE_SCHEMA);
     message.index = index;
-    message.atMs = context.nowMs();
-    accounts.apply(index, message, message.atMs);
-    if (message.change != null) {
+    message.receivedMs = context.nowMs();
+    accounts.apply(index, message, message.receivedMs);
+    if (message.termsChange != null) {
       // Of the accounts alone: no client sent it, and none gets it.
       return;
     }
-    acceptedNumbers.accept(message.client, message.topic, message.number, message.atMs);
-    if (message.stampMs == null && !watcher.admittedHere(message)) {
-      rateLimiter.count(message.tenant, message.atMs);
+    acceptedNumbers.accept(
+        message.client, message.topic, message.sequenceNumber, message.receivedMs);
+    if (message.logTimeMs == null && !listener.isAdmittedHere(message)) {
+      rateLimiter.recordAcceptedElsewhere(message.tenant, message.receivedMs);
     }
     put(message);
   }
@@ -119,12 +120,12 @@
   }
 
   /** A topic's messages behind a position, or null when one behind it was dropped. */
-  public List<StoredMessage> behind(final String topic, final long position) {
+  public List<StoredMessage> messagesAfter(final String topic, final long position) {
     final TopicMessages topicMessages = byTopic.get(topic);
     if (topicMessages == null) {
       return List.of();
     }
-    if (topicMessages.floor > position) {
+    if (topicMessages.lastDroppedIndex > position) {
       return null;
     }
     final List<StoredMessage> found = new ArrayList<>();
@@ -137,8 +138,8 @@
   }
 
   /** The index of the last message that was dropped. */
-  public long floor() {
-    return floor;
+  public long lastDroppedIndex() {
+    return lastDroppedIndex;
   }
 
   /** What tenants that borrow ahead hold and owe here. */
@@ -146,75 +147,77 @@
     return accounts.balances();
   }
 
-  private void sweep() {
+  private void dropExpired() {
     final long nowMs = context.nowMs();
-    acceptedNumbers.sweep(nowMs);
+    acceptedNumbers.removeExpired(nowMs);
     byTopic.forEach(
         (topic, topicMessages) -> {
-          final long keepMs = keepMs(topic);
+          final long keepMs = retentionMs(topic);
           while (!topicMessages.messages.isEmpty()
-              && nowMs - topicMessages.messages.peek().atMs > keepMs) {
+              && nowMs - topicMessages.messages.peek().receivedMs > keepMs) {
             final StoredMessage dropped = topicMessages.messages.poll();
             byIndex.remove(dropped.index);
-            topicMessages.floor = dropped.index;
-            floor = Math.max(floor, dropped.index);
+            topicMessages.lastDroppedIndex = dropped.index;
+            lastDroppedIndex = Math.max(lastDroppedIndex, dropped.index);
           }
         });
   }
 
-  private long keepMs(final String topic) {
-    final Configuration.Route route = configuration == null ? null : configuration.space(topic);
+  private long retentionMs(final String topic) {
+    final Configuration.Route route = configuration == null ? null : configuration.routeOf(topic);
     // Without a configuration nothing may be dropped; of a space that is gone nothing is owed.
     return configuration == null
         ? Long.MAX_VALUE
-        : (route == null ? 0 : route.keepMs()) + RETENTION_SLACK_MS;
+        : (route == null ? 0 : route.retentionMs()) + RETENTION_SLACK_MS;
   }
 
   @Override
   public byte[] snapshot() {
     final Snapshot snapshot = new Snapshot();
     snapshot.messages.addAll(byIndex.values());
-    snapshot.tracks = acceptedNumbers.all();
-    snapshot.floor = floor;
-    snapshot.accounts = accounts.saved();
+    snapshot.senderHistories = acceptedNumbers.all();
+    snapshot.lastDroppedIndex = lastDroppedIndex;
+    snapshot.accounts = accounts.snapshot();
     byTopic.forEach(
         (topic, topicMessages) -> {
-          if (topicMessages.floor > 0) {
+          if (topicMessages.lastDroppedIndex > 0) {
             final TopicFloor one = new TopicFloor();
             one.topic = topic;
-            one.index = topicMessages.floor;
+            one.lastDroppedIndex = topicMessages.lastDroppedIndex;
             snapshot.floors.add(one);
           }
         });
-    return ProtostuffIOUtil.toByteArray(snapshot, IMAGES, LinkedBuffer.allocate(64 << 10));
+    return ProtostuffIOUtil.toByteArray(snapshot, SNAPSHOT_SCHEMA, LinkedBuffer.allocate(64 << 10));
   }
 
   @Override
   public void restore(final long index, final byte[] state) {
-    final Snapshot snapshot = IMAGES.newMessage();
-    ProtostuffIOUtil.mergeFrom(state, snapshot, IMAGES);
+    final Snapshot snapshot = SNAPSHOT_SCHEMA.newMessage();
+    ProtostuffIOUtil.mergeFrom(state, snapshot, SNAPSHOT_SCHEMA);
     byIndex.clear();
     byTopic.clear();
-    floor = snapshot.floor;
+    lastDroppedIndex = snapshot.lastDroppedIndex;
     final long nowMs = context.nowMs();
     for (final StoredMessage message : snapshot.messages) {
-      message.atMs = nowMs;
+      message.receivedMs = nowMs;
       put(message);
     }
     snapshot.floors.forEach(
-        one -> byTopic.computeIfAbsent(one.topic, key -> new TopicMessages()).floor = one.index);
-    acceptedNumbers.restore(snapshot.tracks, nowMs);
+        one ->
+            byTopic.computeIfAbsent(one.topic, key -> new TopicMessages()).lastDroppedIndex =
+                one.lastDroppedIndex);
+    acceptedNumbers.restore(snapshot.senderHistories, nowMs);
     accounts.restore(snapshot.accounts, nowMs);
-    rateLimiter.forget();
+    rateLimiter.capAfterRestore();
   }
 
   @Override
   public void onLeaderChange(final String identity, final boolean self) {
-    watcher.leaderIs(identity, self);
+    listener.onLeaderChange(identity, self);
   }
 
   @Override
   public void onCommitted(final long commit) {
-    watcher.settledTo(commit);
+    listener.onCommitted(commit);
   }
 }
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -27,19 +27,19 @@
   private final AgentContext context;
   private final RaftNode raftNode;
   private final MessageStore messageStore;
-  private final Map<String, ArrayDeque<Runnable>> lanes = new LinkedHashMap<>();
+  private final Map<String, ArrayDeque<Runnable>> waitingByTenant = new LinkedHashMap<>();
   private final Set<String> atLimit = new HashSet<>();
-  private BorrowingAccounts ahead;
-  private boolean turning;
-  private long settledMs;
-  private int underWay;
+  private BorrowingAccounts accountsAhead;
+  private boolean turnScheduled;
+  private long lastChangeMs;
+  private int inFlight;
 
   /** What an account says to one message. */
   enum Decision {
-    PAYS,
-    BORROWS,
-    WAITS,
-    DENIES
+    PAY,
+    BORROW,
+    WAIT,
+    DENY
   }
 
   QuotaBorrowing(
@@ -50,80 +50,82 @@
   }
 
   /** Only at the leader, which has applied all that others admitted before it. */
-  private BorrowingAccounts ahead() {
-    if (ahead == null) {
-      ahead = messageStore.accounts.ahead();
+  private BorrowingAccounts accountsAhead() {
+    if (accountsAhead == null) {
+      accountsAhead = messageStore.accounts.copyForLeader();
     }
-    return ahead;
+    return accountsAhead;
   }
 
-  boolean keeps(final String tenant) {
-    return !(ahead == null && messageStore.accounts.none()) && ahead().of(tenant) != null;
+  boolean hasAccount(final String tenant) {
+    return !(accountsAhead == null && messageStore.accounts.isEmpty())
+        && accountsAhead().accountOf(tenant) != null;
   }
 
   /** Log time now: stamped on what is proposed in this turn. */
-  long stampMs() {
-    return ahead().timeMs(context.nowMs());
+  long logTimeMs() {
+    return accountsAhead().logTimeMs(context.nowMs());
   }
 
   /** In turn: it is this message's turn to borrow, after all that paid. */
-  Decision verdict(final String tenant, final long stampMs, final boolean inTurn) {
-    final BorrowingAccount account = ahead().of(tenant);
+  Decision decide(final String tenant, final long stampMs, final boolean inTurn) {
+    final BorrowingAccount account = accountsAhead().accountOf(tenant);
     account.refill(stampMs);
-    if (!inTurn && lanes.containsKey(tenant)) {
+    if (!inTurn && waitingByTenant.containsKey(tenant)) {
       // A tenant's own order never changes.
-      return waits(tenant);
+      return waitOrDeny(tenant);
     }
-    if (account.pays()) {
+    if (account.canPay()) {
       atLimit.remove(tenant);
-      return Decision.PAYS;
+      return Decision.PAY;
     }
-    if (!account.lends()) {
+    if (!account.canBorrow()) {
       if (atLimit.add(tenant)) {
-        LogEvent.BORROW_LIMIT.info(tenant + " owes " + account.debt / BorrowingAccount.ONE);
+        LogEvent.BORROWING_LIMIT_REACHED.info(
+            tenant + " owes " + account.debt / BorrowingAccount.THOUSANDTHS);
       }
-      return Decision.DENIES;
+      return Decision.DENY;
     }
     atLimit.remove(tenant);
     if (!inTurn) {
-      return waits(tenant);
+      return waitOrDeny(tenant);
     }
     // Lent only while nobody else is held up by it.
-    return underWay < MAX_IN_FLIGHT_TO_LEND
+    return inFlight < MAX_IN_FLIGHT_TO_LEND
             && raftNode.commitTracker().oldestPendingWriteMs() < MAX_DISK_LAG_TO_LEND_MS
-        ? Decision.BORROWS
-        : Decision.DENIES;
+        ? Decision.BORROW
+        : Decision.DENY;
   }
 
-  private Decision waits(final String tenant) {
-    final ArrayDeque<Runnable> lane = lanes.get(tenant);
-    return lane == null || lane.size() < MAX_WAITING_TO_BORROW ? Decision.WAITS : Decision.DENIES;
+  private Decision waitOrDeny(final String tenant) {
+    final ArrayDeque<Runnable> lane = waitingByTenant.get(tenant);
+    return lane == null || lane.size() < MAX_WAITING_TO_BORROW ? Decision.WAIT : Decision.DENY;
   }
 
   /** Looks again when it is this tenant's turn to borrow. */
   void await(final String tenant, final Runnable look) {
-    lanes.computeIfAbsent(tenant, key -> new ArrayDeque<>()).add(look);
-    if (!turning) {
-      turning = true;
-      context.post(this::turn);
+    waitingByTenant.computeIfAbsent(tenant, key -> new ArrayDeque<>()).add(look);
+    if (!turnScheduled) {
+      turnScheduled = true;
+      context.execute(this::runTurn);
     }
   }
 
   /** Tenants in turn, a message each; what arrived meanwhile and pays goes between two turns. */
-  private void turn() {
-    turning = false;
-    for (int left = MAX_BORROWS_PER_TURN; left > 0 && !lanes.isEmpty(); left--) {
-      final String tenant = lanes.keySet().iterator().next();
-      final ArrayDeque<Runnable> lane = lanes.remove(tenant);
+  private void runTurn() {
+    turnScheduled = false;
+    for (int left = MAX_BORROWS_PER_TURN; left > 0 && !waitingByTenant.isEmpty(); left--) {
+      final String tenant = waitingByTenant.keySet().iterator().next();
+      final ArrayDeque<Runnable> lane = waitingByTenant.remove(tenant);
       final Runnable look = lane.poll();
       if (!lane.isEmpty()) {
-        lanes.put(tenant, lane);
+        waitingByTenant.put(tenant, lane);
       }
       look.run();
     }
-    if (!lanes.isEmpty() && !turning) {
-      turning = true;
-      context.post(this::turn);
+    if (!waitingByTenant.isEmpty() && !turnScheduled) {
+      turnScheduled = true;
+      context.execute(this::runTurn);
     }
   }
 
@@ -131,71 +133,71 @@
    * One more is on its way through the log, charged to that tenant; empty for one that is charged
    * to no account.
    */
-  void proposed(final String tenant, final long stampMs) {
-    underWay++;
+  void onProposed(final String tenant, final long stampMs) {
+    inFlight++;
     if (!tenant.isEmpty()) {
-      ahead().charge(0, tenant, stampMs);
+      accountsAhead().charge(0, tenant, stampMs);
     }
   }
 
-  void settled() {
-    underWay--;
+  void onSettled() {
+    inFlight--;
   }
 
   /**
    * What was in flight is the log's matter now, and the next leader's accounts are those that are
    * applied.
    */
-  void leaderChanged() {
-    ahead = null;
-    lanes.clear();
+  void onLeaderChange() {
+    accountsAhead = null;
+    waitingByTenant.clear();
     atLimit.clear();
-    underWay = 0;
+    inFlight = 0;
   }
 
   /**
    * Enters what has changed: terms of a new configuration, or that time has passed while somebody
    * owes.
    */
-  public void look(final Configuration configuration) {
+  public void proposeChanges(final Configuration configuration) {
     if (!raftNode.isReadyLeader()
         || configuration == null
-        || ahead == null
-            && messageStore.accounts.none()
+        || accountsAhead == null
+            && messageStore.accounts.isEmpty()
             && configuration.tenants().stream().noneMatch(tenant -> tenant.borrowMax() > 0)) {
       return;
     }
-    final long stampMs = stampMs();
+    final long stampMs = logTimeMs();
     boolean owes = false;
     boolean paidOff = false;
-    for (final BorrowingAccount account : ahead().all()) {
+    for (final BorrowingAccount account : accountsAhead().all()) {
       final long before = account.debt;
       account.refill(stampMs);
       owes |= before > 0;
       paidOff |= before > 0 && account.debt == 0;
     }
-    final List<BorrowingTerms> wanted = wanted(configuration);
+    final List<BorrowingTerms> wanted = wantedTerms(configuration);
     final BorrowingTerms.TermsChange change = new BorrowingTerms.TermsChange();
-    if (configuration.version() >= ahead().version() && !inForce(wanted)) {
+    if (configuration.version() >= accountsAhead().version() && !areInForce(wanted)) {
       change.version = configuration.version();
       change.terms = wanted;
-    } else if (!paidOff && !(owes && context.nowMs() - settledMs > DEBT_UPDATE_INTERVAL_MS)) {
+    } else if (!paidOff && !(owes && context.nowMs() - lastChangeMs > DEBT_UPDATE_INTERVAL_MS)) {
       return;
     }
-    settledMs = context.nowMs();
+    lastChangeMs = context.nowMs();
     final StoredMessage entry = new StoredMessage();
-    entry.stampMs = stampMs;
-    entry.change = change;
-    if (raftNode.propose(MessageStore.bytes(entry), done -> {})) {
-      ahead().change(0, change, stampMs);
+    entry.logTimeMs = stampMs;
+    entry.termsChange = change;
+    if (raftNode.propose(MessageStore.encode(entry), done -> {})) {
+      accountsAhead().applyTerms(0, change, stampMs);
     }
   }
 
-  private boolean inForce(final List<BorrowingTerms> wanted) {
+  private boolean areInForce(final List<BorrowingTerms> wanted) {
     int known = 0;
-    for (final BorrowingAccount account : ahead().all()) {
+    for (final BorrowingAccount account : accountsAhead().all()) {
       known++;
-      if (wanted.stream().noneMatch(account.terms::same)) {
+      if (wanted.stream().noneMatch(account.terms::sameTerms)) {
         return false;
       }
     }
@@ -206,15 +208,15 @@
    * Whoever may borrow has an account, and whoever still owes keeps one, whatever the configuration
    * says.
    */
-  private List<BorrowingTerms> wanted(final Configuration configuration) {
+  private List<BorrowingTerms> wantedTerms(final Configuration configuration) {
     final List<BorrowingTerms> wanted = new ArrayList<>();
     for (final Configuration.Tenant tenant : configuration.tenants()) {
-      final BorrowingAccount account = ahead().of(tenant.name());
+      final BorrowingAccount account = accountsAhead().accountOf(tenant.name());
       if (tenant.borrowMax() > 0 || account != null && account.debt > 0) {
-        wanted.add(messageStore.rateLimiter.terms(tenant, context.nowMs()));
+        wanted.add(messageStore.rateLimiter.borrowingTerms(tenant, context.nowMs()));
       }
     }
-    for (final BorrowingAccount account : ahead().all()) {
+    for (final BorrowingAccount account : accountsAhead().all()) {
       if (account.debt > 0 && configuration.tenant(account.terms.tenant) == null) {
         final BorrowingTerms gone = new BorrowingTerms();
         gone.tenant = account.terms.tenant;
--- a/src/main/java/yewjunction/store/StoredMessage.java
+++ b/src/main/java/yewjunction/store/StoredMessage.java
@@ -5,7 +5,7 @@
   public long index;
   public String topic = "";
   public String client = "";
-  public long number;
+  public long sequenceNumber;
   public byte[] body = new byte[0];
 
   /** Whose quota it counts against, empty for none. */
@@ -18,11 +18,11 @@
   /**
    * Log time, only where the tenant has an account: null costs nothing on the wire and on the disk.
    */
-  Long stampMs;
+  Long logTimeMs;
 
   /** What it changes in the accounts, in an entry that is no message; else null. */
-  BorrowingTerms.TermsChange change;
+  BorrowingTerms.TermsChange termsChange;
 
   /** When this vault got it, by its own steady clock: other clocks mean nothing here. */
-  transient long atMs;
+  transient long receivedMs;
 }
--- a/src/main/java/yewjunction/store/TenantRateLimiter.java
+++ b/src/main/java/yewjunction/store/TenantRateLimiter.java
@@ -20,7 +20,7 @@
 
   private static final class TokenBucket {
     double tokens;
-    long atMs;
+    long refilledMs;
   }
 
   /** Window, excess and slack: by how much the count of a window may pass a tenant's limit. */
@@ -32,7 +32,7 @@
     startMs = nowMs;
   }
 
-  void charter(final Configuration newConfiguration) {
+  void setConfiguration(final Configuration newConfiguration) {
     configuration = newConfiguration;
   }
 
@@ -40,23 +40,24 @@
    * A denial below the limit is service lost, and clocks and arrivals differ a little; so a part of
    * what may pass is given to the bucket, and the rest is kept for changes of the leader.
    */
-  private double depth(final Tenant tenant) {
+  private double bucketDepth(final Tenant tenant) {
     return tenant.burst()
-        + BUCKET_EXCESS_SHARE * (excess * (tenant.perSecond() * windowS + tenant.burst()) + slack);
+        + BUCKET_EXCESS_SHARE
+            * (excess * (tenant.ratePerSecond() * windowS + tenant.burst()) + slack);
   }
 
   /** What may pass once, whatever happened before a start or a change of the leader. */
-  private double spare(final Tenant tenant) {
+  private double startupAllowance(final Tenant tenant) {
     return STARTUP_EXCESS_SHARE
-        * (excess * (tenant.perSecond() * windowS + tenant.burst()) + slack);
+        * (excess * (tenant.ratePerSecond() * windowS + tenant.burst()) + slack);
   }
 
-  private TokenBucket filled(final String tenantName, final long nowMs) {
+  private TokenBucket refill(final String tenantName, final long nowMs) {
     final Tenant tenant = configuration == null ? null : configuration.tenant(tenantName);
     if (tenant == null) {
       return null;
     }
-    final double depth = depth(tenant);
+    final double depth = bucketDepth(tenant);
     final TokenBucket bucket =
         buckets.computeIfAbsent(
             tenantName,
@@ -64,13 +65,17 @@
               final TokenBucket fresh = new TokenBucket();
               // Nothing is known of the time before the start: the bucket has filled from then on.
               fresh.tokens =
-                  Math.min(depth, spare(tenant) + (nowMs - startMs) * tenant.perSecond() / 1_000);
-              fresh.atMs = nowMs;
+                  Math.min(
+                      depth,
+                      startupAllowance(tenant)
+                          + (nowMs - startMs) * tenant.ratePerSecond() / 1_000);
+              fresh.refilledMs = nowMs;
               return fresh;
             });
     bucket.tokens =
-        Math.min(depth, bucket.tokens + (nowMs - bucket.atMs) * tenant.perSecond() / 1_000);
-    bucket.atMs = nowMs;
+        Math.min(
+            depth, bucket.tokens + (nowMs - bucket.refilledMs) * tenant.ratePerSecond() / 1_000);
+    bucket.refilledMs = nowMs;
     return bucket;
   }
 
@@ -78,37 +83,37 @@
    * A borrowing tenant's terms, in whole thousandths; a new account begins with what its bucket
    * holds.
    */
-  BorrowingTerms terms(final Tenant tenant, final long nowMs) {
+  BorrowingTerms borrowingTerms(final Tenant tenant, final long nowMs) {
     final BorrowingTerms terms = new BorrowingTerms();
     terms.tenant = tenant.name();
-    terms.rate = Math.round(tenant.perSecond() * BorrowingAccount.ONE);
-    terms.depth = (long) (depth(tenant) * BorrowingAccount.ONE);
-    terms.borrowMax = tenant.borrowMax() * BorrowingAccount.ONE;
+    terms.ratePerSecond = Math.round(tenant.ratePerSecond() * BorrowingAccount.THOUSANDTHS);
+    terms.bucketDepth = (long) (bucketDepth(tenant) * BorrowingAccount.THOUSANDTHS);
+    terms.borrowMax = tenant.borrowMax() * BorrowingAccount.THOUSANDTHS;
     terms.repayPpm = tenant.repayPpm();
-    terms.firstTokens = (long) (filled(tenant.name(), nowMs).tokens * BorrowingAccount.ONE);
+    terms.firstTokens = (long) (refill(tenant.name(), nowMs).tokens * BorrowingAccount.THOUSANDTHS);
     return terms;
   }
 
   /** The tenant's account has ended: its bucket goes on with what that held. */
-  void continued(final String tenantName, final long thousandths, final long nowMs) {
-    final TokenBucket bucket = filled(tenantName, nowMs);
+  void continueFrom(final String tenantName, final long thousandths, final long nowMs) {
+    final TokenBucket bucket = refill(tenantName, nowMs);
     if (bucket != null) {
-      bucket.tokens = Math.min(bucket.tokens, (double) thousandths / BorrowingAccount.ONE);
+      bucket.tokens = Math.min(bucket.tokens, (double) thousandths / BorrowingAccount.THOUSANDTHS);
     }
   }
 
   /** The state came from elsewhere, with messages that were not counted here. */
-  void forget() {
+  void capAfterRestore() {
     buckets.forEach(
         (name, bucket) -> {
           final Tenant tenant = configuration == null ? null : configuration.tenant(name);
-          bucket.tokens = tenant == null ? 0 : Math.min(bucket.tokens, spare(tenant));
+          bucket.tokens = tenant == null ? 0 : Math.min(bucket.tokens, startupAllowance(tenant));
         });
   }
 
   /** Takes one message's worth, or says no. */
-  boolean take(final String tenantName, final long nowMs) {
-    final TokenBucket bucket = filled(tenantName, nowMs);
+  boolean tryAcquire(final String tenantName, final long nowMs) {
+    final TokenBucket bucket = refill(tenantName, nowMs);
     if (bucket == null) {
       // No tenant stands behind a message of a public space; a tenant that is gone gets nothing
       // more.
@@ -122,10 +127,10 @@
   }
 
   /** A message that another leader admitted: it counts here too, for the day this vault leads. */
-  void count(final String tenantName, final long nowMs) {
+  void recordAcceptedElsewhere(final String tenantName, final long nowMs) {
     // What the log brings back right after a start was counted before it.
     final TokenBucket bucket =
-        nowMs - startMs < STARTUP_REPLAY_MS ? null : filled(tenantName, nowMs);
+        nowMs - startMs < STARTUP_REPLAY_MS ? null : refill(tenantName, nowMs);
     if (bucket != null) {
       bucket.tokens = Math.max(0, bucket.tokens - 1);
     }
