--- a/src/main/java/yewjunction/subscription/AddWinsSet.java
+++ b/src/main/java/yewjunction/subscription/AddWinsSet.java
@@ -20,16 +20,16 @@
  */
 public final class AddWinsSet {
   private final Map<Long, ReplicaState> states = new HashMap<>();
-  private final Set<Long> touched = new HashSet<>();
-  private Set<Long> liveReplicas = Set.of();
-  private long newestReplica;
+  private final Set<Long> locallyChanged = new HashSet<>();
+  private Set<Long> liveReplicaIds = Set.of();
+  private long newestReplicaId;
   private long self;
 
   /** The replica's name; 0 for one that only reads. */
   public void self(final long replica) {
     self = replica;
     if (replica != 0) {
-      panel(replica);
+      stateOf(replica);
     }
   }
 
@@ -37,7 +37,7 @@
     return self;
   }
 
-  private ReplicaState panel(final long replica) {
+  private ReplicaState stateOf(final long replica) {
     return states.computeIfAbsent(replica, key -> new ReplicaState());
   }
 
@@ -46,10 +46,10 @@
     if (self == 0) {
       throw new IllegalStateException("a replica without a name adds nothing");
     }
-    final ReplicaState own = panel(self);
+    final ReplicaState own = stateOf(self);
     own.observe(own.observed + 1);
     own.set(topic, client, own.observed);
-    touched.add(self);
+    locallyChanged.add(self);
     return own.observed;
   }
 
@@ -61,7 +61,7 @@
   /**
    * A remove, and an add at that replica which is known to have followed it: its instance stays.
    */
-  public void takenOver(final String topic, final String client, final long replica) {
+  public void moveTo(final String topic, final String client, final long replica) {
     remove(topic, client, replica);
   }
 
@@ -70,7 +70,7 @@
         (replica, replicaState) -> {
           if (replica != spared && replicaState.instance(topic, client) > 0) {
             replicaState.set(topic, client, 0);
-            touched.add(replica);
+            locallyChanged.add(replica);
           }
         });
   }
@@ -88,7 +88,7 @@
   }
 
   /** Whether another replica than this one has an active instance of the element. */
-  public boolean elsewhere(final String topic, final String client) {
+  public boolean isActiveElsewhere(final String topic, final String client) {
     for (final Map.Entry<Long, ReplicaState> one : states.entrySet()) {
       if (one.getKey() != self && one.getValue().instance(topic, client) > 0) {
         return true;
@@ -98,9 +98,9 @@
   }
 
   /** Whether some client of that replica has an active instance for the topic. */
-  public boolean reaches(final String topic, final long replica) {
+  public boolean hasSubscriber(final String topic, final long replica) {
     final ReplicaState replicaState = states.get(replica);
-    return replicaState != null && replicaState.cells.containsKey(topic);
+    return replicaState != null && replicaState.instances.containsKey(topic);
   }
 
   /** Clients that subscribe and are there, each once, over all live replicas. */
@@ -108,35 +108,35 @@
     final Set<String> there = new HashSet<>();
     states.forEach(
         (replica, replicaState) -> {
-          final Map<String, Long> clients = replicaState.cells.get(topic);
+          final Map<String, Long> clients = replicaState.instances.get(topic);
           if (clients != null && live.test(replica)) {
             clients.keySet().stream()
-                .filter(client -> !replicaState.absent.contains(client))
+                .filter(client -> !replicaState.disconnected.contains(client))
                 .forEach(there::add);
           }
         });
     return there.size();
   }
 
-  public void absent(final String client, final boolean away) {
-    final ReplicaState own = self == 0 ? null : panel(self);
-    if (own != null && own.absent.contains(client) != away) {
-      final Set<String> clients = new HashSet<>(own.absent);
+  public void setDisconnected(final String client, final boolean away) {
+    final ReplicaState own = self == 0 ? null : stateOf(self);
+    if (own != null && own.disconnected.contains(client) != away) {
+      final Set<String> clients = new HashSet<>(own.disconnected);
       if (away) {
         clients.add(client);
       } else {
         clients.remove(client);
       }
-      own.absence(own.absenceNumber + 1, clients);
-      touched.add(self);
+      own.setDisconnected(own.disconnectedVersion + 1, clients);
+      locallyChanged.add(self);
     }
   }
 
   /** Topics of a client with an active instance made here. */
-  public List<String> topicsHere(final String client) {
+  public List<String> topicsOf(final String client) {
     final List<String> topics = new ArrayList<>();
-    panel(self)
-        .cells
+    stateOf(self)
+        .instances
         .forEach(
             (topic, clients) -> {
               if (clients.containsKey(client)) {
@@ -149,52 +149,53 @@
   // --- exchange ---
 
   /** Parts changed by this replica's own operations since they were last taken. */
-  public Set<Long> takeTouched() {
-    final Set<Long> taken = new HashSet<>(touched);
-    touched.clear();
+  public Set<Long> takeLocallyChanged() {
+    final Set<Long> taken = new HashSet<>(locallyChanged);
+    locallyChanged.clear();
     return taken;
   }
 
   /** The whole state. */
-  public byte[] state() {
-    return ReplicaStateCodec.pack(states);
+  public byte[] encodeStates() {
+    return ReplicaStateCodec.encode(states);
   }
 
   /** The whole states of some parts. */
-  public byte[] state(final Collection<Long> replicas) {
+  public byte[] encodeStates(final Collection<Long> replicas) {
     final Map<Long, ReplicaState> chosen = new LinkedHashMap<>();
     for (final long replica : replicas) {
       if (states.containsKey(replica)) {
         chosen.put(replica, states.get(replica));
       }
     }
-    return ReplicaStateCodec.pack(chosen);
+    return ReplicaStateCodec.encode(chosen);
   }
 
   /** The digest of a replica's part. */
-  public long mark(final long replica) {
+  public long digest(final long replica) {
     final ReplicaState replicaState = states.get(replica);
-    return replicaState == null ? 0 : replicaState.mark();
+    return replicaState == null ? 0 : replicaState.digest();
   }
 
-  public byte[] marks() {
+  public byte[] encodeDigests() {
     final Map<Long, Long> marks = new HashMap<>();
-    states.forEach((replica, replicaState) -> marks.put(replica, replicaState.mark()));
-    return ReplicaStateCodec.packMarks(marks);
+    states.forEach((replica, replicaState) -> marks.put(replica, replicaState.digest()));
+    return ReplicaStateCodec.encodeDigests(marks);
   }
 
   /** Parts held here that differ from those digests, in any order, up to about so many cells. */
-  public List<Long> news(final byte[] theirMarks, final int mostCells, final Random random) {
-    return newsOf(states.keySet(), theirMarks, mostCells, random);
+  public List<Long> differingReplicas(
+      final byte[] theirMarks, final int mostCells, final Random random) {
+    return differingReplicasOf(states.keySet(), theirMarks, mostCells, random);
   }
 
   /** The same, of some replicas. */
-  public List<Long> newsOf(
+  public List<Long> differingReplicasOf(
       final Collection<Long> of,
       final byte[] theirMarks,
       final int mostCells,
       final Random random) {
-    final Map<Long, Long> theirs = ReplicaStateCodec.unpackMarks(theirMarks);
+    final Map<Long, Long> theirs = ReplicaStateCodec.decodeDigests(theirMarks);
     final List<Long> replicas = new ArrayList<>(of);
     replicas.retainAll(states.keySet());
     Collections.shuffle(replicas, random);
@@ -203,7 +204,7 @@
     for (final long replica : replicas) {
       final ReplicaState replicaState = states.get(replica);
       final Long theirMark = theirs.get(replica);
-      if (cells < mostCells && (theirMark == null || theirMark != replicaState.mark())) {
+      if (cells < mostCells && (theirMark == null || theirMark != replicaState.digest())) {
         news.add(replica);
         cells += replicaState.size();
       }
@@ -212,12 +213,12 @@
   }
 
   /** Parts named by those digests that differ here or are unknown. */
-  public List<Long> wanted(final byte[] theirMarks) {
+  public List<Long> missingReplicas(final byte[] theirMarks) {
     final List<Long> wanted = new ArrayList<>();
-    ReplicaStateCodec.unpackMarks(theirMarks)
+    ReplicaStateCodec.decodeDigests(theirMarks)
         .forEach(
             (replica, mark) -> {
-              if (!retired(replica) && mark(replica) != mark) {
+              if (!isRetired(replica) && digest(replica) != mark) {
                 wanted.add(replica);
               }
             });
@@ -227,29 +228,29 @@
   /**
    * Merges whole states of some or all parts; loss, reordering and doubling of states do no harm.
    */
-  public void receive(final byte[] state) {
-    ReplicaStateCodec.unpack(state)
+  public void merge(final byte[] state) {
+    ReplicaStateCodec.decode(state)
         .forEach(
             (replica, incoming) -> {
-              if (!retired(replica)) {
-                panel(replica).merge(incoming, replica == self);
+              if (!isRetired(replica)) {
+                stateOf(replica).merge(incoming, replica == self);
               }
             });
   }
 
   // --- departed replicas ---
 
-  private boolean retired(final long replica) {
+  private boolean isRetired(final long replica) {
     // Names are given in rising order: one above the newest known is new, not retired.
-    return replica <= newestReplica && !liveReplicas.contains(replica);
+    return replica <= newestReplicaId && !liveReplicaIds.contains(replica);
   }
 
   /** Charter's word on which names live; the others' entries are dropped and their w compacted. */
-  public void replicas(final long newest, final Set<Long> live) {
-    if (newest >= newestReplica) {
-      newestReplica = newest;
-      liveReplicas = Set.copyOf(live);
-      states.keySet().removeIf(this::retired);
+  public void setReplicas(final long newest, final Set<Long> live) {
+    if (newest >= newestReplicaId) {
+      newestReplicaId = newest;
+      liveReplicaIds = Set.copyOf(live);
+      states.keySet().removeIf(this::isRetired);
     }
   }
 }
--- a/src/main/java/yewjunction/subscription/ReplicaState.java
+++ b/src/main/java/yewjunction/subscription/ReplicaState.java
@@ -17,30 +17,30 @@
   long observed;
 
   /** v(., s) where it is not 0: topic, client, instance. */
-  final Map<String, Map<String, Long>> cells = new HashMap<>();
+  final Map<String, Map<String, Long>> instances = new HashMap<>();
 
   /** Raised by the replica alone; the absence with the higher number wins. */
-  long absenceNumber;
+  long disconnectedVersion;
 
-  Set<String> absent = new HashSet<>();
-  private long mark;
-  private boolean marked;
+  Set<String> disconnected = new HashSet<>();
+  private long digest;
+  private boolean digestValid;
 
   long instance(final String topic, final String client) {
-    final Map<String, Long> clients = cells.get(topic);
+    final Map<String, Long> clients = instances.get(topic);
     return clients == null ? 0 : clients.getOrDefault(client, 0L);
   }
 
   /** Sets v((topic, client), s); 0 takes the cell away. */
   void set(final String topic, final String client, final long instance) {
-    marked = false;
+    digestValid = false;
     if (instance > 0) {
-      cells.computeIfAbsent(topic, key -> new HashMap<>(4)).put(client, instance);
+      instances.computeIfAbsent(topic, key -> new HashMap<>(4)).put(client, instance);
       return;
     }
-    final Map<String, Long> clients = cells.get(topic);
+    final Map<String, Long> clients = instances.get(topic);
     if (clients != null && clients.remove(client) != null && clients.isEmpty()) {
-      cells.remove(topic);
+      instances.remove(topic);
     }
   }
 
@@ -48,42 +48,43 @@
     final boolean more = newObserved > observed;
     if (more) {
       observed = newObserved;
-      marked = false;
+      digestValid = false;
     }
     return more;
   }
 
-  void absence(final long number, final Set<String> clients) {
-    absenceNumber = number;
-    absent = clients;
-    marked = false;
+  void setDisconnected(final long number, final Set<String> clients) {
+    disconnectedVersion = number;
+    disconnected = clients;
+    digestValid = false;
   }
 
   /** Takes in another whole state of the same part; loss, reordering and doubling do no harm. */
   void merge(final ReplicaState incoming, final boolean own) {
     final List<Runnable> changes = new ArrayList<>();
-    incoming.cells.forEach(
+    incoming.instances.forEach(
         (topic, clients) ->
             clients.forEach(
-                (client, theirs) -> compare(topic, client, theirs, incoming.observed, changes)));
+                (client, theirs) ->
+                    mergeInstance(topic, client, theirs, incoming.observed, changes)));
     // What only this side has active may have been removed there.
-    cells.forEach(
+    instances.forEach(
         (topic, clients) ->
             clients.forEach(
                 (client, mine) -> {
                   if (incoming.instance(topic, client) == 0) {
-                    compare(topic, client, 0, incoming.observed, changes);
+                    mergeInstance(topic, client, 0, incoming.observed, changes);
                   }
                 }));
     changes.forEach(Runnable::run);
     observe(incoming.observed);
     // Only the replica itself says who is away from it.
-    if (!own && incoming.absenceNumber > absenceNumber) {
-      absence(incoming.absenceNumber, incoming.absent);
+    if (!own && incoming.disconnectedVersion > disconnectedVersion) {
+      setDisconnected(incoming.disconnectedVersion, incoming.disconnected);
     }
   }
 
-  private void compare(
+  private void mergeInstance(
       final String topic,
       final String client,
       final long theirs,
@@ -111,22 +112,22 @@
   }
 
   /** A digest: two replicas that hold the same part have the same one. */
-  long mark() {
-    if (!marked) {
-      long sum = mixed(observed * 31 + absenceNumber);
-      for (final Map.Entry<String, Map<String, Long>> topic : cells.entrySet()) {
-        final long topicMark = mixed(topic.getKey().hashCode());
+  long digest() {
+    if (!digestValid) {
+      long sum = mix(observed * 31 + disconnectedVersion);
+      for (final Map.Entry<String, Map<String, Long>> topic : instances.entrySet()) {
+        final long topicMark = mix(topic.getKey().hashCode());
         for (final Map.Entry<String, Long> client : topic.getValue().entrySet()) {
-          sum += mixed(topicMark ^ mixed(client.getKey().hashCode() + (client.getValue() << 32)));
+          sum += mix(topicMark ^ mix(client.getKey().hashCode() + (client.getValue() << 32)));
         }
       }
-      mark = sum;
-      marked = true;
+      digest = sum;
+      digestValid = true;
     }
-    return mark;
+    return digest;
   }
 
-  private static long mixed(final long value) {
+  private static long mix(final long value) {
     long mixed = value * 0x9e3779b97f4a7c15L;
     mixed = (mixed ^ mixed >>> 29) * 0xbf58476d1ce4e5b9L;
     return mixed ^ mixed >>> 32;
@@ -134,8 +135,8 @@
 
   /** Cells held, for judging how long the packed part will be. */
   int size() {
-    int size = absent.size() + 1;
-    for (final Map<String, Long> clients : cells.values()) {
+    int size = disconnected.size() + 1;
+    for (final Map<String, Long> clients : instances.values()) {
       size += clients.size();
     }
     return size;
--- a/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
+++ b/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
@@ -22,10 +22,10 @@
   private ReplicaStateCodec() {}
 
   private interface BodyWriter {
-    void to(DataOutputStream out) throws IOException;
+    void writeTo(DataOutputStream out) throws IOException;
   }
 
-  static byte[] pack(final Map<Long, ReplicaState> states) {
+  static byte[] encode(final Map<Long, ReplicaState> states) {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     final Deflater deflater = new Deflater(Deflater.BEST_SPEED);
     try (DataOutputStream out =
@@ -35,7 +35,7 @@
       number(out, states.size());
       for (final Map.Entry<Long, ReplicaState> one : states.entrySet()) {
         number(out, one.getKey());
-        pack(out, names, one.getValue());
+        encode(out, names, one.getValue());
       }
     } catch (final IOException failure) {
       throw new UncheckedIOException(failure);
@@ -45,12 +45,12 @@
     return bytes.toByteArray();
   }
 
-  private static void pack(
+  private static void encode(
       final DataOutputStream out, final StringTable names, final ReplicaState replicaState)
       throws IOException {
     number(out, replicaState.observed);
-    number(out, replicaState.cells.size());
-    for (final Map.Entry<String, Map<String, Long>> topic : replicaState.cells.entrySet()) {
+    number(out, replicaState.instances.size());
+    for (final Map.Entry<String, Map<String, Long>> topic : replicaState.instances.entrySet()) {
       names.write(out, topic.getKey());
       number(out, topic.getValue().size());
       for (final Map.Entry<String, Long> client : topic.getValue().entrySet()) {
@@ -58,14 +58,14 @@
         number(out, client.getValue());
       }
     }
-    number(out, replicaState.absenceNumber);
-    number(out, replicaState.absent.size());
-    for (final String client : replicaState.absent) {
+    number(out, replicaState.disconnectedVersion);
+    number(out, replicaState.disconnected.size());
+    for (final String client : replicaState.disconnected) {
       names.write(out, client);
     }
   }
 
-  static Map<Long, ReplicaState> unpack(final byte[] packed) {
+  static Map<Long, ReplicaState> decode(final byte[] packed) {
     final Map<Long, ReplicaState> states = new LinkedHashMap<>();
     try (DataInputStream in =
         new DataInputStream(
@@ -82,9 +82,9 @@
             replicaState.set(topic, name(in, names), number(in));
           }
         }
-        replicaState.absenceNumber = number(in);
+        replicaState.disconnectedVersion = number(in);
         for (long clients = number(in); clients > 0; clients--) {
-          replicaState.absent.add(name(in, names));
+          replicaState.disconnected.add(name(in, names));
         }
       }
     } catch (final IOException failure) {
@@ -94,8 +94,8 @@
   }
 
   /** Digests: names with eight bytes each. */
-  static byte[] packMarks(final Map<Long, Long> marks) {
-    return packed(
+  static byte[] encodeDigests(final Map<Long, Long> marks) {
+    return toBytes(
         out -> {
           number(out, marks.size());
           for (final Map.Entry<Long, Long> one : marks.entrySet()) {
@@ -105,7 +105,7 @@
         });
   }
 
-  static Map<Long, Long> unpackMarks(final byte[] packed) {
+  static Map<Long, Long> decodeDigests(final byte[] packed) {
     final Map<Long, Long> marks = new HashMap<>();
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(packed))) {
       for (long left = number(in); left > 0; left--) {
@@ -117,10 +117,10 @@
     return marks;
   }
 
-  private static byte[] packed(final BodyWriter writing) {
+  private static byte[] toBytes(final BodyWriter writing) {
     final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      writing.to(out);
+      writing.writeTo(out);
     } catch (final IOException failure) {
       throw new UncheckedIOException(failure);
     }
--- a/src/main/java/yewjunction/transport/ClientConnection.java
+++ b/src/main/java/yewjunction/transport/ClientConnection.java
@@ -6,25 +6,25 @@
   WriteBuffer out();
 
   /** Bytes that wait to be written. */
-  int waiting();
+  int queuedBytes();
 
   /** Closes once what waits is written. */
-  void closeSoon();
+  void closeAfterFlush();
 
   void close();
 
-  boolean open();
+  boolean isOpen();
 
   /** Reads what came. */
   interface Handler {
     /** Consumes whole messages from the start; answers how many bytes it took. */
-    int take(byte[] bytes, int length);
+    int onReceived(byte[] bytes, int length);
 
-    void closed();
+    void onClosed();
   }
 
   /** Makes an owner for each new line. */
   interface HandlerFactory {
-    Handler greet(ClientConnection connection);
+    Handler newHandler(ClientConnection connection);
   }
 }
--- a/src/main/java/yewjunction/transport/CommandQueue.java
+++ b/src/main/java/yewjunction/transport/CommandQueue.java
@@ -13,7 +13,7 @@
   // Not Agrona's many-to-one queue: there a put that is half done hides finished ones behind it
   // (InboxTest).
   private final ConcurrentLinkedQueue<T> queue = new ConcurrentLinkedQueue<>();
-  private final AtomicBoolean woken = new AtomicBoolean();
+  private final AtomicBoolean wakeupRequested = new AtomicBoolean();
 
   void put(final T command) {
     queue.add(command);
@@ -23,8 +23,8 @@
    * After a put: whether this caller must wake the owner. One wake-up serves however many wait:
    * each is charged.
    */
-  boolean mustWake() {
-    return woken.compareAndSet(false, true);
+  boolean shouldWakeOwner() {
+    return wakeupRequested.compareAndSet(false, true);
   }
 
   boolean isEmpty() {
@@ -36,7 +36,7 @@
    * that follows.
    */
   List<T> takeAll() {
-    woken.set(false);
+    wakeupRequested.set(false);
     final List<T> taken = new ArrayList<>();
     T command;
     while ((command = queue.poll()) != null) {
--- a/src/main/java/yewjunction/transport/EventLoopAgent.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -19,10 +19,10 @@
 public final class EventLoopAgent implements Agent, AgentContext {
   private final Selector selector;
   private final CommandQueue<Runnable> commands = new CommandQueue<>();
-  private final PriorityQueue<Timer> alarms = new PriorityQueue<>();
+  private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final ArrayDeque<Runnable> flushes = new ArrayDeque<>();
   private final Random random;
-  private long alarmCount;
+  private long timerCount;
   private volatile Thread ownerThread;
 
   private record Timer(long atMs, long order, Runnable task) implements Comparable<Timer> {
@@ -52,7 +52,7 @@
   }
 
   /** Runs once at the end of this turn: links gather what a turn wrote into one write. */
-  void flushLater(final Runnable flush) {
+  void flushAtEndOfTurn(final Runnable flush) {
     flushes.add(flush);
   }
 
@@ -62,28 +62,28 @@
   }
 
   @Override
-  public void after(final long delayMs, final Runnable task) {
-    alarms.add(new Timer(nowMs() + delayMs, alarmCount++, task));
+  public void schedule(final long delayMs, final Runnable task) {
+    timers.add(new Timer(nowMs() + delayMs, timerCount++, task));
   }
 
   @Override
-  public void post(final Runnable command) {
+  public void execute(final Runnable command) {
     commands.put(command);
     // The owner itself is awake: it looks at the queue again before it waits.
-    if (Thread.currentThread() != ownerThread && commands.mustWake()) {
+    if (Thread.currentThread() != ownerThread && commands.shouldWakeOwner()) {
       selector.wakeup();
     }
   }
 
   @Override
-  public Random luck() {
+  public Random random() {
     return random;
   }
 
   @Override
   public int doWork() throws IOException {
     ownerThread = Thread.currentThread();
-    final Timer nextAlarm = alarms.peek();
+    final Timer nextAlarm = timers.peek();
     final long waitMs = nextAlarm == null ? 1_000 : nextAlarm.atMs - nowMs();
     if (waitMs <= 0 || !commands.isEmpty()) {
       selector.selectNow();
@@ -96,7 +96,7 @@
       selector.selectedKeys().clear();
       for (final SelectionKey key : readyKeys) {
         work++;
-        guard(
+        runGuarded(
             () -> {
               if (key.isValid()) {
                 ((ReadyHandler) key.attachment()).ready(key);
@@ -109,16 +109,16 @@
         waiting = commands.takeAll()) {
       for (final Runnable command : waiting) {
         work++;
-        guard(command::run);
+        runGuarded(command::run);
       }
     }
     final long nowMs = nowMs();
-    while (!alarms.isEmpty() && alarms.peek().atMs <= nowMs) {
+    while (!timers.isEmpty() && timers.peek().atMs <= nowMs) {
       work++;
-      guard(alarms.poll().task::run);
+      runGuarded(timers.poll().task::run);
     }
     while (!flushes.isEmpty()) {
-      guard(flushes.poll()::run);
+      runGuarded(flushes.poll()::run);
     }
     return work;
   }
@@ -127,7 +127,7 @@
     void run() throws IOException;
   }
 
-  private static void guard(final Step turn) {
+  private static void runGuarded(final Step turn) {
     try {
       turn.run();
     } catch (final IOException | RuntimeException | StackOverflowError failure) {
@@ -135,7 +135,7 @@
       // too deep fails in
       // the same way, and whoever sent it must not be able to end node after node. Other errors end
       // the process.
-      LogEvent.TURN_DEFECT.warn(String.valueOf(failure.getMessage()), failure);
+      LogEvent.UNEXPECTED_ERROR.warn(String.valueOf(failure.getMessage()), failure);
     }
   }
 
--- a/src/main/java/yewjunction/transport/TcpClientConnection.java
+++ b/src/main/java/yewjunction/transport/TcpClientConnection.java
@@ -19,12 +19,12 @@
   private final SocketChannel channel;
   private final SelectionKey key;
   private final WriteBuffer outbox = new WriteBuffer(INITIAL_CLIENT_BUFFER_BYTES);
-  private Handler owner;
+  private Handler clientHandler;
   private byte[] input;
   private int filled;
   private boolean flushing;
   private boolean closed;
-  private boolean closing;
+  private boolean closeAfterFlush;
 
   private TcpClientConnection(final EventLoopAgent agent, final SocketChannel channel)
       throws IOException {
@@ -50,7 +50,7 @@
                 SocketChannel channel;
                 while ((channel = server.accept()) != null) {
                   final TcpClientConnection line = new TcpClientConnection(agent, channel);
-                  line.owner = greeter.greet(line);
+                  line.clientHandler = greeter.newHandler(line);
                 }
               });
     } catch (final IOException failure) {
@@ -84,7 +84,7 @@
       return;
     }
     filled += count;
-    final int taken = closing ? filled : owner.take(input, filled);
+    final int taken = closeAfterFlush ? filled : clientHandler.onReceived(input, filled);
     filled -= taken;
     if (closed) {
       return;
@@ -101,13 +101,13 @@
   public WriteBuffer out() {
     if (!flushing && !closed) {
       flushing = true;
-      agent.flushLater(this::flush);
+      agent.flushAtEndOfTurn(this::flush);
     }
     return outbox;
   }
 
   @Override
-  public int waiting() {
+  public int queuedBytes() {
     return outbox.size();
   }
 
@@ -118,7 +118,7 @@
     }
     try {
       final boolean done = outbox.write(channel);
-      if (done && closing) {
+      if (done && closeAfterFlush) {
         close();
         return;
       }
@@ -132,13 +132,13 @@
   }
 
   @Override
-  public void closeSoon() {
-    closing = true;
+  public void closeAfterFlush() {
+    closeAfterFlush = true;
     out();
   }
 
   @Override
-  public boolean open() {
+  public boolean isOpen() {
     return !closed;
   }
 
@@ -154,6 +154,6 @@
     } catch (final IOException ignored) {
       // Nothing is owed to a line that is being given up.
     }
-    owner.closed();
+    clientHandler.onClosed();
   }
 }
--- a/src/main/java/yewjunction/transport/TcpPeerConnection.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -22,7 +22,7 @@
 
 /** One peer link: frames of four bytes of length and a letter; length 0 is a beat. */
 final class TcpPeerConnection implements PeerConnection, EventLoopAgent.ReadyHandler {
-  private final TcpPeerTransport owner;
+  private final TcpPeerTransport transport;
   private final EventLoopAgent agent;
   private final MessageCodec codec;
   private final SocketChannel channel;
@@ -33,8 +33,8 @@
   private boolean connected;
   private boolean closed;
   private boolean flushing;
-  private long heardMs;
-  private long spokeMs;
+  private long lastReceivedMs;
+  private long lastSentMs;
   private String remote;
 
   TcpPeerConnection(
@@ -44,13 +44,13 @@
       final SocketChannel channel,
       final String dialledAddress)
       throws IOException {
-    this.owner = owner;
+    this.transport = owner;
     this.agent = agent;
     this.codec = codec;
     this.channel = channel;
     this.dialledAddress = dialledAddress;
-    heardMs = agent.nowMs();
-    spokeMs = heardMs;
+    lastReceivedMs = agent.nowMs();
+    lastSentMs = lastReceivedMs;
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     if (dialledAddress == null) {
@@ -67,7 +67,7 @@
     key =
         channel.register(
             agent.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-    agent.after(
+    agent.schedule(
         CONNECT_TIMEOUT_MS,
         () -> {
           if (!connected) {
@@ -88,10 +88,10 @@
     final byte[] bytes = codec.encode(message);
     outbox.putInt(bytes.length);
     outbox.put(bytes, 0, bytes.length);
-    spokeMs = agent.nowMs();
+    lastSentMs = agent.nowMs();
     // A peer that does not read is cut, never waited for.
     if (outbox.size() > MAX_PEER_QUEUE_BYTES) {
-      LogEvent.LINK_SLOW.warn(remote);
+      LogEvent.CONNECTION_SLOW.warn(remote);
       close();
       return false;
     }
@@ -102,7 +102,7 @@
   private void flushSoon() {
     if (!flushing) {
       flushing = true;
-      agent.flushLater(this::flush);
+      agent.flushAtEndOfTurn(this::flush);
     }
   }
 
@@ -125,7 +125,7 @@
       if (readyKey.isConnectable()) {
         channel.finishConnect();
         connected = true;
-        heardMs = agent.nowMs();
+        lastReceivedMs = agent.nowMs();
         key.interestOps(SelectionKey.OP_READ);
         flushSoon();
       }
@@ -138,7 +138,7 @@
     } catch (final IOException failure) {
       close();
     } catch (final YewjunctionException failure) {
-      LogEvent.LINK_GARBLED.warn(remote + " " + failure.code() + " " + failure.getMessage());
+      LogEvent.CONNECTION_GARBLED.warn(remote + " " + failure.code() + " " + failure.getMessage());
       close();
     }
   }
@@ -149,7 +149,7 @@
       close();
       return;
     }
-    heardMs = agent.nowMs();
+    lastReceivedMs = agent.nowMs();
     input.flip();
     int needed = 0;
     while (!closed && input.remaining() >= 4) {
@@ -164,7 +164,7 @@
       final int start = input.position() + 4;
       input.position(start + length);
       if (length > 0) {
-        take(start, length);
+        onFrames(start, length);
       }
     }
     input.compact();
@@ -179,7 +179,7 @@
     }
   }
 
-  private void take(final int start, final int length) {
+  private void onFrames(final int start, final int length) {
     final Object message;
     try {
       message = codec.decode(input.array(), start, length);
@@ -190,19 +190,19 @@
       }
       throw failure;
     }
-    owner.deliver(this, message);
+    transport.deliver(this, message);
   }
 
-  void beat(final long nowMs) {
+  void heartbeat(final long nowMs) {
     if (closed || !connected) {
       return;
     }
-    if (nowMs - heardMs > CONNECTION_TIMEOUT_MS) {
-      LogEvent.LINK_LOST.info(remote + " silent");
+    if (nowMs - lastReceivedMs > CONNECTION_TIMEOUT_MS) {
+      LogEvent.CONNECTION_LOST.info(remote + " silent");
       close();
-    } else if (nowMs - spokeMs >= CONNECTION_HEARTBEAT_INTERVAL_MS) {
+    } else if (nowMs - lastSentMs >= CONNECTION_HEARTBEAT_INTERVAL_MS) {
       outbox.putInt(0);
-      spokeMs = nowMs;
+      lastSentMs = nowMs;
       flushSoon();
     }
   }
@@ -221,16 +221,16 @@
     } catch (final IOException ignored) {
       // Nothing is owed to a link that is being given up.
     }
-    owner.gone(this);
+    transport.onClosed(this);
   }
 
   @Override
-  public boolean open() {
+  public boolean isOpen() {
     return !closed;
   }
 
   @Override
-  public String remote() {
+  public String remoteAddress() {
     return remote;
   }
 }
--- a/src/main/java/yewjunction/transport/TcpPeerTransport.java
+++ b/src/main/java/yewjunction/transport/TcpPeerTransport.java
@@ -26,17 +26,17 @@
 public class TcpPeerTransport implements PeerTransport {
   private final EventLoopAgent agent;
   private final MessageCodec codec;
-  private final InetSocketAddress own;
-  private final Map<String, TcpPeerConnection> dialled = new HashMap<>();
+  private final InetSocketAddress localAddress;
+  private final Map<String, TcpPeerConnection> connectionByAddress = new HashMap<>();
   private final Set<TcpPeerConnection> connections = new HashSet<>();
   private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
-  private final List<Consumer<PeerConnection>> closers = new ArrayList<>();
+  private final List<Consumer<PeerConnection>> closeHandlers = new ArrayList<>();
 
   public TcpPeerTransport(
       final EventLoopAgent agent, final MessageCodec codec, final InetSocketAddress own) {
     this.agent = agent;
     this.codec = codec;
-    this.own = own;
+    this.localAddress = own;
     try {
       final ServerSocketChannel server = ServerSocketChannel.open();
       server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -45,31 +45,31 @@
       server.register(
           agent.selector(),
           SelectionKey.OP_ACCEPT,
-          (EventLoopAgent.ReadyHandler) key -> take(server));
+          (EventLoopAgent.ReadyHandler) key -> acceptAll(server));
     } catch (final IOException failure) {
       throw new UncheckedIOException("cannot listen for peers on " + own, failure);
     }
-    agent.every(CONNECTION_HEARTBEAT_INTERVAL_MS / 2, this::beat);
+    agent.scheduleAtFixedRate(CONNECTION_HEARTBEAT_INTERVAL_MS / 2, this::heartbeat);
   }
 
-  private void take(final ServerSocketChannel server) throws IOException {
+  private void acceptAll(final ServerSocketChannel server) throws IOException {
     SocketChannel channel;
     while ((channel = server.accept()) != null) {
       connections.add(new TcpPeerConnection(this, agent, codec, channel, null));
     }
   }
 
-  private void beat() {
+  private void heartbeat() {
     final long nowMs = agent.nowMs();
     for (final TcpPeerConnection connection : new ArrayList<>(connections)) {
-      connection.beat(nowMs);
+      connection.heartbeat(nowMs);
     }
   }
 
   @Override
-  public PeerConnection dial(final String address) {
-    final TcpPeerConnection existing = dialled.get(address);
-    if (existing != null && existing.open()) {
+  public PeerConnection connect(final String address) {
+    final TcpPeerConnection existing = connectionByAddress.get(address);
+    if (existing != null && existing.isOpen()) {
       return existing;
     }
     TcpPeerConnection connection = null;
@@ -77,18 +77,18 @@
     try {
       channel = channel();
       // The own address as source: the platform's links belong to the machine's address.
-      channel.bind(new InetSocketAddress(own.getAddress(), 0));
+      channel.bind(new InetSocketAddress(localAddress.getAddress(), 0));
       connection = new TcpPeerConnection(this, agent, codec, channel, address);
       connections.add(connection);
-      dialled.put(address, connection);
+      connectionByAddress.put(address, connection);
       connection.connect();
     } catch (final IOException failure) {
       if (connection == null) {
         // No descriptor is left, perhaps: a link that broke at once. Whoever dialled has more to do
         // in this turn.
-        shut(channel);
+        closeQuietly(channel);
         final PeerConnection lost = new FailedConnection(address);
-        agent.post(() -> closers.forEach(closer -> closer.accept(lost)));
+        agent.execute(() -> closeHandlers.forEach(closer -> closer.accept(lost)));
         return lost;
       }
       connection.close();
@@ -96,7 +96,7 @@
     return connection;
   }
 
-  private static void shut(final SocketChannel channel) {
+  private static void closeQuietly(final SocketChannel channel) {
     try {
       if (channel != null) {
         channel.close();
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public String remote() {
+    public String remoteAddress() {
       return remote;
     }
 
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public boolean open() {
+    public boolean isOpen() {
       return false;
     }
 
@@ -140,13 +140,13 @@
   }
 
   @Override
-  public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
+  public <T> void onMessage(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
     handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
   @Override
   public void onClose(final Consumer<PeerConnection> handler) {
-    closers.add(handler);
+    closeHandlers.add(handler);
   }
 
   void deliver(final TcpPeerConnection connection, final Object message) {
@@ -156,12 +156,12 @@
     }
   }
 
-  void gone(final TcpPeerConnection connection) {
+  void onClosed(final TcpPeerConnection connection) {
     connections.remove(connection);
     if (connection.dialledAddress() != null) {
-      dialled.remove(connection.dialledAddress(), connection);
+      connectionByAddress.remove(connection.dialledAddress(), connection);
     }
     // Told on a later turn, so that nobody's table changes while it is being walked.
-    agent.post(() -> closers.forEach(closer -> closer.accept(connection)));
+    agent.execute(() -> closeHandlers.forEach(closer -> closer.accept(connection)));
   }
 }
--- a/src/main/java/yewjunction/transport/UdpTransport.java
+++ b/src/main/java/yewjunction/transport/UdpTransport.java
@@ -13,11 +13,11 @@
 /** Small letters that may be lost. */
 public final class UdpTransport {
   /** bytes; above any datagram the roster sends. */
-  private static final int DATAGRAM_BYTES = 8 << 10;
+  private static final int MAX_DATAGRAM_BYTES = 8 << 10;
 
   private final DatagramChannel channel;
   private final MessageCodec codec;
-  private final ByteBuffer input = ByteBuffer.allocate(DATAGRAM_BYTES);
+  private final ByteBuffer input = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
   private BiConsumer<String, Object> handler = (from, message) -> {};
 
   public UdpTransport(
@@ -34,7 +34,7 @@
     }
   }
 
-  public void onLetter(final BiConsumer<String, Object> newHandler) {
+  public void onMessage(final BiConsumer<String, Object> newHandler) {
     handler = newHandler;
   }
 
--- a/src/test/java/yewjunction/capacity/CapacityHarness.java
+++ b/src/test/java/yewjunction/capacity/CapacityHarness.java
@@ -106,13 +106,13 @@
             "kafi810." + Integer.toString((edge * 31 + i * 7919) % 7_000, 36),
             "u" + Integer.toString(edge * 70 + i / 2, 36));
       }
-      final byte[] state = part.state(List.of((long) edge + 1));
+      final byte[] state = part.encodeStates(List.of((long) edge + 1));
       bytes += state.length;
-      whole.receive(state);
+      whole.merge(state);
     }
     final Map<String, Double> figures = new TreeMap<>();
     figures.put("bytes on the wire of all parts", (double) bytes);
-    figures.put("bytes of all digests", (double) whole.marks().length);
+    figures.put("bytes of all digests", (double) whole.encodeDigests().length);
     System.gc();
     figures.put(
         "bytes of heap at one that holds all",
--- a/src/test/java/yewjunction/capacity/ControlTraffic.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -68,7 +68,7 @@
       double bytes = 0;
       double most = 0;
       for (final String address : addresses) {
-        final long[] row = fleet.meter.of(address, layer);
+        final long[] row = fleet.meter.totalsOf(address, layer);
         letters += row[0] + row[2];
         bytes += row[1] + row[3];
         most = Math.max(most, row[1] + row[3]);
@@ -97,7 +97,7 @@
     fleet.network.runFor(1_000);
     double bytes = 0;
     for (final String edge : fleet.edges) {
-      bytes += edge.equals(address) ? 0 : fleet.meter.of(edge, "control.LeaseResponse")[3];
+      bytes += edge.equals(address) ? 0 : fleet.meter.totalsOf(edge, "control.LeaseResponse")[3];
     }
     figures.put(
         "restart of one edge: bytes of leases and facts that each other edge hears",
@@ -116,7 +116,7 @@
     fleet.network.runFor(1_000);
     double bytes = 0;
     for (final String edge : fleet.edges) {
-      bytes += fleet.meter.of(edge, "control.LeaseResponse")[3];
+      bytes += fleet.meter.totalsOf(edge, "control.LeaseResponse")[3];
     }
     figures.put("change of the configuration: ms until acknowledged", (double) (takenMs - startMs));
     figures.put("change of the configuration: bytes an edge hears", bytes / fleet.edges.size());
--- a/src/test/java/yewjunction/capacity/HollowClient.java
+++ b/src/test/java/yewjunction/capacity/HollowClient.java
@@ -16,13 +16,13 @@
 
   HollowClient(final HollowFleet fleet, final String edge, final String name) {
     this.fleet = fleet;
-    owner = fleet.edge(edge).greet(this);
+    owner = fleet.edge(edge).newHandler(this);
     say("HELLO " + name + " key0\r\n");
   }
 
   void say(final String words) {
     final byte[] said = words.getBytes(StandardCharsets.US_ASCII);
-    owner.take(said, said.length);
+    owner.onReceived(said, said.length);
   }
 
   @Override
@@ -52,12 +52,12 @@
   }
 
   @Override
-  public int waiting() {
+  public int queuedBytes() {
     return out.size();
   }
 
   @Override
-  public void closeSoon() {
+  public void closeAfterFlush() {
     close();
   }
 
@@ -67,7 +67,7 @@
   }
 
   @Override
-  public boolean open() {
+  public boolean isOpen() {
     return true;
   }
 }
--- a/src/test/java/yewjunction/capacity/HollowFleet.java
+++ b/src/test/java/yewjunction/capacity/HollowFleet.java
@@ -102,7 +102,7 @@
 
   String leadingVault() {
     return stores.stream()
-        .filter(address -> ((StoreNode) nodes.get(address)).leads())
+        .filter(address -> ((StoreNode) nodes.get(address)).isLeader())
         .findFirst()
         .orElse("");
   }
@@ -141,11 +141,11 @@
       final byte[] body = json.toString().getBytes(StandardCharsets.UTF_8);
       network
           .host(controlNode)
-          .post(
+          .execute(
               () ->
                   ((ControlNode) nodes.get(controlNode))
-                      .desk()
-                      .take(
+                      .operatorApi()
+                      .handle(
                           new OperatorApi.Request(
                               "POST", "/-/config/replace", String.valueOf(version), body),
                           response -> taken[0] |= response.status() == 200));
--- a/src/test/java/yewjunction/capacity/MessageCost.java
+++ b/src/test/java/yewjunction/capacity/MessageCost.java
@@ -80,16 +80,16 @@
         (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / seconds);
     figures.put(
         "leader: bytes/s to each follower",
-        fleet.meter.of(leader, "raft.AppendEntries")[1] / seconds / (VAULTS - 1));
+        fleet.meter.totalsOf(leader, "raft.AppendEntries")[1] / seconds / (VAULTS - 1));
     figures.put(
         "leader: messages/s to each follower",
-        fleet.meter.of(leader, "raft.AppendEntries")[0] / seconds / (VAULTS - 1));
+        fleet.meter.totalsOf(leader, "raft.AppendEntries")[0] / seconds / (VAULTS - 1));
     figures.put(
         "leader: bytes/s of offers taken",
-        fleet.meter.of(leader, "store.AdmitRequest")[3] / seconds);
+        fleet.meter.totalsOf(leader, "store.AdmitRequest")[3] / seconds);
     double flow = 0;
     for (final String store : fleet.stores) {
-      flow += fleet.meter.of(store, "fanout.StreamBatch")[1];
+      flow += fleet.meter.totalsOf(store, "fanout.StreamBatch")[1];
     }
     figures.put("homes: bytes/s of the streams to all edges", flow / seconds);
     fleet.network.runFor(1_500);
--- a/src/test/java/yewjunction/common/GoldenBytesTest.java
+++ b/src/test/java/yewjunction/common/GoldenBytesTest.java
@@ -21,9 +21,9 @@
 
   @Test
   void swappedFieldsOfOneTypeChangeTheBytes() {
-    final byte[] original = new MessageCodec().know(1, Original.class).encode(new Original());
+    final byte[] original = new MessageCodec().register(1, Original.class).encode(new Original());
     final byte[] swapped =
-        new MessageCodec().know(1, WithFieldsSwapped.class).encode(new WithFieldsSwapped());
+        new MessageCodec().register(1, WithFieldsSwapped.class).encode(new WithFieldsSwapped());
     assertFalse(Arrays.equals(original, swapped));
   }
 }
--- a/src/test/java/yewjunction/common/PendingRequestsTest.java
+++ b/src/test/java/yewjunction/common/PendingRequestsTest.java
@@ -24,7 +24,7 @@
     for (int turn = 0; turn < 20_000; turn++) {
       final String peer = "p" + random.nextInt(3);
       if (numbers.isEmpty() || random.nextInt(3) == 0) {
-        final long number = pendingRequests.ask(peer, "asked of " + peer);
+        final long number = pendingRequests.add(peer, "asked of " + peer);
         assertNull(open.put(number, peer), "number given twice");
         numbers.add(number);
         continue;
@@ -33,15 +33,15 @@
       final long number =
           numbers.get(numbers.size() - 1 - random.nextInt(Math.min(12, numbers.size())));
       if (random.nextInt(8) == 0) {
-        pendingRequests.drop(number);
+        pendingRequests.cancel(number);
         open.remove(number);
       } else {
         final boolean due = peer.equals(open.get(number));
-        assertEquals(due ? "asked of " + peer : null, pendingRequests.answered(number, peer));
+        assertEquals(due ? "asked of " + peer : null, pendingRequests.complete(number, peer));
         counted += due ? 1 : 0;
         open.remove(number, peer);
       }
-      assertEquals(open.isEmpty(), pendingRequests.none());
+      assertEquals(open.isEmpty(), pendingRequests.isEmpty());
     }
     assertTrue(counted > 1_000, "counted " + counted);
   }
@@ -49,11 +49,11 @@
   @Test
   void whatIsOverIsGivenUpTogether() {
     final PendingRequests<String, Integer> pendingRequests = new PendingRequests<>(5);
-    final long first = pendingRequests.ask("p", 1);
-    final long second = pendingRequests.ask("p", 2);
-    assertEquals(List.of(1), pendingRequests.drop(about -> about < 2));
-    assertNull(pendingRequests.answered(first, "p"));
-    assertEquals(2, pendingRequests.answered(second, "p"));
+    final long first = pendingRequests.add("p", 1);
+    final long second = pendingRequests.add("p", 2);
+    assertEquals(List.of(1), pendingRequests.cancel(about -> about < 2));
+    assertNull(pendingRequests.complete(first, "p"));
+    assertEquals(2, pendingRequests.complete(second, "p"));
   }
 
   /**
@@ -64,7 +64,7 @@
   void livesBeginApart() {
     final List<Long> firsts = new ArrayList<>();
     for (long life = 0; life < 1_000; life++) {
-      firsts.add(new PendingRequests<String, String>(life).ask("p", ""));
+      firsts.add(new PendingRequests<String, String>(life).add("p", ""));
     }
     firsts.sort(null);
     for (int at = 1; at < firsts.size(); at++) {
--- a/src/test/java/yewjunction/control/ConfigurationPatchesTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationPatchesTest.java
@@ -77,7 +77,7 @@
       all.put("Svcs", List.of());
       all.put("Lims", Map.of("Subs", subs));
       all.put("Tenants", new ArrayList<>(tenants.values()));
-      return Configuration.read(Configuration.render(ConfigValueFactory.fromMap(all).toConfig()));
+      return Configuration.read(Configuration.toJson(ConfigValueFactory.fromMap(all).toConfig()));
     }
   }
 
@@ -95,16 +95,16 @@
     for (int round = 0; round < 200; round++) {
       draft.change(random);
       final Configuration next = draft.charter(random);
-      final ControlCommand command = new ControlCommand(ControlCommand.CONFIG);
-      ConfigurationPatches.add(command, core, next);
+      final ControlCommand command = new ControlCommand(ControlCommand.SET_CONFIGURATION);
+      ConfigurationPatches.attachTo(command, core, next);
       assertTrue(
           command.patch != null && command.patch.length() < next.json().length(), command.patch);
       edge = Configuration.of(edge.updated(Configuration.parse(command.patch)));
       assertEquals(next.digest(), edge.digest());
       assertEquals(next.version(), edge.version());
-      assertEquals(next.subs(), edge.subs());
+      assertEquals(next.maxSubscriptions(), edge.maxSubscriptions());
       for (int i = 0; i < 30; i++) {
-        assertEquals(next.space("n" + i + ".x"), edge.space("n" + i + ".x"));
+        assertEquals(next.routeOf("n" + i + ".x"), edge.routeOf("n" + i + ".x"));
         assertEquals(next.tenant("n" + i), edge.tenant("n" + i));
         assertEquals(next.tenantOfKey("kn" + i), edge.tenantOfKey("kn" + i));
       }
@@ -121,12 +121,12 @@
     for (final String after :
         List.of(
             "{\"Ver\":2,\"Lims\":{\"Subs\":5},\"Later\":4}", "{\"Ver\":2,\"Lims\":{\"Subs\":5}}")) {
-      final ControlCommand command = new ControlCommand(ControlCommand.CONFIG);
-      ConfigurationPatches.add(command, before, Configuration.read(after));
+      final ControlCommand command = new ControlCommand(ControlCommand.SET_CONFIGURATION);
+      ConfigurationPatches.attachTo(command, before, Configuration.read(after));
       assertNull(command.patch, after);
     }
-    final ControlCommand first = new ControlCommand(ControlCommand.CONFIG);
-    ConfigurationPatches.add(first, null, before);
+    final ControlCommand first = new ControlCommand(ControlCommand.SET_CONFIGURATION);
+    ConfigurationPatches.attachTo(first, null, before);
     assertNull(first.patch);
   }
 
--- a/src/test/java/yewjunction/control/ConfigurationTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationTest.java
@@ -34,12 +34,12 @@
     final Configuration configuration =
         Configuration.read(
             json(ROUTE + "," + OTHER, "{'Name':'t','Apikeys':['k'],'RatePerS':3,'Burst':4}"));
-    assertEquals("r1", configuration.space("a.x").name());
-    assertEquals("r2", configuration.space("a.b.x").name());
-    assertEquals(25_500, configuration.space("a.b.x").keepMs());
-    assertNull(configuration.space("b.x"));
+    assertEquals("r1", configuration.routeOf("a.x").name());
+    assertEquals("r2", configuration.routeOf("a.b.x").name());
+    assertEquals(25_500, configuration.routeOf("a.b.x").retentionMs());
+    assertNull(configuration.routeOf("b.x"));
     assertEquals("t", configuration.tenantOfKey("k").name());
-    assertEquals(5, configuration.subs());
+    assertEquals(5, configuration.maxSubscriptions());
   }
 
   @Test
@@ -119,8 +119,8 @@
   void declaredOrderIsReadAndARouteThatOthersNameCannotGo() {
     final String late = OTHER.replace("}", ",'After':['r1']}");
     final Configuration configuration = Configuration.read(json(ROUTE + "," + late, ""));
-    assertTrue(configuration.space("a.b.x").follows(configuration.space("a.x")));
-    assertFalse(configuration.space("a.x").follows(configuration.space("a.b.x")));
+    assertTrue(configuration.routeOf("a.b.x").follows(configuration.routeOf("a.x")));
+    assertFalse(configuration.routeOf("a.x").follows(configuration.routeOf("a.b.x")));
     final Config update = Configuration.parse("{\"Ver\":9,\"Del\":{\"Routes\":[\"r1\"]}}");
     final YewjunctionException failure =
         assertThrows(
@@ -142,9 +142,9 @@
     final Configuration updated =
         Configuration.of(configuration.updated(Configuration.parse(update.replace('\'', '"'))));
     assertEquals(9, updated.version());
-    assertEquals(7, updated.space("a.b.x").timeoutMs());
-    assertEquals(8, updated.space("c.").timeoutMs());
+    assertEquals(7, updated.routeOf("a.b.x").timeoutMs());
+    assertEquals(8, updated.routeOf("c.").timeoutMs());
     assertNull(updated.tenantOfKey("k"));
-    assertEquals(5, updated.subs());
+    assertEquals(5, updated.maxSubscriptions());
   }
 }
--- a/src/test/java/yewjunction/control/ControlSnapshotCost.java
+++ b/src/test/java/yewjunction/control/ControlSnapshotCost.java
@@ -15,27 +15,27 @@
         new ControlStateMachine(
             new ControlStateMachine.Listener() {
               @Override
-              public void configChanged() {}
+              public void onConfigurationChanged() {}
 
               @Override
-              public void factsChanged() {}
+              public void onClusterStateChanged() {}
 
               @Override
-              public void settledTo(final long commit) {}
+              public void onCommitted(final long commit) {}
 
               @Override
-              public void leaderIs(final String identity, final boolean self) {}
+              public void onLeaderChange(final String identity, final boolean self) {}
             });
     final Random random = new Random(1);
     final int bytes = Integer.parseInt(words[0]);
     for (int i = 1; i <= 520; i++) {
       final ControlCommand command = new ControlCommand();
-      command.kind = ControlCommand.CONFIG;
-      command.base = i - 1;
+      command.kind = ControlCommand.SET_CONFIGURATION;
+      command.baseVersion = i - 1;
       command.version = i;
       command.digest = Long.toHexString(random.nextLong()).repeat(4);
       command.json = i < 520 ? "{}" : "\"route\":\"a.b\",".repeat(bytes / 14);
-      stateMachine.apply(i, ControlStateMachine.bytes(command));
+      stateMachine.apply(i, ControlStateMachine.encode(command));
     }
     final var threads = ManagementFactory.getThreadMXBean();
     for (int round = 0; round < 5; round++) {
--- a/src/test/java/yewjunction/control/ControlStateFixture.java
+++ b/src/test/java/yewjunction/control/ControlStateFixture.java
@@ -19,22 +19,22 @@
     return new ControlStateMachine(
         new ControlStateMachine.Listener() {
           @Override
-          public void configChanged() {
+          public void onConfigurationChanged() {
             // Only the state counts here.
           }
 
           @Override
-          public void factsChanged() {
+          public void onClusterStateChanged() {
             // Only the state counts here.
           }
 
           @Override
-          public void settledTo(final long commit) {
+          public void onCommitted(final long commit) {
             // Only the state counts here.
           }
 
           @Override
-          public void leaderIs(final String identity, final boolean self) {
+          public void onLeaderChange(final String identity, final boolean self) {
             // Only the state counts here.
           }
         });
@@ -49,40 +49,40 @@
   public static List<byte[]> commands() {
     final List<byte[]> commands = new ArrayList<>();
     commands.add(config(1, 0));
-    final ControlCommand replica = new ControlCommand(ControlCommand.REPLICA);
+    final ControlCommand replica = new ControlCommand(ControlCommand.ASSIGN_REPLICA);
     replica.address = "10.0.0.2:7000";
     replica.node = "edge-2";
     replica.life = 99;
-    commands.add(ControlStateMachine.bytes(replica));
+    commands.add(ControlStateMachine.encode(replica));
     replica.address = "10.0.0.3:7000";
     replica.node = "edge-3";
     replica.life = 100;
-    commands.add(ControlStateMachine.bytes(replica));
-    final ControlCommand vaults = new ControlCommand(ControlCommand.VAULTS);
+    commands.add(ControlStateMachine.encode(replica));
+    final ControlCommand vaults = new ControlCommand(ControlCommand.SET_FIRST_STORES);
     vaults.identities = List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z");
     vaults.zones = List.of("za", "zb", "zc");
-    commands.add(ControlStateMachine.bytes(vaults));
-    final ControlCommand gone = new ControlCommand(ControlCommand.REPLICA_GONE);
-    gone.name = 1;
-    commands.add(ControlStateMachine.bytes(gone));
-    final ControlCommand retire = new ControlCommand(ControlCommand.RETIRE);
+    commands.add(ControlStateMachine.encode(vaults));
+    final ControlCommand gone = new ControlCommand(ControlCommand.RETIRE_REPLICA);
+    gone.replicaId = 1;
+    commands.add(ControlStateMachine.encode(gone));
+    final ControlCommand retire = new ControlCommand(ControlCommand.BEGIN_RETIREMENT);
     retire.node = "store-4";
     retire.address = "10.0.0.4:7000";
-    commands.add(ControlStateMachine.bytes(retire));
-    final ControlCommand retired = new ControlCommand(ControlCommand.RETIRED);
+    commands.add(ControlStateMachine.encode(retire));
+    final ControlCommand retired = new ControlCommand(ControlCommand.FINISH_RETIREMENT);
     retired.node = "store-4";
-    commands.add(ControlStateMachine.bytes(retired));
+    commands.add(ControlStateMachine.encode(retired));
     commands.add(config(2, 1));
     return commands;
   }
 
   private static byte[] config(final long version, final long base) {
-    final ControlCommand config = new ControlCommand(ControlCommand.CONFIG);
+    final ControlCommand config = new ControlCommand(ControlCommand.SET_CONFIGURATION);
     config.json = String.format(JSON, version);
     config.version = version;
-    config.base = base;
+    config.baseVersion = base;
     config.digest = "digest-" + version;
-    return ControlStateMachine.bytes(config);
+    return ControlStateMachine.encode(config);
   }
 
   /** Applies the whole history, the first command at the index given. */
@@ -98,19 +98,19 @@
     final ControlStateMachine controlStateMachine = (ControlStateMachine) stateMachine;
     assertEquals(2, controlStateMachine.version());
     assertEquals(String.format(JSON, 2), controlStateMachine.json());
-    assertEquals(2, controlStateMachine.current().version());
-    assertTrue(controlStateMachine.taken(1, "digest-1"));
-    assertTrue(controlStateMachine.taken(2, "digest-2"));
-    final ClusterState clusterState = controlStateMachine.facts();
-    assertEquals(7, clusterState.number());
-    assertEquals(2, clusterState.newestReplica());
-    assertEquals(Set.of(2L), clusterState.liveReplicas());
-    assertEquals(2, clusterState.replica("10.0.0.3:7000", 100));
+    assertEquals(2, controlStateMachine.currentConfiguration().version());
+    assertTrue(controlStateMachine.wasAccepted(1, "digest-1"));
+    assertTrue(controlStateMachine.wasAccepted(2, "digest-2"));
+    final ClusterState clusterState = controlStateMachine.clusterState();
+    assertEquals(7, clusterState.version());
+    assertEquals(2, clusterState.newestReplicaId());
+    assertEquals(Set.of(2L), clusterState.liveReplicaIds());
+    assertEquals(2, clusterState.replicaId("10.0.0.3:7000", 100));
     assertEquals("10.0.0.3:7000", clusterState.addressOf(2));
     assertEquals(
-        List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z"), clusterState.vaults());
-    assertEquals(List.of("10.0.0.5:7000"), clusterState.vaultAddresses("zb", true));
-    assertTrue(clusterState.retiring("store-4").finished);
+        List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z"), clusterState.stores());
+    assertEquals(List.of("10.0.0.5:7000"), clusterState.storeAddresses("zb", true));
+    assertTrue(clusterState.retirementOf("store-4").finished);
     assertEquals(Set.of("10.0.0.4:7000"), clusterState.retiringAddresses());
   }
 }
--- a/src/test/java/yewjunction/control/ControlWireFormatTest.java
+++ b/src/test/java/yewjunction/control/ControlWireFormatTest.java
@@ -16,12 +16,12 @@
     final ControlCommand command = new ControlCommand(kind);
     command.json = "{\"Ver\":8}";
     command.version = 8;
-    command.base = 7;
+    command.baseVersion = 7;
     command.digest = "d1gest";
     command.address = "10.0.0.1:7001";
     command.node = "node-1";
     command.life = 123_456_789L;
-    command.name = 33;
+    command.replicaId = 33;
     command.identities = List.of("a:1#x", "b:2#y");
     command.zones = List.of("zone-a", "zone-b");
     command.patch = "{\"Ver\":8,\"Patch\":1}";
@@ -31,10 +31,10 @@
 
   private static ClusterState facts() {
     final ClusterState clusterState = new ClusterState();
-    clusterState.number = 55;
-    clusterState.newestReplica = 4;
+    clusterState.version = 55;
+    clusterState.newestReplicaId = 4;
     final ClusterState.Replica replica = new ClusterState.Replica();
-    replica.name = 3;
+    replica.id = 3;
     replica.address = "10.0.0.2:7000";
     replica.life = 99;
     clusterState.replicas.add(replica);
@@ -44,7 +44,7 @@
     retiring.node = "node-9";
     retiring.address = "10.0.0.9:7000";
     retiring.finished = true;
-    clusterState.retiring.add(retiring);
+    clusterState.retirements.add(retiring);
     return clusterState;
   }
 
@@ -53,16 +53,16 @@
     process.address = "10.0.0.1:7000";
     process.node = "node-1";
     process.zone = "zone-a";
-    process.duty = "vault";
+    process.role = "vault";
     process.life = 77;
     process.identity = "a:1#x";
-    process.applied = 1_234;
-    process.held = true;
-    process.waiting = 12;
-    process.dark = true;
-    process.diskOwedMs = 250;
-    process.memoryPct = 61;
-    process.emptied = List.of("node-5", "node-6");
+    process.appliedIndex = 1_234;
+    process.leaseHeld = true;
+    process.waitingPublishes = 12;
+    process.leaderUnreachable = true;
+    process.diskDelayMs = 250;
+    process.memoryPercent = 61;
+    process.emptiedNodes = List.of("node-5", "node-6");
     final AccountBalance balance = new AccountBalance();
     balance.tenant = "t1";
     balance.index = 1_001;
@@ -75,47 +75,47 @@
     process.balances.add(balance);
     final OrderViolations disorder = new OrderViolations();
     disorder.topic = "orders.a";
-    disorder.breaks = 2;
+    disorder.violations = 2;
     disorder.gaps = 3;
-    process.disorders.add(disorder);
+    process.orderViolations.add(disorder);
     return process;
   }
 
   static Map<String, Object> messages() {
     final Map<String, Object> messages = new LinkedHashMap<>();
     final LeaseMessages.LeaseRequest leaseRequest = new LeaseMessages.LeaseRequest();
-    leaseRequest.request = 11;
+    leaseRequest.requestId = 11;
     leaseRequest.version = 12;
-    leaseRequest.factsNumber = 13;
+    leaseRequest.clusterStateVersion = 13;
     leaseRequest.process = who();
     messages.put("50", leaseRequest);
     final LeaseMessages.LeaseResponse leaseResponse = new LeaseMessages.LeaseResponse();
-    leaseResponse.held = true;
-    leaseResponse.request = 21;
+    leaseResponse.granted = true;
+    leaseResponse.requestId = 21;
     leaseResponse.version = 22;
     leaseResponse.json = "{\"Ver\":22}";
     leaseResponse.clusterState = facts();
     final RecentChanges.VersionPatch patch = new RecentChanges.VersionPatch();
-    patch.base = 20;
+    patch.baseVersion = 20;
     patch.version = 22;
     patch.json = "{}";
     patch.digest = 4_321;
     leaseResponse.patches.add(patch);
     final ClusterState.Change change = new ClusterState.Change();
-    change.before = 54;
+    change.previousNumber = 54;
     change.index = 55;
-    change.command = deed(ControlCommand.RETIRE);
+    change.command = deed(ControlCommand.BEGIN_RETIREMENT);
     leaseResponse.changes.add(change);
     messages.put("51", leaseResponse);
     final LeaseMessages.ConfirmLeadershipRequest confirmRequest =
         new LeaseMessages.ConfirmLeadershipRequest();
-    confirmRequest.number = 31;
+    confirmRequest.requestId = 31;
     messages.put("52", confirmRequest);
     final LeaseMessages.ConfirmLeadershipResponse confirmResponse =
         new LeaseMessages.ConfirmLeadershipResponse();
-    confirmResponse.number = 32;
-    confirmResponse.held = true;
-    confirmResponse.commit = 33;
+    confirmResponse.requestId = 32;
+    confirmResponse.confirmed = true;
+    confirmResponse.commitIndex = 33;
     messages.put("53", confirmResponse);
     final LeaseMessages.RegisterRequest registerRequest = new LeaseMessages.RegisterRequest();
     registerRequest.process = who();
@@ -126,15 +126,17 @@
   @Test
   void messagesKeepTheirBytes() {
     final MessageCodec codec = new MessageCodec();
-    LeaseMessages.know(codec);
+    LeaseMessages.register(codec);
     GoldenBytes.assertUnchanged("control.txt", GoldenBytes.encode(codec, messages()));
   }
 
   @Test
   void commandsAndSnapshotsKeepTheirBytes() {
     final Map<String, byte[]> examples = new LinkedHashMap<>();
-    for (int kind = ControlCommand.CONFIG; kind <= ControlCommand.RETIRED; kind++) {
-      examples.put("command-" + kind, ControlStateMachine.bytes(deed(kind)));
+    for (int kind = ControlCommand.SET_CONFIGURATION;
+        kind <= ControlCommand.FINISH_RETIREMENT;
+        kind++) {
+      examples.put("command-" + kind, ControlStateMachine.encode(deed(kind)));
     }
     final ControlStateMachine stateMachine = ControlStateFixture.core();
     ControlStateFixture.apply(stateMachine, 1);
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -77,14 +77,14 @@
           address(ip),
           (ControlNode)
               SimulatedNodes.boot(host, settings, NodeRole.CONTROL, nodes.size() + 1).node());
-      host.tampering =
+      host.messageFilter =
           message -> {
             if (message instanceof ConfirmLeadershipRequest request) {
               leader = host.address;
               final ConfirmLeadershipRequest copy = new ConfirmLeadershipRequest();
-              copy.number = request.number;
+              copy.requestId = request.requestId;
               asked.add(copy);
-              request.number = mute ? -1 : request.number;
+              request.requestId = mute ? -1 : request.requestId;
             }
           };
     }
@@ -97,17 +97,17 @@
                   .values()
                   .forEach(
                       node ->
-                          node.desk()
-                              .take(
+                          node.operatorApi()
+                              .handle(
                                   new OperatorApi.Request("POST", "/-/config/replace", "0", body),
                                   response -> taken.add(response.status())));
               return taken.contains(200);
             },
             10_000));
     edge = network.host("10.9.0.1:1").boot();
-    edge.on(
+    edge.onMessage(
         LeaseResponse.class,
-        (connection, response) -> leases.addAll(response.held ? List.of(response) : List.of()));
+        (connection, response) -> leases.addAll(response.granted ? List.of(response) : List.of()));
     stranger = network.host("10.9.0.2:1").boot();
     // Whoever does not lead asks the leader.
     network.runFor(1_000);
@@ -122,9 +122,9 @@
   private PeerConnection renew(final String controlNode) {
     final LeaseRequest request = new LeaseRequest();
     request.version = 7;
-    request.request = 99;
+    request.requestId = 99;
     request.process.address = "10.9.0.1:1";
-    final PeerConnection connection = edge.dial(controlNode);
+    final PeerConnection connection = edge.connect(controlNode);
     connection.send(request);
     return connection;
   }
@@ -133,7 +133,7 @@
   void theLeadersWordGrantsWhatWasAsked() {
     renew(home);
     assertTrue(network.runUntil(() -> !leases.isEmpty(), 200));
-    assertEquals(99, leases.get(0).request);
+    assertEquals(99, leases.get(0).requestId);
   }
 
   /** Right in its number, and from a link on which nothing was asked. */
@@ -143,9 +143,9 @@
     renew(home);
     assertTrue(network.runUntil(() -> !asked.isEmpty(), 200));
     final ConfirmLeadershipResponse response = new ConfirmLeadershipResponse();
-    response.number = asked.get(0).number;
-    response.held = true;
-    stranger.dial(home).send(response);
+    response.requestId = asked.get(0).requestId;
+    response.confirmed = true;
+    stranger.connect(home).send(response);
     network.runFor(200);
     assertEquals(List.of(), leases);
   }
--- a/src/test/java/yewjunction/control/LeaseResponsesTest.java
+++ b/src/test/java/yewjunction/control/LeaseResponsesTest.java
@@ -28,14 +28,14 @@
 
   private static final class IgnoringListener implements LeaseClient.Listener {
     @Override
-    public void configChanged(final Configuration configuration) {}
+    public void onConfigurationChanged(final Configuration configuration) {}
 
     @Override
-    public void factsChanged(final ClusterState clusterState) {}
+    public void onClusterStateChanged(final ClusterState clusterState) {}
   }
 
   private ScriptedTransport.ScriptedConnection link(final String address) {
-    return transport.dial(address);
+    return transport.connect(address);
   }
 
   /** A life of an edge, which has asked once and knows the configuration already. */
@@ -47,21 +47,21 @@
     network.runFor(100_000);
     leaseClient =
         new LeaseClient(host, transport, () -> homes, new IgnoringListener())
-            .named("edge:1", "edge", "zone", NodeRole.EDGE, drawn ? ++lives : 1);
+            .identifiedAs("edge:1", "edge", "zone", NodeRole.EDGE, drawn ? ++lives : 1);
     leaseClient.start();
     final LeaseResponse response = new LeaseResponse();
     response.version = 7;
     response.json = ConfigurationTest.json("", "");
-    transport.answer("near:1", response);
-    assertFalse(leaseClient.held(), "news are no lease");
+    transport.respond("near:1", response);
+    assertFalse(leaseClient.isHeld(), "news are no lease");
   }
 
   private void grant(final String from, final LeaseRequest request) {
     final LeaseResponse response = new LeaseResponse();
-    response.held = true;
+    response.granted = true;
     response.version = 7;
-    response.request = request.request;
-    transport.answer(from, response);
+    response.requestId = request.requestId;
+    transport.respond(from, response);
   }
 
   @Test
@@ -73,18 +73,18 @@
     assertTrue(link("far:1").size() + link("near:1").size() > 1, "a newer question is open");
     grant("near:1", first);
     network.runFor(askedMs + LEASE_DURATION_MS - 1 - network.nowMs());
-    assertTrue(leaseClient.held());
+    assertTrue(leaseClient.isHeld());
     network.runFor(1);
-    assertFalse(leaseClient.held());
+    assertFalse(leaseClient.isHeld());
   }
 
   @Test
   void anotherCruxsAnswerIsNone() {
     begin(true);
     grant("far:1", link("near:1").newest());
-    assertFalse(leaseClient.held());
+    assertFalse(leaseClient.isHeld());
     grant("near:1", link("near:1").newest());
-    assertTrue(leaseClient.held());
+    assertTrue(leaseClient.isHeld());
   }
 
   @Test
@@ -113,7 +113,7 @@
     begin(drawn);
     assertEquals(1, link("near:1").size());
     grant("near:1", earlier);
-    return leaseClient.held();
+    return leaseClient.isHeld();
   }
 
   @Test
--- a/src/test/java/yewjunction/control/StaleRegistration.java
+++ b/src/test/java/yewjunction/control/StaleRegistration.java
@@ -11,7 +11,7 @@
     final RegisterRequest request = new RegisterRequest();
     request.process.address = address;
     request.process.node = "node-" + address;
-    request.process.duty = NodeRole.EDGE.wireName();
+    request.process.role = NodeRole.EDGE.wireName();
     request.process.life = life;
     return request;
   }
--- a/src/test/java/yewjunction/fanout/StreamResponsesTest.java
+++ b/src/test/java/yewjunction/fanout/StreamResponsesTest.java
@@ -32,12 +32,12 @@
 
   private final class RecordingListener implements StreamClient.Listener {
     @Override
-    public void message(final StoredMessage message) {
+    public void onMessage(final StoredMessage message) {
       told.add("message " + message.topic);
     }
 
     @Override
-    public void taken(
+    public void onReplay(
         final long request,
         final boolean expired,
         final long position,
@@ -47,22 +47,22 @@
     }
 
     @Override
-    public void leaderIs(final String address) {
+    public void onLeaderChange(final String address) {
       told.add("leader " + address);
     }
 
     @Override
-    public void leaderHeard() {
+    public void onLeaderReachable() {
       // At each piece of the stream.
     }
 
     @Override
-    public void attached() {
+    public void onAttached() {
       told.add("attached");
     }
 
     @Override
-    public void gapped() {
+    public void onStreamGap() {
       told.add("gapped");
     }
   }
@@ -70,8 +70,8 @@
   private void welcome(final PeerConnection on, final long start) {
     final AttachResponse response = new AttachResponse();
     response.accepted = true;
-    response.start = start;
-    transport.answer(on, response);
+    response.startIndex = start;
+    transport.respond(on, response);
   }
 
   /**
@@ -94,28 +94,28 @@
             new RecordingListener(),
             () -> {});
     streamClient.attach();
-    former = transport.dial("vault:1");
+    former = transport.connect("vault:1");
     welcome(former, 10);
     assertEquals(List.of("attached"), told);
     network.runFor(2 * STREAM_TIMEOUT_MS);
-    assertNotSame(former, transport.dial("vault:1"));
-    assertTrue(transport.dial("vault:1").newest() instanceof AttachRequest);
+    assertNotSame(former, transport.connect("vault:1"));
+    assertTrue(transport.connect("vault:1").newest() instanceof AttachRequest);
     told.clear();
   }
 
   private void allOfIt(final PeerConnection on) {
     welcome(on, 10);
     final ReplayResponse response = new ReplayResponse();
-    response.request = 7;
-    transport.answer(on, response);
+    response.requestId = 7;
+    transport.respond(on, response);
     final StreamBatch batch = new StreamBatch();
-    batch.from = 10;
-    batch.upTo = 11;
+    batch.previousIndex = 10;
+    batch.throughIndex = 11;
     batch.leader = "leader:1";
     final StoredMessage message = new StoredMessage();
     message.topic = "s.x";
     batch.messages.add(message);
-    transport.answer(on, batch);
+    transport.respond(on, batch);
   }
 
   @Test
@@ -127,16 +127,16 @@
   /** The fault planted: the same comes on the present home's link. */
   @Test
   void onThePresentLinkTheyCount() {
-    allOfIt(transport.dial("vault:1"));
+    allOfIt(transport.connect("vault:1"));
     assertEquals(List.of("attached", "taken 7", "message s.x", "leader leader:1"), told);
   }
 
   @Test
   void nothingIsTakenBeforeTheHomeHasSaidYes() {
     final ReplayResponse response = new ReplayResponse();
-    response.request = 7;
-    transport.answer(transport.dial("vault:1"), response);
-    transport.answer(transport.dial("vault:1"), new StreamBatch());
+    response.requestId = 7;
+    transport.respond(transport.connect("vault:1"), response);
+    transport.respond(transport.connect("vault:1"), new StreamBatch());
     assertEquals(List.of(), told);
   }
 }
--- a/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
+++ b/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static yewjunction.store.AdmissionMessages.ACCEPTED;
 import static yewjunction.store.AdmissionMessages.DENIED;
-import static yewjunction.store.AdmissionMessages.ELSEWHERE;
+import static yewjunction.store.AdmissionMessages.NOT_LEADER;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public int waiting() {
+    public int queuedBytes() {
       return 0;
     }
 
     @Override
-    public void closeSoon() {
+    public void closeAfterFlush() {
       throw new IllegalStateException("closed");
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public boolean open() {
+    public boolean isOpen() {
       return true;
     }
   }
@@ -65,18 +65,18 @@
     final SimulatedHost host = network.host("edge:1");
     host.boot();
     publishForwarder = new PublishForwarder(host, transport, drawn ? ++lives : 1);
-    publishForwarder.leaderIs("one:1");
+    publishForwarder.onLeaderChange("one:1");
     final ClientSession session = new ClientSession(null, new Written(), 0);
     session.client = "c";
-    publishForwarder.ship(session, "s.x", 5, true, "", SPACE, new byte[0]);
-    return transport.dial("one:1").newest();
+    publishForwarder.publish(session, "s.x", 5, true, "", SPACE, new byte[0]);
+    return transport.connect("one:1").newest();
   }
 
   private String afterVerdict(final String from, final AdmitRequest on, final int what) {
     final AdmitResponse response = new AdmitResponse();
-    response.request = on.request;
-    response.what = what;
-    transport.answer(from, response);
+    response.requestId = on.requestId;
+    response.outcome = what;
+    transport.respond(from, response);
     return new String(told.take(), StandardCharsets.US_ASCII);
   }
 
@@ -85,11 +85,11 @@
    * again.
    */
   private AdmitRequest offeredThrice() {
-    publishForwarder.leaderIs("two:1");
-    assertEquals(1, transport.dial("two:1").size());
-    publishForwarder.leaderIs("one:1");
-    assertEquals(2, transport.dial("one:1").size());
-    return transport.dial("one:1").newest();
+    publishForwarder.onLeaderChange("two:1");
+    assertEquals(1, transport.connect("two:1").size());
+    publishForwarder.onLeaderChange("one:1");
+    assertEquals(2, transport.connect("one:1").size());
+    return transport.connect("one:1").newest();
   }
 
   @Test
@@ -130,11 +130,11 @@
   void thatAnEarlierOfferWentToNoLeaderTakesNothingBack() {
     final AdmitRequest first = begin(true);
     offeredThrice();
-    assertEquals("", afterVerdict("one:1", first, ELSEWHERE));
+    assertEquals("", afterVerdict("one:1", first, NOT_LEADER));
     // Taken back it would be offered again after a pause.
     network.runFor(2_000);
-    assertEquals(2, transport.dial("one:1").size());
-    assertEquals(1, publishForwarder.depth());
+    assertEquals(2, transport.connect("one:1").size());
+    assertEquals(1, publishForwarder.waitingCount());
   }
 
   private String afterVerdictOnAnEarlierLife(final boolean drawn) {
--- a/src/test/java/yewjunction/gateway/CommandParserTest.java
+++ b/src/test/java/yewjunction/gateway/CommandParserTest.java
@@ -35,7 +35,7 @@
         sent = next;
         int at = 0;
         final CommandParser parser = new CommandParser();
-        while (at < all.length && parser.wrap(all, at, all.length) == CommandParser.GOOD) {
+        while (at < all.length && parser.wrap(all, at, all.length) == CommandParser.COMPLETE) {
           read.add(parser.text(0));
           if (parser.is("PUB")) {
             assertEquals(
@@ -72,12 +72,13 @@
 
   @Test
   void aBareLineEndLosesTheStreamAndABodyOverTheLimitIsTooBig() {
-    assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("PING\n"), 0, 5));
+    assertEquals(CommandParser.UNRECOVERABLE, new CommandParser().wrap(bytes("PING\n"), 0, 5));
     final byte[] large = bytes("PUB t 1 16385\r\n" + "x".repeat(16_385) + "\r\n");
     final CommandParser parser = new CommandParser();
     assertEquals(CommandParser.TOO_BIG, parser.wrap(large, 0, large.length));
     assertEquals(large.length, parser.end());
-    assertEquals(CommandParser.LOST, new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
+    assertEquals(
+        CommandParser.UNRECOVERABLE, new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
   }
 
   @Test
@@ -106,8 +107,8 @@
       final CommandParser parser = new CommandParser();
       final int state = parser.wrap(bytes, 0, bytes.length);
       assertTrue(
-          state == CommandParser.MORE
-              || state == CommandParser.LOST
+          state == CommandParser.INCOMPLETE
+              || state == CommandParser.UNRECOVERABLE
               || state == CommandParser.TOO_BIG
               || parser.end() > 0 && parser.end() <= bytes.length);
     }
--- a/src/test/java/yewjunction/gateway/FilterTest.java
+++ b/src/test/java/yewjunction/gateway/FilterTest.java
@@ -34,7 +34,7 @@
       })
   void theKeyIsTheFirstWordAndPatternsAreKeysOrBeginnings(
       final String filter, final String body, final boolean wanted) {
-    assertEquals(wanted, Filter.read(filter).wants(CommandParser.ascii(body)));
+    assertEquals(wanted, Filter.parse(filter).matches(CommandParser.ascii(body)));
   }
 
   @ParameterizedTest
@@ -43,20 +43,21 @@
       value = {"a,,b", "a,", ",", "a*b", "**", "a*,*b"})
   void aBadPatternIsToldApart(final String filter) {
     assertEquals(
-        FILTER_INVALID, assertThrows(YewjunctionException.class, () -> Filter.read(filter)).code());
+        FILTER_INVALID,
+        assertThrows(YewjunctionException.class, () -> Filter.parse(filter)).code());
   }
 
   @Test
   void aFilterIsBounded() {
     final String many = String.join(",", java.util.Collections.nCopies(64, "k"));
-    Filter.read(many);
+    Filter.parse(many);
     assertEquals(
         FILTER_TOO_LARGE,
-        assertThrows(YewjunctionException.class, () -> Filter.read(many + ",k")).code());
-    Filter.read("k".repeat(1_024));
+        assertThrows(YewjunctionException.class, () -> Filter.parse(many + ",k")).code());
+    Filter.parse("k".repeat(1_024));
     assertEquals(
         FILTER_TOO_LARGE,
-        assertThrows(YewjunctionException.class, () -> Filter.read("k".repeat(1_025))).code());
+        assertThrows(YewjunctionException.class, () -> Filter.parse("k".repeat(1_025))).code());
   }
 
   /**
@@ -81,8 +82,8 @@
                           : key.equals(pattern));
       assertEquals(
           wanted,
-          Filter.read(String.join(",", patterns))
-              .wants(CommandParser.ascii(key + " rest of the body")),
+          Filter.parse(String.join(",", patterns))
+              .matches(CommandParser.ascii(key + " rest of the body")),
           key + " by " + patterns);
     }
   }
--- a/src/test/java/yewjunction/maintenance/MaintenanceWindowsTest.java
+++ b/src/test/java/yewjunction/maintenance/MaintenanceWindowsTest.java
@@ -47,7 +47,7 @@
             "SUMMARY:disks of store-a-1");
     assertEquals(
         covered ? "disks of store-a-1" : null,
-        windows.explains(Instant.parse(moment), List.of("store-a-1")));
+        windows.plannedWorkFor(Instant.parse(moment), List.of("store-a-1")));
   }
 
   @Test
@@ -59,10 +59,10 @@
             "SUMMARY:power",
             "LOCATION:edge-a-12, zone-b");
     final Instant moment = Instant.parse("2026-01-01T12:00:00Z");
-    assertNull(windows.explains(moment, List.of("edge-a-1")));
-    assertEquals("power", windows.explains(moment, List.of("edge-a-12")));
-    assertEquals("power", windows.explains(moment, List.of("edge-x", "zone-b")));
-    assertNull(windows.explains(Instant.parse("2026-01-02T00:00:00Z"), List.of("zone-b")));
+    assertNull(windows.plannedWorkFor(moment, List.of("edge-a-1")));
+    assertEquals("power", windows.plannedWorkFor(moment, List.of("edge-a-12")));
+    assertEquals("power", windows.plannedWorkFor(moment, List.of("edge-x", "zone-b")));
+    assertNull(windows.plannedWorkFor(Instant.parse("2026-01-02T00:00:00Z"), List.of("zone-b")));
   }
 
   @Test
@@ -73,16 +73,21 @@
         "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nSUMMARY:e1\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n");
     windows("DTSTART:20260101T000000Z", "DTEND:20260102T000000Z", "SUMMARY:e1");
     final MaintenanceWindows windows = MaintenanceWindows.read(folder);
-    assertEquals(2, windows.bad().size(), windows.bad().toString());
-    assertEquals("e1", windows.explains(Instant.parse("2026-01-01T12:00:00Z"), List.of("e1")));
+    assertEquals(2, windows.unreadable().size(), windows.unreadable().toString());
+    assertEquals(
+        "e1", windows.plannedWorkFor(Instant.parse("2026-01-01T12:00:00Z"), List.of("e1")));
     assertTrue(
-        MaintenanceWindows.read(folder.resolve("none.ics")).bad().get(0).contains("none.ics"));
+        MaintenanceWindows.read(folder.resolve("none.ics"))
+            .unreadable()
+            .get(0)
+            .contains("none.ics"));
   }
 
   @Test
   void aRuleWithoutEndIsBounded() throws Exception {
     final MaintenanceWindows windows =
         windows("DTSTART:20200101T000000Z", "DURATION:P3650D", "RRULE:FREQ=SECONDLY", "SUMMARY:e1");
-    assertEquals("e1", windows.explains(Instant.parse("2026-01-01T12:00:00Z"), List.of("e1")));
+    assertEquals(
+        "e1", windows.plannedWorkFor(Instant.parse("2026-01-01T12:00:00Z"), List.of("e1")));
   }
 }
--- a/src/test/java/yewjunction/membership/LateResponsesTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -32,18 +32,18 @@
     member.life = 1;
     member.address = address;
     member.zone = "zone";
-    member.duty = NodeRole.STORE.wireName();
+    member.role = NodeRole.STORE.wireName();
     return member;
   }
 
   private static <T extends MembershipMessage> T by(final String address, final T letter) {
-    letter.self = peer(address);
+    letter.sender = peer(address);
     return letter;
   }
 
   private static Ack echo(final String address, final long number) {
     final Ack ack = by(address, new Ack());
-    ack.number = number;
+    ack.requestId = number;
     return ack;
   }
 
@@ -63,19 +63,20 @@
               if (message instanceof Ping ping && address.equals(DEAD)) {
                 probes.add(ping);
               } else if (message instanceof Ping ping) {
-                network.after(5, () -> membership.take(address, echo(address, ping.number)));
+                network.after(
+                    5, () -> membership.onMessage(address, echo(address, ping.requestId)));
               } else if (message instanceof PingRequest pingRequest) {
                 detours.add(pingRequest);
               }
             });
     membership.start(List.of());
     for (final String other : others) {
-      membership.take(other, by(other, new Ack()));
+      membership.onMessage(other, by(other, new Ack()));
     }
   }
 
   private boolean missed() {
-    return membership.at(DEAD) == null || !membership.at(DEAD).up();
+    return membership.memberAt(DEAD) == null || !membership.memberAt(DEAD).isUp();
   }
 
   /**
@@ -87,15 +88,18 @@
     boot(drawn, DEAD);
     network.every(
         1,
-        () -> List.copyOf(probes).forEach(ping -> membership.take(DEAD, echo(DEAD, ping.number))));
+        () ->
+            List.copyOf(probes)
+                .forEach(ping -> membership.onMessage(DEAD, echo(DEAD, ping.requestId))));
     network.runFor(20_000);
     assertTrue(probes.size() > 15 && !missed(), probes.size() + " probes");
-    final List<Long> firstLife = probes.stream().map(ping -> ping.number).toList();
+    final List<Long> firstLife = probes.stream().map(ping -> ping.requestId).toList();
     network.host(ASKER).kill();
     final SimulatedNetwork second = new SimulatedNetwork(seed + 1_000);
     network = second;
     boot(drawn, DEAD);
-    second.every(100, () -> firstLife.forEach(number -> membership.take(DEAD, echo(DEAD, number))));
+    second.every(
+        100, () -> firstLife.forEach(number -> membership.onMessage(DEAD, echo(DEAD, number))));
     second.runFor(10_000);
     return missed();
   }
@@ -119,7 +123,7 @@
     network.every(
         20,
         () -> {
-          probes.forEach(ping -> membership.take(OTHER, echo(name, ping.number)));
+          probes.forEach(ping -> membership.onMessage(OTHER, echo(name, ping.requestId)));
         });
     network.runFor(20_000);
     return missed();
@@ -145,11 +149,12 @@
         20,
         () ->
             detours.forEach(
-                pingRequest -> membership.take(OTHER, echo(OTHER, pingRequest.number))));
+                pingRequest -> membership.onMessage(OTHER, echo(OTHER, pingRequest.requestId))));
     network.runFor(15_000);
     assertFalse(missed());
     assertTrue(detours.size() > 3, detours.size() + " detours");
     assertEquals(
-        detours.size(), detours.stream().map(pingRequest -> pingRequest.number).distinct().count());
+        detours.size(),
+        detours.stream().map(pingRequest -> pingRequest.requestId).distinct().count());
   }
 }
--- a/src/test/java/yewjunction/membership/MembershipSimulationTest.java
+++ b/src/test/java/yewjunction/membership/MembershipSimulationTest.java
@@ -25,15 +25,15 @@
     self.address = address;
     self.node = "node-" + address;
     self.zone = "zone" + address.charAt(1);
-    self.duty = NodeRole.EDGE.wireName();
+    self.role = NodeRole.EDGE.wireName();
     self.life = ++lives;
     final MembershipList membership = new MembershipList(host, self, host::datagram);
-    membership.planned(
+    membership.setPlannedWork(
         member -> {
           explained.add(member.node);
           return "work";
         });
-    host.onDatagram(membership::take);
+    host.onDatagram(membership::onMessage);
     rosters.put(address, membership);
     membership.start(List.of("a1:7", "a2:7"));
   }
@@ -46,7 +46,8 @@
     }
     network.runFor(12_000);
     rosters.forEach(
-        (address, membership) -> assertEquals(7, membership.up(NodeRole.EDGE).size(), address));
+        (address, membership) ->
+            assertEquals(7, membership.membersUp(NodeRole.EDGE).size(), address));
   }
 
   private boolean allSee(final String address, final boolean up) {
@@ -54,7 +55,7 @@
         .filter(one -> !one.getKey().equals(address) && network.host(one.getKey()).up())
         .allMatch(
             one ->
-                one.getValue().up(NodeRole.EDGE).stream()
+                one.getValue().membersUp(NodeRole.EDGE).stream()
                         .anyMatch(member -> member.address.equals(address))
                     == up);
   }
@@ -67,7 +68,7 @@
     assertTrue(explained.contains("node-b1:7"));
     boot("b1:7");
     assertTrue(network.runUntil(() -> allSee("b1:7", true), 10_000));
-    assertEquals(lives, rosters.get("a2:7").at("b1:7").life);
+    assertEquals(lives, rosters.get("a2:7").memberAt("b1:7").life);
   }
 
   @Test
--- a/src/test/java/yewjunction/membership/MembershipWireFormatTest.java
+++ b/src/test/java/yewjunction/membership/MembershipWireFormatTest.java
@@ -14,19 +14,19 @@
     member.address = "10.0.0." + salt + ":7000";
     member.node = "node-" + salt;
     member.zone = "zone-" + salt;
-    member.duty = "vault";
-    member.front = "10.0.0." + salt + ":80";
+    member.role = "vault";
+    member.clientAddress = "10.0.0." + salt + ":80";
     member.life = 1_000L + salt;
     member.ready = true;
-    member.number = 2_000L + salt;
-    member.standing = Member.SUSPECT;
+    member.incarnation = 2_000L + salt;
+    member.state = Member.SUSPECT;
     return member;
   }
 
   private static <T extends MembershipMessages.MembershipMessage> T headed(
       final T message, final int salt) {
-    message.self = peer(salt);
-    message.news = List.of(peer(salt + 1), peer(salt + 2));
+    message.sender = peer(salt);
+    message.updates = List.of(peer(salt + 1), peer(salt + 2));
     return message;
   }
 
@@ -34,14 +34,14 @@
   void datagramsKeepTheirBytes() {
     final Map<String, Object> messages = new LinkedHashMap<>();
     final MembershipMessages.Ping ping = headed(new MembershipMessages.Ping(), 1);
-    ping.number = 11;
+    ping.requestId = 11;
     messages.put("30", ping);
     final MembershipMessages.Ack ack = headed(new MembershipMessages.Ack(), 4);
-    ack.number = 12;
+    ack.requestId = 12;
     messages.put("31", ack);
     final MembershipMessages.PingRequest pingRequest =
         headed(new MembershipMessages.PingRequest(), 7);
-    pingRequest.number = 13;
+    pingRequest.requestId = 13;
     pingRequest.target = "10.0.0.9:7000";
     messages.put("32", pingRequest);
     final MembershipMessages.SyncRequest syncRequest =
@@ -50,7 +50,7 @@
     messages.put("33", syncRequest);
     messages.put("34", headed(new MembershipMessages.SyncResponse(), 13));
     final MessageCodec codec = new MessageCodec();
-    MembershipMessages.know(codec);
+    MembershipMessages.register(codec);
     GoldenBytes.assertUnchanged("membership.txt", GoldenBytes.encode(codec, messages));
   }
 }
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -252,17 +252,17 @@
   }
 
   @Override
-  public void after(final long delayMs, final Runnable task) {
+  public void schedule(final long delayMs, final Runnable task) {
     timers.add(new Timer(nowMs + Math.max(1, delayMs), order++, task));
   }
 
   @Override
-  public void post(final Runnable command) {
+  public void execute(final Runnable command) {
     commands.add(command);
   }
 
   @Override
-  public Random luck() {
+  public Random random() {
     return world.plainLuck == null ? LEAST : world.plainLuck;
   }
 }
--- a/src/test/java/yewjunction/raft/ModelTransport.java
+++ b/src/test/java/yewjunction/raft/ModelTransport.java
@@ -118,12 +118,12 @@
     }
 
     @Override
-    public boolean open() {
+    public boolean isOpen() {
       return open;
     }
 
     @Override
-    public String remote() {
+    public String remoteAddress() {
       return remote;
     }
   }
@@ -156,7 +156,7 @@
   }
 
   @Override
-  public PeerConnection dial(final String address) {
+  public PeerConnection connect(final String address) {
     for (final Connection connection : host.world.wires) {
       if (connection.dialler.owner == host
           && connection.dialler.open
@@ -176,7 +176,7 @@
   }
 
   @Override
-  public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
+  public <T> void onMessage(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
     handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -97,9 +97,10 @@
   void boot(final String address, final boolean founder) {
     final SimulatedHost host = network.host(address);
     final SimulatedTransport post = host.boot();
-    host.tampering = tampering;
+    host.messageFilter = tampering;
     final RecordingStateMachine tale = new RecordingStateMachine();
-    final RaftNode raftNode = new RaftNode(7, host, post, host.disk, host.clerk(), "ledger", tale);
+    final RaftNode raftNode =
+        new RaftNode(7, host, post, host.disk, host.executor(), "ledger", tale);
     raftNode.registerHandlers();
     raftNode
         .reconfiguration()
--- a/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
+++ b/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
@@ -45,7 +45,7 @@
     begin(seed);
     network.loss = 0;
     final RaftNode first = lead("a:1");
-    network.host("a:1").tampering =
+    network.host("a:1").messageFilter =
         message -> {
           if (message instanceof AppendEntriesResponse response) {
             answers.add(response);
@@ -54,15 +54,15 @@
     List.of("b:1", "c:1")
         .forEach(
             address ->
-                network.host(address).tampering =
+                network.host(address).messageFilter =
                     message -> {
                       if (message instanceof AppendEntriesRequest request && request.round > 0) {
                         appends.put(address, request);
                       }
                     });
     network.runFor(1_000);
-    network.host("a:1").tampering = message -> {};
-    List.of("b:1", "c:1").forEach(address -> network.host(address).tampering = message -> {});
+    network.host("a:1").messageFilter = message -> {};
+    List.of("b:1", "c:1").forEach(address -> network.host(address).messageFilter = message -> {});
     assertTrue(answers.size() > 5 && appends.size() == 2);
     lead("b:1");
     assertEquals(first, lead("a:1"));
@@ -118,7 +118,7 @@
   void aRoundIsRepeatedInItsOwnTermOnly(final long seed) {
     final RaftNode leader = again(seed);
     final List<AppendEntriesResponse> told = new ArrayList<>();
-    network.host("a:1").tampering =
+    network.host("a:1").messageFilter =
         message -> {
           if (message instanceof AppendEntriesResponse response) {
             told.add(response);
@@ -127,7 +127,10 @@
     final AppendEntriesRequest old = appends.get("c:1");
     old.from = leader.identity();
     old.to = 0;
-    ledgers.get("c:1").followerState.onAppendEntries(ledgers.get("c:1").transport.dial("a:1"), old);
+    ledgers
+        .get("c:1")
+        .followerState
+        .onAppendEntries(ledgers.get("c:1").transport.connect("a:1"), old);
     network.runFor(50);
     final List<AppendEntriesResponse> refusals =
         told.stream().filter(response -> !response.accepted).toList();
--- a/src/test/java/yewjunction/raft/SnapshotChunksTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotChunksTest.java
@@ -71,7 +71,7 @@
     request.chunk = tales.get(RaftNode.addressOf(leader().identity())).snapshot();
     request.totalBytes = request.chunk.length;
     follower.followerState.onInstallSnapshot(
-        follower.transport.dial(RaftNode.addressOf(request.from)), request);
+        follower.transport.connect(RaftNode.addressOf(request.from)), request);
     assertEquals(
         last, follower.log.lastIndex(), "entries that may have been acknowledged are gone");
     assertEquals(request.lastIndex, follower.commitIndex());
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -70,15 +70,15 @@
             context,
             new MessageStore.Listener() {
               @Override
-              public boolean admittedHere(final StoredMessage message) {
+              public boolean isAdmittedHere(final StoredMessage message) {
                 return true;
               }
 
               @Override
-              public void settledTo(final long commit) {}
+              public void onCommitted(final long commit) {}
 
               @Override
-              public void leaderIs(final String identity, final boolean self) {}
+              public void onLeaderChange(final String identity, final boolean self) {}
             },
             settings);
     final byte[][] snapshot = new byte[1][];
@@ -109,7 +109,7 @@
       final StoredMessage message = new StoredMessage();
       message.topic = "topic-" + i % 400;
       message.client = "client-" + i % 300;
-      message.number = i;
+      message.sequenceNumber = i;
       message.body = new byte[bodyBytes];
       random.nextBytes(message.body);
       message.tenant("tenant-" + i % 20);
--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -267,7 +267,7 @@
     network.runFor(1_000);
     assertTrue(ledgers.get("d:1").groupMembership().lagMs() < 100, "behind while all is well");
     // It hears how far the others are, but not the entries.
-    network.host("d:1").tampering =
+    network.host("d:1").messageFilter =
         message -> {
           if (message instanceof RaftMessages.AppendEntriesRequest request) {
             request.entries.clear();
@@ -277,7 +277,7 @@
           }
         };
     assertTrue(network.runUntil(() -> ledgers.get("d:1").groupMembership().lagMs() > 1_000, 3_000));
-    network.host("d:1").tampering = message -> {};
+    network.host("d:1").messageFilter = message -> {};
     assertTrue(network.runUntil(() -> ledgers.get("d:1").groupMembership().lagMs() == 0, 3_000));
   }
 }
--- a/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -43,7 +43,7 @@
     late.prevIndex = prevIndex;
     late.prevTerm = prevTerm;
     late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NO_OP, new byte[0]));
-    spare.followerState.onAppendEntries(spare.transport.dial("a:1"), late);
+    spare.followerState.onAppendEntries(spare.transport.connect("a:1"), late);
     return spare.log.termAt(prevIndex + 1) - term;
   }
 
--- a/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
+++ b/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
@@ -30,17 +30,17 @@
         }
 
         @Override
-        public void after(final long delayMs, final Runnable task) {
+        public void schedule(final long delayMs, final Runnable task) {
           throw new UnsupportedOperationException("alarms belong to the owner's thread");
         }
 
         @Override
-        public void post(final Runnable command) {
+        public void execute(final Runnable command) {
           posted.add(command);
         }
 
         @Override
-        public Random luck() {
+        public Random random() {
           throw new UnsupportedOperationException();
         }
       };
@@ -89,7 +89,7 @@
                       } catch (final RuntimeException failure) {
                         codes.add(ExitCode.DISK_FAILED);
                       }
-                      context.post(afterwards);
+                      context.execute(afterwards);
                     })));
     pool.shutdown();
   }
--- a/src/test/java/yewjunction/server/HttpEndpointTest.java
+++ b/src/test/java/yewjunction/server/HttpEndpointTest.java
@@ -46,17 +46,17 @@
         }
 
         @Override
-        public void after(final long delayMs, final Runnable task) {
+        public void schedule(final long delayMs, final Runnable task) {
           alarms.add(task);
         }
 
         @Override
-        public void post(final Runnable command) {
+        public void execute(final Runnable command) {
           owner.execute(command);
         }
 
         @Override
-        public Random luck() {
+        public Random random() {
           return new Random(1);
         }
       };
@@ -77,7 +77,8 @@
       throw new IllegalStateException("planted");
     } else {
       responder.accept(
-          new OperatorApi.Response(200, "[" + request.base() + "]" + request.body().length, null));
+          new OperatorApi.Response(
+              200, "[" + request.baseVersion() + "]" + request.body().length, null));
     }
   }
 
--- a/src/test/java/yewjunction/server/ServerProcessTest.java
+++ b/src/test/java/yewjunction/server/ServerProcessTest.java
@@ -64,11 +64,11 @@
       port = probe.getLocalPort();
     }
     final SignalHandlers signals = new SignalHandlers();
-    signals.came(SignalHandlers.Kind.REREAD);
-    signals.came(SignalHandlers.Kind.STOP);
-    signals.came(SignalHandlers.Kind.STOP);
+    signals.onSignal(SignalHandlers.Kind.RELOAD);
+    signals.onSignal(SignalHandlers.Kind.STOP);
+    signals.onSignal(SignalHandlers.Kind.STOP);
     final Path folder = folder();
-    final ServerProcess process = crux(folder, port).signalled(signals);
+    final ServerProcess process = crux(folder, port).withSignals(signals);
     assertEquals(ExitCode.OK, assertTimeoutPreemptively(Duration.ofSeconds(20), process::run));
     // It had started before it stopped: what it is called stands on its disk.
     assertTrue(Files.size(folder.resolve("data").resolve("charter")) > 0);
@@ -77,9 +77,9 @@
   @Test
   void anErrorOfTheOwnersTurnEndsTheProcessAndAnExceptionDoesNot() {
     final List<Integer> codes = new ArrayList<>();
-    ServerProcess.broken(new java.io.IOException("the selector"), codes::add);
+    ServerProcess.onAgentError(new java.io.IOException("the selector"), codes::add);
     assertEquals(List.of(), codes);
-    ServerProcess.broken(new OutOfMemoryError(), codes::add);
+    ServerProcess.onAgentError(new OutOfMemoryError(), codes::add);
     assertEquals(List.of(ExitCode.UNEXPECTED_ERROR), codes);
   }
 }
--- a/src/test/java/yewjunction/server/SettingsReloaderTest.java
+++ b/src/test/java/yewjunction/server/SettingsReloaderTest.java
@@ -36,7 +36,7 @@
 
   /** Reads as often as the process would, and tells what it knows then. */
   private String seedsAfter(final SettingsReloader file, final int looks) {
-    return seedsAfter(file, file::due, looks);
+    return seedsAfter(file, file::shouldReload, looks);
   }
 
   private static String seedsAfter(
@@ -55,18 +55,18 @@
     final SettingsReloader file = new SettingsReloader(folder.resolve("settings.yaml"));
     write(WHOLE);
     file.load();
-    assertFalse(file.due());
+    assertFalse(file.shouldReload());
     // First one seed, then another of the same length: neither time nor size tells.
     Files.setLastModifiedTime(
         Files.writeString(folder.resolve("settings.yaml"), later("10.0.0.4:8024")),
         FileTime.fromMillis(TICK.toMillis() + 5));
-    assertTrue(file.due());
+    assertTrue(file.shouldReload());
     assertTrue(file.load().seeds().contains("10.0.0.4:8024"));
     Files.setLastModifiedTime(
         Files.writeString(folder.resolve("settings.yaml"), later("10.0.0.5:8024")),
         FileTime.fromMillis(TICK.toMillis() + 5));
     assertTrue(seedsAfter(file, 3).contains("10.0.0.5:8024"));
-    assertFalse(file.due());
+    assertFalse(file.shouldReload());
   }
 
   /** Planted: the time alone, noted when the file is read. */
@@ -97,7 +97,7 @@
     file.load();
     // SIGHUP while the writer is at it.
     write(WHOLE.substring(0, WHOLE.indexOf("PortRange")));
-    file.lookAgain();
+    file.forceNextCheck();
     assertThrows(YewjunctionException.class, file::load);
     write(later("10.0.0.6:8024"));
     assertTrue(seedsAfter(file, 3).contains("10.0.0.6:8024"));
@@ -118,6 +118,6 @@
     write(WHOLE);
     file.load();
     Files.delete(folder.resolve("settings.yaml"));
-    assertFalse(file.due());
+    assertFalse(file.shouldReload());
   }
 }
--- a/src/test/java/yewjunction/server/SignalHandlersTest.java
+++ b/src/test/java/yewjunction/server/SignalHandlersTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
-import static yewjunction.server.SignalHandlers.Kind.REREAD;
+import static yewjunction.server.SignalHandlers.Kind.RELOAD;
 import static yewjunction.server.SignalHandlers.Kind.STOP;
 
 import java.util.ArrayList;
@@ -21,11 +21,11 @@
   void earlyOnesComeFirstAndInTheirOrder() {
     final SignalHandlers signals = new SignalHandlers();
     final List<SignalHandlers.Kind> taken = new ArrayList<>();
-    signals.came(REREAD);
-    signals.came(STOP);
-    signals.deliver(taken::add);
-    signals.came(STOP);
-    assertEquals(List.of(REREAD, STOP, STOP), taken);
+    signals.onSignal(RELOAD);
+    signals.onSignal(STOP);
+    signals.setReceiver(taken::add);
+    signals.onSignal(STOP);
+    assertEquals(List.of(RELOAD, STOP, STOP), taken);
   }
 
   /** Signals and the process that begins to take them, switched at any point. */
@@ -45,19 +45,19 @@
     @Operation
     public void signal() {
       came.incrementAndGet();
-      signals.came(STOP);
+      signals.onSignal(STOP);
     }
 
     @Operation(runOnce = true)
     public void start() {
-      signals.deliver(kind -> taken.incrementAndGet());
+      signals.setReceiver(kind -> taken.incrementAndGet());
     }
 
     @Validate
     public void eachArrivedOnce() {
       final int early = taken.get();
       // Whatever still waits is delivered to the next that asks.
-      signals.deliver(kind -> taken.incrementAndGet());
+      signals.setReceiver(kind -> taken.incrementAndGet());
       if (taken.get() != came.get()) {
         throw new IllegalStateException(
             came.get() + " came, " + early + " and then " + taken.get() + " were taken");
@@ -74,23 +74,23 @@
             private volatile boolean started;
 
             @Override
-            void came(final Kind kind) {
+            void onSignal(final Kind kind) {
               if (started) {
-                super.came(kind);
+                super.onSignal(kind);
               } else {
                 kept.incrementAndGet();
               }
             }
 
             @Override
-            void deliver(final java.util.function.Consumer<Kind> newTaker) {
+            void setReceiver(final java.util.function.Consumer<Kind> newTaker) {
               if (!started) {
                 for (int count = kept.get(); count > 0; count--) {
                   newTaker.accept(STOP);
                 }
                 started = true;
               }
-              super.deliver(newTaker);
+              super.setReceiver(newTaker);
             }
           });
     }
--- a/src/test/java/yewjunction/settings/SettingsTest.java
+++ b/src/test/java/yewjunction/settings/SettingsTest.java
@@ -32,10 +32,10 @@
   @Test
   void unknownFieldsAreIgnoredAndTheRestIsRead() {
     final Settings settings = Settings.read(GOOD);
-    assertEquals("10.1.0.3:80", settings.front());
-    assertEquals("10.2.0.3:7001", settings.coreAddresses().get(1));
+    assertEquals("10.1.0.3:80", settings.clientAddress());
+    assertEquals("10.2.0.3:7001", settings.controlNodeAddresses().get(1));
     assertEquals(0.1, settings.quotaExcess());
-    assertTrue(settings.founding());
+    assertTrue(settings.bootstrap());
   }
 
   @ParameterizedTest
--- a/src/test/java/yewjunction/simulation/ScriptedTransport.java
+++ b/src/test/java/yewjunction/simulation/ScriptedTransport.java
@@ -17,7 +17,7 @@
   /** A link, with what was sent on it. */
   public static final class ScriptedConnection implements PeerConnection {
     private final String remote;
-    private final List<Object> letters = new ArrayList<>();
+    private final List<Object> sent = new ArrayList<>();
     private boolean open = true;
 
     ScriptedConnection(final String remote) {
@@ -25,17 +25,17 @@
     }
 
     public int size() {
-      return letters.size();
+      return sent.size();
     }
 
     @SuppressWarnings("unchecked")
     public <T> T newest() {
-      return (T) letters.get(letters.size() - 1);
+      return (T) sent.get(sent.size() - 1);
     }
 
     @Override
     public boolean send(final Object message) {
-      return letters.add(message);
+      return sent.add(message);
     }
 
     @Override
@@ -44,25 +44,25 @@
     }
 
     @Override
-    public boolean open() {
+    public boolean isOpen() {
       return open;
     }
 
     @Override
-    public String remote() {
+    public String remoteAddress() {
       return remote;
     }
   }
 
   @Override
-  public ScriptedConnection dial(final String address) {
+  public ScriptedConnection connect(final String address) {
     return links.compute(
         address,
         (key, known) -> known == null || !known.open ? new ScriptedConnection(address) : known);
   }
 
   @Override
-  public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
+  public <T> void onMessage(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
     handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
@@ -71,12 +71,12 @@
     // Only the owner itself closes these links.
   }
 
-  public void answer(final String from, final Object message) {
-    answer(dial(from), message);
+  public void respond(final String from, final Object message) {
+    respond(connect(from), message);
   }
 
   /** On that very link, also on one that was closed: as it were still being read. */
-  public void answer(final PeerConnection on, final Object message) {
+  public void respond(final PeerConnection on, final Object message) {
     handlers.get(message.getClass()).accept(on, message);
   }
 }
--- a/src/test/java/yewjunction/simulation/SimulatedHost.java
+++ b/src/test/java/yewjunction/simulation/SimulatedHost.java
@@ -16,11 +16,11 @@
   SimulatedTransport post;
 
   /** Sees each letter before it is taken, and may plant a fault in it. */
-  public java.util.function.Consumer<Object> tampering = message -> {};
+  public java.util.function.Consumer<Object> messageFilter = message -> {};
 
   private java.util.function.BiConsumer<String, Object> datagrams = (from, message) -> {};
   private boolean up;
-  private boolean dark;
+  private boolean isolated;
   private boolean frozen;
   private long diskStalledUntilMs;
 
@@ -40,7 +40,7 @@
       throw new IllegalStateException(address + " is up already");
     }
     up = true;
-    dark = false;
+    isolated = false;
     thaw();
     life++;
     post = new SimulatedTransport(this);
@@ -51,8 +51,8 @@
     return up;
   }
 
-  boolean dark() {
-    return dark;
+  boolean isolated() {
+    return isolated;
   }
 
   public int life() {
@@ -71,7 +71,7 @@
   /** The machine loses power: nothing answers, and unsynced writes are at the mercy of luck. */
   public void powerOff() {
     up = false;
-    dark = true;
+    isolated = true;
     life++;
     if (post != null) {
       post.drop(false);
@@ -105,7 +105,7 @@
   }
 
   /** All its links break, at both ends. */
-  public void resetLinks() {
+  public void resetConnections() {
     if (up) {
       post.reset();
     }
@@ -127,26 +127,26 @@
   }
 
   @Override
-  public void after(final long delayMs, final Runnable task) {
+  public void schedule(final long delayMs, final Runnable task) {
     final int ofLife = life;
     network.after(Math.max(1, delayMs), () -> guarded(ofLife, task));
   }
 
   @Override
-  public void post(final Runnable command) {
+  public void execute(final Runnable command) {
     final int ofLife = life;
     network.afterMicros(10, () -> guarded(ofLife, command));
   }
 
   @Override
-  public Random luck() {
+  public Random random() {
     return network.random;
   }
 
   /**
    * Blocking work takes the disk's time; a process that dies meanwhile may or may not have done it.
    */
-  public TaskExecutor clerk() {
+  public TaskExecutor executor() {
     final int ofLife = life;
     final SimulatedDisk ofDisk = disk;
     final List<Runnable> waiting = new ArrayList<>();
@@ -197,7 +197,7 @@
               target.life,
               () -> {
                 if (network.meter != null) {
-                  network.meter.taken(to, message, bytes.length);
+                  network.meter.received(to, message, bytes.length);
                 }
                 target.datagrams.accept(address, codec.decode(bytes, 0, bytes.length));
               });
--- a/src/test/java/yewjunction/simulation/SimulatedNodes.java
+++ b/src/test/java/yewjunction/simulation/SimulatedNodes.java
@@ -23,20 +23,20 @@
     self.address = host.address;
     self.node = settings.node();
     self.zone = settings.zone();
-    self.duty = role.wireName();
-    self.front = role == NodeRole.EDGE ? settings.front() : "";
+    self.role = role.wireName();
+    self.clientAddress = role == NodeRole.EDGE ? settings.clientAddress() : "";
     self.life = life;
     final MembershipList membership = new MembershipList(host, self, host::datagram);
-    host.onDatagram(membership::take);
+    host.onDatagram(membership::onMessage);
     final Node node =
         switch (role) {
           case CONTROL ->
-              new ControlNode(host, post, host.disk, host.clerk(), membership, settings, life);
+              new ControlNode(host, post, host.disk, host.executor(), membership, settings, life);
           case STORE ->
-              new StoreNode(host, post, host.disk, host.clerk(), membership, settings, life);
+              new StoreNode(host, post, host.disk, host.executor(), membership, settings, life);
           case EDGE -> new EdgeNode(host, post, membership, settings, life);
         };
-    membership.start(settings.coreAddresses());
+    membership.start(settings.controlNodeAddresses());
     node.start();
     return new Running(node, membership);
   }
--- a/src/test/java/yewjunction/simulation/SimulatedTransport.java
+++ b/src/test/java/yewjunction/simulation/SimulatedTransport.java
@@ -18,26 +18,26 @@
   final MessageCodec codec = new MessageCodec();
   private final SimulatedHost host;
   private final int life;
-  private final Map<String, End> dialled = new HashMap<>();
+  private final Map<String, End> connectionByAddress = new HashMap<>();
   private final List<End> ends = new ArrayList<>();
   private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
-  private final List<Consumer<PeerConnection>> closers = new ArrayList<>();
+  private final List<Consumer<PeerConnection>> closeHandlers = new ArrayList<>();
 
   SimulatedTransport(final SimulatedHost host) {
     this.host = host;
     life = host.life();
     yewjunction.raft.RaftMessages.register(codec);
-    yewjunction.membership.MembershipMessages.know(codec);
-    yewjunction.control.LeaseMessages.know(codec);
-    yewjunction.store.AdmissionMessages.know(codec);
-    yewjunction.fanout.FanoutMessages.know(codec);
+    yewjunction.membership.MembershipMessages.register(codec);
+    yewjunction.control.LeaseMessages.register(codec);
+    yewjunction.store.AdmissionMessages.register(codec);
+    yewjunction.fanout.FanoutMessages.register(codec);
   }
 
   /** One side of a link. */
   private static final class End implements PeerConnection {
     private final SimulatedTransport owner;
     private final String remote;
-    private End far;
+    private End remoteEnd;
     private boolean open = true;
     private boolean connected;
     private final List<byte[]> early = new ArrayList<>();
@@ -61,16 +61,16 @@
         owner.host.network.meter.sent(owner.host.address, remote, message, bytes.length);
       }
       if (connected) {
-        carry(bytes);
+        deliver(bytes);
       } else {
         early.add(bytes);
       }
       return true;
     }
 
-    private void carry(final byte[] bytes) {
+    private void deliver(final byte[] bytes) {
       final SimulatedNetwork network = owner.host.network;
-      final End target = far;
+      final End target = remoteEnd;
       if (!heldUp.isEmpty() || network.parted(owner.host.address, target.owner.host.address)) {
         heldUp.add(bytes);
         if (heldUp.size() == 1) {
@@ -92,7 +92,7 @@
                   target.owner.life,
                   () -> {
                     if (target.open) {
-                      target.owner.take(target, bytes);
+                      target.owner.onMessageReceived(target, bytes);
                     }
                   }));
     }
@@ -106,13 +106,13 @@
       if (!open || heldUp.isEmpty()) {
         return;
       }
-      if (!network.parted(owner.host.address, far.owner.host.address)) {
+      if (!network.parted(owner.host.address, remoteEnd.owner.host.address)) {
         final List<byte[]> late = new ArrayList<>(heldUp);
         heldUp.clear();
-        late.forEach(this::carry);
+        late.forEach(this::deliver);
       } else if (network.nowMs() - heldMs > CONNECTION_TIMEOUT_MS) {
         close();
-        far.close();
+        remoteEnd.close();
       } else {
         network.after(100, this::tryAgain);
       }
@@ -132,7 +132,7 @@
           () -> {
             if (!open
                 || targetHost == null
-                || targetHost.dark()
+                || targetHost.isolated()
                 || network.parted(owner.host.address, remote)
                 || network.parted(remote, owner.host.address)) {
               return;
@@ -141,11 +141,11 @@
               close();
               return;
             }
-            far = new End(targetHost.post, owner.host.address);
-            far.far = this;
-            far.connected = true;
+            remoteEnd = new End(targetHost.post, owner.host.address);
+            remoteEnd.remoteEnd = this;
+            remoteEnd.connected = true;
             connected = true;
-            early.forEach(this::carry);
+            early.forEach(this::deliver);
             early.clear();
           });
     }
@@ -156,71 +156,71 @@
         return;
       }
       end();
-      if (far != null) {
-        tellFar();
+      if (remoteEnd != null) {
+        notifyRemote();
       }
     }
 
     /** Through a cut no word of the end comes: the far side notices the silence. */
-    private void tellFar() {
+    private void notifyRemote() {
       final SimulatedNetwork network = owner.host.network;
       network.afterMicros(
           network.parted(owner.host.address, remote)
               ? 1_000 * CONNECTION_TIMEOUT_MS
               : network.delayMicros(),
-          far::end);
+          remoteEnd::end);
     }
 
     private void end() {
       if (open) {
         open = false;
         owner.ends.remove(this);
-        owner.dialled.remove(remote, this);
+        owner.connectionByAddress.remove(remote, this);
         owner.host.network.afterMicros(
             5,
             () ->
                 owner.host.guarded(
-                    owner.life, () -> owner.closers.forEach(closer -> closer.accept(this))));
+                    owner.life, () -> owner.closeHandlers.forEach(closer -> closer.accept(this))));
       }
     }
 
     @Override
-    public boolean open() {
+    public boolean isOpen() {
       return open;
     }
 
     @Override
-    public String remote() {
+    public String remoteAddress() {
       return remote;
     }
   }
 
   @Override
-  public PeerConnection dial(final String address) {
-    End end = dialled.get(address);
+  public PeerConnection connect(final String address) {
+    End end = connectionByAddress.get(address);
     if (end == null || !end.open) {
       end = new End(this, address);
-      dialled.put(address, end);
+      connectionByAddress.put(address, end);
       end.connect(host.network.known(address));
     }
     return end;
   }
 
   @Override
-  public <T> void on(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
+  public <T> void onMessage(final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
     handlers.put(kind, (connection, message) -> handler.accept(connection, kind.cast(message)));
   }
 
   @Override
   public void onClose(final Consumer<PeerConnection> handler) {
-    closers.add(handler);
+    closeHandlers.add(handler);
   }
 
-  private void take(final End end, final byte[] bytes) {
+  private void onMessageReceived(final End end, final byte[] bytes) {
     final Object message = codec.decode(bytes, 0, bytes.length);
-    host.tampering.accept(message);
+    host.messageFilter.accept(message);
     if (host.network.meter != null) {
-      host.network.meter.taken(host.address, message, bytes.length);
+      host.network.meter.received(host.address, message, bytes.length);
     }
     final BiConsumer<PeerConnection, Object> handler = handlers.get(message.getClass());
     if (handler != null) {
@@ -232,8 +232,8 @@
   void reset() {
     for (final End end : List.copyOf(ends)) {
       end.end();
-      if (end.far != null) {
-        end.far.end();
+      if (end.remoteEnd != null) {
+        end.remoteEnd.end();
       }
     }
   }
@@ -245,14 +245,14 @@
   void drop(final boolean resets) {
     for (final End end : List.copyOf(ends)) {
       end.open = false;
-      final End far = end.far;
+      final End far = end.remoteEnd;
       if (far != null && resets) {
-        end.tellFar();
+        end.notifyRemote();
       } else if (far != null) {
         host.network.after(CONNECTION_TIMEOUT_MS, far::end);
       }
     }
     ends.clear();
-    dialled.clear();
+    connectionByAddress.clear();
   }
 }
--- a/src/test/java/yewjunction/simulation/TrafficMeter.java
+++ b/src/test/java/yewjunction/simulation/TrafficMeter.java
@@ -28,7 +28,7 @@
     }
   }
 
-  void taken(final String by, final Object message, final int bytes) {
+  void received(final String by, final Object message, final int bytes) {
     add(by, message, 2, bytes);
   }
 
@@ -52,7 +52,7 @@
    * Count and bytes sent, count and bytes taken by one process, of the letters whose kind begins
    * so.
    */
-  public long[] of(final String address, final String kinds) {
+  public long[] totalsOf(final String address, final String kinds) {
     final long[] sum = new long[4];
     rows.getOrDefault(address, Map.of())
         .forEach(
--- a/src/test/java/yewjunction/store/BorrowingAccountTest.java
+++ b/src/test/java/yewjunction/store/BorrowingAccountTest.java
@@ -16,12 +16,12 @@
       final long rate, final long depth, final long borrowMax, final long repayPpm) {
     final BorrowingTerms terms = new BorrowingTerms();
     terms.tenant = "t";
-    terms.rate = rate;
-    terms.depth = depth;
+    terms.ratePerSecond = rate;
+    terms.bucketDepth = depth;
     terms.borrowMax = borrowMax;
     terms.repayPpm = repayPpm;
     final BorrowingAccount account = new BorrowingAccount();
-    account.agree(terms);
+    account.updateTerms(terms);
     return account;
   }
 
@@ -46,7 +46,7 @@
         nowMs += random.nextInt(40);
         often.refill(nowMs);
       }
-      if (often.pays() || often.lends()) {
+      if (often.canPay() || often.canBorrow()) {
         often.charge(nowMs);
         seldom.charge(nowMs);
         charged++;
@@ -66,7 +66,7 @@
       account.charge(0);
     }
     assertEquals("0 5000 5000 0", state(account));
-    assertFalse(account.pays() || account.lends());
+    assertFalse(account.canPay() || account.canBorrow());
     assertThrows(IllegalStateException.class, () -> account.charge(0));
     account.refill(400);
     assertEquals("2000 3000 5000 2000", state(account));
@@ -97,17 +97,17 @@
     }
     final BorrowingTerms lower = account.terms.copy();
     lower.borrowMax = 2_000;
-    account.agree(lower);
+    account.updateTerms(lower);
     assertEquals(6_000, account.debt);
-    assertFalse(account.lends());
+    assertFalse(account.canBorrow());
     account.refill(2_000);
     assertEquals("1000 5000 6000 1000", state(account));
-    assertFalse(account.lends());
+    assertFalse(account.canBorrow());
     // Paid with a token, although it still owes.
     account.charge(2_000);
     account.refill(10_000);
     assertEquals(1_000, account.debt);
-    assertTrue(account.lends());
+    assertTrue(account.canBorrow());
   }
 
   /** Years at the highest rate there may be: nothing overflows. */
--- a/src/test/java/yewjunction/store/ReferenceAccounts.java
+++ b/src/test/java/yewjunction/store/ReferenceAccounts.java
@@ -48,7 +48,9 @@
     void pass(final long toMs) {
       for (; atMs < toMs; atMs++) {
         // A second's rate in thousandths is a millisecond's in millionths.
-        grown = grown.add(BigInteger.valueOf(terms.rate).multiply(BigInteger.valueOf(1_000_000)));
+        grown =
+            grown.add(
+                BigInteger.valueOf(terms.ratePerSecond).multiply(BigInteger.valueOf(1_000_000)));
         final BigInteger[] whole = grown.divideAndRemainder(GRAIN);
         grown = whole[1];
         for (long one = whole[0].longValueExact(); one > 0; one--) {
@@ -75,7 +77,7 @@
           }
         }
       }
-      if (!paid && tokens < terms.depth) {
+      if (!paid && tokens < terms.bucketDepth) {
         tokens++;
       }
     }
@@ -88,14 +90,14 @@
             (index, data) -> {
               final StoredMessage message = MESSAGES.newMessage();
               ProtostuffIOUtil.mergeFrom(data, message, MESSAGES);
-              if (message.change != null) {
-                known.values().forEach(one -> one.pass(message.stampMs));
-                if (message.change.version > 0 && message.change.version >= version) {
-                  version = message.change.version;
+              if (message.termsChange != null) {
+                known.values().forEach(one -> one.pass(message.logTimeMs));
+                if (message.termsChange.version > 0 && message.termsChange.version >= version) {
+                  version = message.termsChange.version;
                   agree(message);
                 }
                 known.keySet().forEach(tenant -> note(tenant, index));
-              } else if (message.stampMs != null) {
+              } else if (message.logTimeMs != null) {
                 charge(message);
                 note(message.tenant, index);
               }
@@ -103,31 +105,31 @@
   }
 
   private void agree(final StoredMessage message) {
-    for (final BorrowingTerms terms : message.change.terms) {
+    for (final BorrowingTerms terms : message.termsChange.terms) {
       final Known one =
           known.computeIfAbsent(
               terms.tenant,
               key -> {
                 final Known fresh = new Known();
                 fresh.tokens = terms.firstTokens;
-                fresh.atMs = message.stampMs;
+                fresh.atMs = message.logTimeMs;
                 return fresh;
               });
       one.terms = terms;
-      one.tokens = Math.min(one.tokens, terms.depth);
+      one.tokens = Math.min(one.tokens, terms.bucketDepth);
     }
     known
         .entrySet()
         .removeIf(
             one ->
                 one.getValue().debt == 0
-                    && message.change.terms.stream()
+                    && message.termsChange.terms.stream()
                         .noneMatch(terms -> terms.tenant.equals(one.getKey())));
   }
 
   private void charge(final StoredMessage message) {
     final Known one = known.get(message.tenant);
-    one.pass(message.stampMs);
+    one.pass(message.logTimeMs);
     charges++;
     if (one.tokens >= 1_000) {
       one.tokens -= 1_000;
--- a/src/test/java/yewjunction/store/StoreStateFixture.java
+++ b/src/test/java/yewjunction/store/StoreStateFixture.java
@@ -24,17 +24,17 @@
     }
 
     @Override
-    public void after(final long delayMs, final Runnable task) {
+    public void schedule(final long delayMs, final Runnable task) {
       // Time does not pass.
     }
 
     @Override
-    public void post(final Runnable command) {
+    public void execute(final Runnable command) {
       command.run();
     }
 
     @Override
-    public Random luck() {
+    public Random random() {
       return new Random(1);
     }
   }
@@ -65,17 +65,17 @@
         new StoppedClock(),
         new MessageStore.Listener() {
           @Override
-          public boolean admittedHere(final StoredMessage message) {
+          public boolean isAdmittedHere(final StoredMessage message) {
             return false;
           }
 
           @Override
-          public void settledTo(final long commit) {
+          public void onCommitted(final long commit) {
             // Only the state counts here.
           }
 
           @Override
-          public void leaderIs(final String identity, final boolean self) {
+          public void onLeaderChange(final String identity, final boolean self) {
             // Only the state counts here.
           }
         },
@@ -94,18 +94,18 @@
   public static List<byte[]> commands() {
     final List<byte[]> commands = new ArrayList<>();
     final StoredMessage terms = new StoredMessage();
-    terms.stampMs = 1_000L;
-    terms.change = new BorrowingTerms.TermsChange();
-    terms.change.version = 3;
+    terms.logTimeMs = 1_000L;
+    terms.termsChange = new BorrowingTerms.TermsChange();
+    terms.termsChange.version = 3;
     final BorrowingTerms one = new BorrowingTerms();
     one.tenant = "t1";
-    one.rate = 1_500;
-    one.depth = 9_000;
+    one.ratePerSecond = 1_500;
+    one.bucketDepth = 9_000;
     one.borrowMax = 7_000;
     one.repayPpm = 333_333;
     one.firstTokens = 400;
-    terms.change.terms.add(one);
-    commands.add(MessageStore.bytes(terms));
+    terms.termsChange.terms.add(one);
+    commands.add(MessageStore.encode(terms));
     commands.add(sent("orders.a", "c1", 1, "t1", 1_007L, "first"));
     commands.add(sent("orders.a", "c1", 2, "", null, "second"));
     commands.add(sent("orders.b", "c2", 9, "t1", 1_014L, "third"));
@@ -122,11 +122,11 @@
     final StoredMessage message = new StoredMessage();
     message.topic = topic;
     message.client = client;
-    message.number = number;
+    message.sequenceNumber = number;
     message.tenant = tenant;
-    message.stampMs = stampMs;
+    message.logTimeMs = stampMs;
     message.body = body.getBytes(UTF_8);
-    return MessageStore.bytes(message);
+    return MessageStore.encode(message);
   }
 
   /** Applies the whole history, the first entry at the index given. */
@@ -142,14 +142,15 @@
     final MessageStore store = (MessageStore) stateMachine;
     assertEquals(
         List.of(2L, 3L),
-        store.behind("orders.a", 0).stream().map(message -> message.index).toList());
-    assertEquals("first", new String(store.behind("orders.a", 0).get(0).body, UTF_8));
-    assertEquals("second", new String(store.behind("orders.a", 2).get(0).body, UTF_8));
+        store.messagesAfter("orders.a", 0).stream().map(message -> message.index).toList());
+    assertEquals("first", new String(store.messagesAfter("orders.a", 0).get(0).body, UTF_8));
+    assertEquals("second", new String(store.messagesAfter("orders.a", 2).get(0).body, UTF_8));
     assertEquals(
-        List.of(4L), store.behind("orders.b", 0).stream().map(message -> message.index).toList());
-    assertEquals("c2", store.behind("orders.b", 0).get(0).client);
-    assertEquals("t1", store.behind("orders.b", 0).get(0).tenant);
-    assertEquals(9, store.behind("orders.b", 0).get(0).number);
+        List.of(4L),
+        store.messagesAfter("orders.b", 0).stream().map(message -> message.index).toList());
+    assertEquals("c2", store.messagesAfter("orders.b", 0).get(0).client);
+    assertEquals("t1", store.messagesAfter("orders.b", 0).get(0).tenant);
+    assertEquals(9, store.messagesAfter("orders.b", 0).get(0).sequenceNumber);
     assertTrue(store.acceptedNumbers.accepted("c1", "orders.a", 1));
     assertTrue(store.acceptedNumbers.accepted("c1", "orders.a", 2));
     assertFalse(store.acceptedNumbers.accepted("c2", "orders.b", 8));
--- a/src/test/java/yewjunction/store/StoreWireFormatTest.java
+++ b/src/test/java/yewjunction/store/StoreWireFormatTest.java
@@ -14,8 +14,8 @@
   private static BorrowingTerms terms() {
     final BorrowingTerms terms = new BorrowingTerms();
     terms.tenant = "t1";
-    terms.rate = 1_500;
-    terms.depth = 9_000;
+    terms.ratePerSecond = 1_500;
+    terms.bucketDepth = 9_000;
     terms.borrowMax = 7_000;
     terms.repayPpm = 333_333;
     terms.firstTokens = 400;
@@ -27,13 +27,13 @@
     message.index = 100L + salt;
     message.topic = "topic." + salt;
     message.client = "client-" + salt;
-    message.number = 200L + salt;
+    message.sequenceNumber = 200L + salt;
     message.body = new byte[] {(byte) salt, 1, 2};
     message.tenant("t1");
-    message.stampMs = 300L + salt;
-    message.change = new BorrowingTerms.TermsChange();
-    message.change.version = 400L + salt;
-    message.change.terms.add(terms());
+    message.logTimeMs = 300L + salt;
+    message.termsChange = new BorrowingTerms.TermsChange();
+    message.termsChange.version = 400L + salt;
+    message.termsChange.terms.add(terms());
     return message;
   }
 
@@ -41,23 +41,23 @@
   void messagesKeepTheirBytes() {
     final Map<String, Object> messages = new LinkedHashMap<>();
     final AdmissionMessages.AdmitRequest request = new AdmissionMessages.AdmitRequest();
-    request.request = 1;
+    request.requestId = 1;
     request.message = message(2);
     request.revoked = true;
     messages.put("70", request);
     final AdmissionMessages.AdmitResponse response = new AdmissionMessages.AdmitResponse();
-    response.request = 3;
-    response.what = AdmissionMessages.ELSEWHERE;
+    response.requestId = 3;
+    response.outcome = AdmissionMessages.NOT_LEADER;
     messages.put("71", response);
     final MessageCodec codec = new MessageCodec();
-    AdmissionMessages.know(codec);
+    AdmissionMessages.register(codec);
     GoldenBytes.assertUnchanged("store.txt", GoldenBytes.encode(codec, messages));
   }
 
   @Test
   void storedMessagesAndSnapshotsKeepTheirBytes() {
     final Map<String, byte[]> examples = new LinkedHashMap<>();
-    examples.put("message", MessageStore.bytes(message(3)));
+    examples.put("message", MessageStore.encode(message(3)));
     final MessageStore store = StoreStateFixture.store();
     StoreStateFixture.apply(store, 1);
     examples.put("snapshot", store.snapshot());
--- a/src/test/java/yewjunction/store/TenantRateLimiterTest.java
+++ b/src/test/java/yewjunction/store/TenantRateLimiterTest.java
@@ -21,7 +21,7 @@
 
   private static TenantRateLimiter quotas(final long nowMs) {
     final TenantRateLimiter rateLimiter = new TenantRateLimiter(5, 0.1, 20, nowMs);
-    rateLimiter.charter(CHARTER);
+    rateLimiter.setConfiguration(CHARTER);
     return rateLimiter;
   }
 
@@ -38,9 +38,9 @@
     TenantRateLimiter follower = quotas(0);
     long changedMs = 0;
     for (long nowMs = 20_000; nowMs < 60_000; nowMs += 2) {
-      if (leader.take("t", nowMs)) {
+      if (leader.tryAcquire("t", nowMs)) {
         taken.add(nowMs);
-        follower.count("t", nowMs + random.nextInt(20));
+        follower.recordAcceptedElsewhere("t", nowMs + random.nextInt(20));
       }
       // One change a window: more unsettle the core for far longer.
       if (nowMs - changedMs > 5_500 && random.nextInt(1_000) == 0) {
@@ -66,8 +66,8 @@
   @Test
   void aMessageWithoutTenantIsFreeAndOneOfAGoneTenantIsDenied() {
     final TenantRateLimiter rateLimiter = quotas(0);
-    assertTrue(rateLimiter.take("", 1));
-    assertFalse(rateLimiter.take("gone", 1));
+    assertTrue(rateLimiter.tryAcquire("", 1));
+    assertFalse(rateLimiter.tryAcquire("gone", 1));
   }
 
   @Test
@@ -75,7 +75,7 @@
     final TenantRateLimiter rateLimiter = quotas(0);
     int denied = 0;
     for (long nowMs = 10; nowMs < 20_000; nowMs += 40) {
-      denied += rateLimiter.take("t", nowMs) ? 0 : 1;
+      denied += rateLimiter.tryAcquire("t", nowMs) ? 0 : 1;
     }
     assertEquals(0, denied);
   }
--- a/src/test/java/yewjunction/subscription/AddWinsSetTest.java
+++ b/src/test/java/yewjunction/subscription/AddWinsSetTest.java
@@ -108,12 +108,13 @@
                 random.nextInt(3) > 0,
                 TOPICS.get(random.nextInt(3)),
                 CLIENTS.get(random.nextInt(2)));
-        case 2 -> onTheWay.add(new Copy(pair.subscriptions.state(), Set.copyOf(pair.history)));
+        case 2 ->
+            onTheWay.add(new Copy(pair.subscriptions.encodeStates(), Set.copyOf(pair.history)));
         default -> {
           if (!onTheWay.isEmpty()) {
             // Any old state may arrive, again and again, and some never do.
             final Copy copy = onTheWay.get(random.nextInt(onTheWay.size()));
-            pair.subscriptions.receive(copy.state);
+            pair.subscriptions.merge(copy.state);
             pair.history.addAll(copy.history);
           }
         }
@@ -124,7 +125,7 @@
     for (int round = 0; round < 2; round++) {
       for (final Pair from : pairs) {
         for (final Pair to : pairs) {
-          to.subscriptions.receive(from.subscriptions.state());
+          to.subscriptions.merge(from.subscriptions.encodeStates());
           to.history.addAll(from.history);
         }
       }
@@ -139,19 +140,19 @@
     one.self(1);
     other.self(2);
     one.add("t", "a");
-    other.receive(one.state());
+    other.merge(one.encodeStates());
     other.remove("t", "a");
     other.add("t", "b");
     one.add("t", "a");
-    final byte[] ofOne = one.state();
-    final byte[] ofOther = other.state();
+    final byte[] ofOne = one.encodeStates();
+    final byte[] ofOther = other.encodeStates();
     final AddWinsSet first = new AddWinsSet();
-    first.receive(ofOne);
-    first.receive(ofOther);
+    first.merge(ofOne);
+    first.merge(ofOther);
     final AddWinsSet second = new AddWinsSet();
-    second.receive(ofOther);
-    second.receive(ofOne);
-    second.receive(ofOther);
+    second.merge(ofOther);
+    second.merge(ofOne);
+    second.merge(ofOther);
     for (final String client : List.of("a", "b")) {
       for (long replica = 1; replica <= 2; replica++) {
         assertEquals(first.instance("t", client, replica), second.instance("t", client, replica));
@@ -159,10 +160,10 @@
     }
     // The concurrent add survived the remove, which had seen only the first one.
     assertEquals(2, first.instance("t", "a", 1));
-    final long mark = first.mark(1);
-    first.receive(ofOther);
-    assertEquals(mark, first.mark(1));
-    assertEquals(second.mark(1), first.mark(1));
+    final long mark = first.digest(1);
+    first.merge(ofOther);
+    assertEquals(mark, first.digest(1));
+    assertEquals(second.digest(1), first.digest(1));
   }
 
   @Test
@@ -170,10 +171,10 @@
     final AddWinsSet one = new AddWinsSet();
     one.self(1);
     one.add("t", "a");
-    final byte[] old = one.state();
+    final byte[] old = one.encodeStates();
     one.remove("t", "a");
-    one.receive(old);
-    assertFalse(one.reaches("t", 1));
+    one.merge(old);
+    assertFalse(one.hasSubscriber("t", 1));
     assertEquals(1, one.observed(1));
   }
 
@@ -183,19 +184,19 @@
     gone.self(1);
     gone.add("t", "a");
     final AddWinsSet reader = new AddWinsSet();
-    reader.receive(gone.state());
-    assertTrue(reader.reaches("t", 1));
-    reader.replicas(2, Set.of(2L));
-    assertFalse(reader.reaches("t", 1));
-    reader.receive(gone.state());
-    assertFalse(reader.reaches("t", 1));
+    reader.merge(gone.encodeStates());
+    assertTrue(reader.hasSubscriber("t", 1));
+    reader.setReplicas(2, Set.of(2L));
+    assertFalse(reader.hasSubscriber("t", 1));
+    reader.merge(gone.encodeStates());
+    assertFalse(reader.hasSubscriber("t", 1));
     assertEquals(0, reader.observed(1));
     // A name above the newest known one is new, not retired.
     final AddWinsSet fresh = new AddWinsSet();
     fresh.self(3);
     fresh.add("t", "b");
-    reader.receive(fresh.state());
-    assertTrue(reader.reaches("t", 3));
+    reader.merge(fresh.encodeStates());
+    assertTrue(reader.hasSubscriber("t", 3));
   }
 
   @Test
@@ -204,14 +205,14 @@
     edge.self(1);
     edge.add("t", "a");
     edge.add("t", "b");
-    edge.absent("a", true);
+    edge.setDisconnected("a", true);
     final AddWinsSet other = new AddWinsSet();
     other.self(2);
-    other.receive(edge.state());
+    other.merge(edge.encodeStates());
     assertEquals(1, other.count("t", replica -> true));
-    assertTrue(other.elsewhere("t", "a"));
-    edge.absent("a", false);
-    other.receive(edge.state());
+    assertTrue(other.isActiveElsewhere("t", "a"));
+    edge.setDisconnected("a", false);
+    other.merge(edge.encodeStates());
     assertEquals(2, other.count("t", replica -> true));
     assertEquals(0, other.count("t", replica -> replica != 1));
   }
@@ -224,9 +225,9 @@
     for (int i = 0; i < 300; i++) {
       instances.put("topic." + i % 40 + " client" + i, edge.add("topic." + i % 40, "client" + i));
     }
-    edge.absent("client7", true);
+    edge.setDisconnected("client7", true);
     final AddWinsSet copy = new AddWinsSet();
-    copy.receive(edge.state());
+    copy.merge(edge.encodeStates());
     instances.forEach(
         (element, instance) ->
             assertEquals(instance, copy.instance(element.split(" ")[0], element.split(" ")[1], 7)));
--- a/src/test/java/yewjunction/subscription/SubscriptionWireFormatTest.java
+++ b/src/test/java/yewjunction/subscription/SubscriptionWireFormatTest.java
@@ -16,7 +16,7 @@
     first.observe(300);
     first.set("topic.a", "client-1", 5);
     first.set("topic.a", "client-2", 200);
-    first.absence(7, Set.of("client-2"));
+    first.setDisconnected(7, Set.of("client-2"));
     states.put(3L, first);
     final ReplicaState second = new ReplicaState();
     second.observe(1);
@@ -31,7 +31,7 @@
     digests.put(3L, 0x0102030405060708L);
     digests.put(70_000L, -1L);
     GoldenBytes.assertUnchanged(
-        "digests.txt", Map.of("digests", ReplicaStateCodec.packMarks(digests)));
+        "digests.txt", Map.of("digests", ReplicaStateCodec.encodeDigests(digests)));
   }
 
   /**
@@ -41,18 +41,18 @@
   @Test
   void statesAreReadAsTheyWereWritten() {
     final Map<Long, ReplicaState> read =
-        ReplicaStateCodec.unpack(GoldenBytes.recorded("states.txt", "states"));
+        ReplicaStateCodec.decode(GoldenBytes.recorded("states.txt", "states"));
     final Map<Long, ReplicaState> expected = panels();
     assertEquals(expected.keySet(), read.keySet());
     expected.forEach(
         (replica, replicaState) -> {
           assertEquals(replicaState.observed, read.get(replica).observed);
-          assertEquals(replicaState.cells, read.get(replica).cells);
-          assertEquals(replicaState.absenceNumber, read.get(replica).absenceNumber);
-          assertEquals(replicaState.absent, read.get(replica).absent);
-          assertEquals(replicaState.mark(), read.get(replica).mark());
+          assertEquals(replicaState.instances, read.get(replica).instances);
+          assertEquals(replicaState.disconnectedVersion, read.get(replica).disconnectedVersion);
+          assertEquals(replicaState.disconnected, read.get(replica).disconnected);
+          assertEquals(replicaState.digest(), read.get(replica).digest());
         });
     assertEquals(
-        expected.keySet(), ReplicaStateCodec.unpack(ReplicaStateCodec.pack(expected)).keySet());
+        expected.keySet(), ReplicaStateCodec.decode(ReplicaStateCodec.encode(expected)).keySet());
   }
 }
--- a/src/test/java/yewjunction/system/BorrowingSimulationTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -66,7 +66,7 @@
         30,
         () -> {
           if (!quiet) {
-            cluster.customers.get(2 * cluster.network.random.nextInt(6)).publish("s.calm");
+            cluster.clients.get(2 * cluster.network.random.nextInt(6)).publish("s.calm");
           }
         });
     if (anyRush) {
@@ -88,7 +88,7 @@
     for (final String store : cluster.all(NodeRole.STORE)) {
       if (cluster.network.host(store).up()) {
         for (final AccountBalance balance :
-            ((StoreNode) cluster.nodes.get(store)).cellar().balances()) {
+            ((StoreNode) cluster.nodes.get(store)).messageStore().balances()) {
           final String held = ReferenceAccounts.told(balance);
           assertEquals(
               held,
@@ -129,7 +129,7 @@
         });
     for (final String store : cluster.all(NodeRole.STORE)) {
       final List<AccountBalance> balances =
-          ((StoreNode) cluster.nodes.get(store)).cellar().balances();
+          ((StoreNode) cluster.nodes.get(store)).messageStore().balances();
       assertEquals(1, balances.size(), store);
       assertEquals(0, balances.get(0).debt, store);
       assertEquals(balances.get(0).borrowed, balances.get(0).repaid, store);
@@ -143,7 +143,8 @@
     return cluster.all(NodeRole.STORE).stream()
         .filter(
             store ->
-                cluster.network.host(store).up() && ((StoreNode) cluster.nodes.get(store)).leads())
+                cluster.network.host(store).up()
+                    && ((StoreNode) cluster.nodes.get(store)).isLeader())
         .findFirst()
         .orElse(cluster.all(NodeRole.STORE).get(0));
   }
@@ -200,7 +201,7 @@
         case 4 -> {
           cluster.kill(lead);
           cluster.kill(cluster.readyEdges(null).get(0));
-          cluster.customers.forEach(SimulatedClient::cut);
+          cluster.clients.forEach(SimulatedClient::cut);
         }
         case 5 -> cluster.stop(lead);
         default -> {
@@ -235,7 +236,7 @@
     cluster.configure(SimulatedCluster.route("s."), tenants(BORROW_MAX, 0.5));
     cluster.network.runFor(600);
     final List<AccountBalance> balances =
-        ((StoreNode) cluster.nodes.get(leader())).cellar().balances();
+        ((StoreNode) cluster.nodes.get(leader())).messageStore().balances();
     assertTrue(balances.get(0).debt > 50_000, gone);
     repaid();
   }
--- a/src/test/java/yewjunction/system/ConcurrentOperators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -43,8 +43,11 @@
       final Consumer<OperatorApi.Response> responder) {
     final SimulatedHost host = cluster.network.host(controlNode);
     if (host.up()) {
-      host.post(
-          () -> ((ControlNode) cluster.nodes.get(controlNode)).desk().take(request, responder));
+      host.execute(
+          () ->
+              ((ControlNode) cluster.nodes.get(controlNode))
+                  .operatorApi()
+                  .handle(request, responder));
     }
   }
 
--- a/src/test/java/yewjunction/system/DeliveryChecker.java
+++ b/src/test/java/yewjunction/system/DeliveryChecker.java
@@ -40,7 +40,7 @@
   long newestAckedMs;
 
   /** All that clients saw, in the order in which each of them saw it. */
-  final List<Delivery> sights = new ArrayList<>();
+  final List<Delivery> allDeliveries = new ArrayList<>();
 
   record Delivery(String client, String topic, long position, String sender, long number) {}
 
@@ -151,7 +151,7 @@
       final long number,
       final String body) {
     deliveries++;
-    sights.add(new Delivery(client, topic, position, sender, number));
+    allDeliveries.add(new Delivery(client, topic, position, sender, number));
     final Sent one = sent.get(body);
     assertNotNull(one, "a message that nobody sent: " + body);
     arrivals.add(new Arrival(client, one.firstMs, clock.getAsLong()));
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -17,12 +17,12 @@
   final List<String> plan = new ArrayList<>();
 
   final SimulatedCluster cluster;
-  final Random draw;
+  final Random random;
   private int machines = 100;
 
   FaultInjector(final SimulatedCluster cluster, final Random draw) {
     this.cluster = cluster;
-    this.draw = draw;
+    this.random = draw;
   }
 
   void note(final String what) {
@@ -57,13 +57,14 @@
     return cluster.all(NodeRole.STORE).stream()
         .filter(
             store ->
-                cluster.network.host(store).up() && ((StoreNode) cluster.nodes.get(store)).leads())
+                cluster.network.host(store).up()
+                    && ((StoreNode) cluster.nodes.get(store)).isLeader())
         .findFirst()
         .orElse(cluster.all(NodeRole.STORE).get(0));
   }
 
   long span(final int leastMs, final int mostMs) {
-    return leastMs + draw.nextInt(mostMs - leastMs);
+    return leastMs + random.nextInt(mostMs - leastMs);
   }
 
   void back() {
@@ -82,18 +83,18 @@
    */
   void pair() {
     final List<String> from =
-        draw.nextInt(3) == 0
+        random.nextInt(3) == 0
             ? core()
-            : (draw.nextBoolean() ? cluster.all(NodeRole.STORE) : cluster.all(NodeRole.CONTROL))
+            : (random.nextBoolean() ? cluster.all(NodeRole.STORE) : cluster.all(NodeRole.CONTROL))
                 .stream().map(FaultInjector::machine).toList();
     final String first =
-        draw.nextBoolean() && from.contains(machine(leader()))
+        random.nextBoolean() && from.contains(machine(leader()))
             ? machine(leader())
-            : from.get(draw.nextInt(from.size()));
+            : from.get(random.nextInt(from.size()));
     final List<String> others = from.stream().filter(one -> !one.equals(first)).toList();
     strike(first);
-    cluster.network.runFor(draw.nextInt(3) * span(1, 900));
-    strike(others.get(draw.nextInt(others.size())));
+    cluster.network.runFor(random.nextInt(3) * span(1, 900));
+    strike(others.get(random.nextInt(others.size())));
     cluster.network.runFor(span(300, 6_000));
     cluster.network.join();
     cluster.nodes.keySet().forEach(address -> cluster.network.host(address).thaw());
@@ -101,7 +102,7 @@
   }
 
   private void strike(final String victim) {
-    final int kind = draw.nextInt(6);
+    final int kind = random.nextInt(6);
     note(
         "of two: "
             + List.of("kill", "power", "wipe", "cut", "freeze", "replace").get(kind)
@@ -139,10 +140,10 @@
     note("frozen, links reset, killed as it wakes " + victim + " " + forMs);
     hosts(victim).forEach(SimulatedHost::freeze);
     cluster.network.runFor(forMs / 2);
-    hosts(victim).forEach(SimulatedHost::resetLinks);
+    hosts(victim).forEach(SimulatedHost::resetConnections);
     cluster.network.runFor(forMs / 2);
     hosts(victim).forEach(SimulatedHost::thaw);
-    cluster.network.runFor(draw.nextInt(30));
+    cluster.network.runFor(random.nextInt(30));
     on(victim).forEach(cluster::kill);
     lost(span(100, 2_000));
   }
@@ -153,8 +154,8 @@
   }
 
   void cut(final String victim, final long forMs) {
-    final boolean fromCoreOnly = draw.nextBoolean();
-    final int ways = draw.nextInt(3);
+    final boolean fromCoreOnly = random.nextBoolean();
+    final int ways = random.nextInt(3);
     note(
         "cut "
             + victim
--- a/src/test/java/yewjunction/system/FaultyOperatorApi.java
+++ b/src/test/java/yewjunction/system/FaultyOperatorApi.java
@@ -39,14 +39,14 @@
       }
       final String[] page = new String[1];
       ((ControlNode) cluster.nodes.get(controlNode))
-          .desk()
-          .take(
+          .operatorApi()
+          .handle(
               new OperatorApi.Request("GET", "/-/outlook/show", null, new byte[0]),
               told -> page[0] = told.json());
       final boolean leads = page[0].contains("\"Leads\":true");
       final String version = page[0].replaceAll(".*\"Ver\":([0-9]+).*", "$1");
       final boolean order = request.method().equals("POST") && request.path().contains("config");
-      if (leads && order && Long.parseLong(version) < Long.parseLong(request.base())) {
+      if (leads && order && Long.parseLong(version) < Long.parseLong(request.baseVersion())) {
         responder.accept(says(412));
       } else {
         ConcurrentOperators.ask(cluster, controlNode, request, responder);
@@ -62,7 +62,7 @@
         (request, told) ->
             told.status() == 200
                     && request.method().equals("POST")
-                    && !taken.add(request.base() + new String(request.body()))
+                    && !taken.add(request.baseVersion() + new String(request.body()))
                 ? says(412)
                 : told);
   }
@@ -77,7 +77,8 @@
         cluster,
         (request, told) -> {
           final String pair =
-              request.base() + new String(request.body()).replaceAll(".*\"Ver\":([0-9]+).*", " $1");
+              request.baseVersion()
+                  + new String(request.body()).replaceAll(".*\"Ver\":([0-9]+).*", " $1");
           if (told.status() == 200) {
             taken.add(pair);
           }
--- a/src/test/java/yewjunction/system/FilterSimulationTest.java
+++ b/src/test/java/yewjunction/system/FilterSimulationTest.java
@@ -39,7 +39,7 @@
 
   private void change() {
     final SimulatedClient client =
-        cluster.customers.get(3 + cluster.network.random.nextInt(cluster.customers.size() - 3));
+        cluster.clients.get(3 + cluster.network.random.nextInt(cluster.clients.size() - 3));
     client.filter(
         "s.t" + cluster.network.random.nextInt(3),
         FILTERS.get(cluster.network.random.nextInt(FILTERS.size())));
@@ -66,7 +66,7 @@
         case 2 -> cluster.stop(edge);
         case 3 -> cluster.all(NodeRole.STORE).forEach(store -> cluster.network.cut(edge, store));
         default ->
-            cluster.customers.forEach(
+            cluster.clients.forEach(
                 client -> {
                   if (cluster.network.random.nextBoolean()) {
                     client.cut();
@@ -104,7 +104,7 @@
   @Test
   void aBadFilterLeavesTheOneInForce() {
     begin(22);
-    final SimulatedClient reader = cluster.customers.get(3);
+    final SimulatedClient reader = cluster.clients.get(3);
     reader.filter("s.t0", "key-1");
     cluster.network.runFor(500);
     // The customer notes a filter only when told that it is in force.
--- a/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
+++ b/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
@@ -39,7 +39,7 @@
     cluster.network.every(
         12,
         () -> {
-          final List<SimulatedClient> all = cluster.customers;
+          final List<SimulatedClient> all = cluster.clients;
           // The first tenant may be made to send most.
           final int chosen =
               cluster.network.random.nextInt(100) < heavyShare
@@ -67,11 +67,12 @@
     final Map<Long, String> history = new TreeMap<>();
     for (final String store : cluster.all(NodeRole.STORE)) {
       ((StoreNode) cluster.nodes.get(store))
-          .cellar()
+          .messageStore()
           .between(0, Long.MAX_VALUE)
           .forEach(
               message -> {
-                final String told = message.topic + " " + message.client + " " + message.number;
+                final String told =
+                    message.topic + " " + message.client + " " + message.sequenceNumber;
                 assertEquals(
                     told,
                     history.computeIfAbsent(message.index, key -> told),
@@ -92,13 +93,13 @@
       switch ((int) (seed % 4)) {
         case 0 -> {
           // Short: within the patience of clients and leases.
-          cluster.darken(zone, withVault);
+          cluster.isolateZone(zone, withVault);
           cluster.network.runFor(200 + cluster.network.random.nextInt(900));
         }
         case 1 -> {
           // Long: leases lapse, clients move out and come back; an edge of the site dies in the
           // dark.
-          cluster.darken(zone, withVault);
+          cluster.isolateZone(zone, withVault);
           cluster.network.runFor(6_000);
           cluster.kill(
               cluster.all(NodeRole.EDGE).stream()
@@ -110,7 +111,7 @@
         case 2 -> {
           // Flapping.
           for (int flap = 0; flap < 6; flap++) {
-            cluster.darken(zone, withVault);
+            cluster.isolateZone(zone, withVault);
             cluster.network.runFor(150 + cluster.network.random.nextInt(1_200));
             cluster.network.join();
             cluster.network.runFor(100 + cluster.network.random.nextInt(600));
@@ -118,7 +119,7 @@
         }
         default -> {
           // The lead changes meanwhile.
-          cluster.darken(zone, withVault);
+          cluster.isolateZone(zone, withVault);
           cluster.network.runFor(800);
           final List<String> outside =
               cluster.all(NodeRole.STORE).stream()
@@ -154,7 +155,7 @@
     begin(seed);
     cluster.network.loss = 0;
     cluster.network.runFor(3_000);
-    cluster.darken("zone1", true);
+    cluster.isolateZone("zone1", true);
     cluster.network.runFor(2_000);
     cluster.network.join();
     final long backMs = cluster.network.nowMs();
--- a/src/test/java/yewjunction/system/LinearizabilityChecker.java
+++ b/src/test/java/yewjunction/system/LinearizabilityChecker.java
@@ -73,7 +73,7 @@
       final boolean takes = call.change != null && call.status == 200 && !holds(call);
       if (allows(call)) {
         done.set(at);
-        if (goesOn(takes ? call : null)) {
+        if (canContinue(takes ? call : null)) {
           return true;
         }
         done.clear(at);
@@ -83,14 +83,14 @@
       if (call.calledMs <= firstReturnMs
           && call.base == version()
           && !holds(call)
-          && goesOn(call)) {
+          && canContinue(call)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean goesOn(final Call taking) {
+  private boolean canContinue(final Call taking) {
     if (taking != null) {
       taken.add(taking);
     }
--- a/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
@@ -254,15 +254,16 @@
   @Test
   void whatWasNotWorkedOutIsNeitherTakenNorInTheWay() {
     begin(11);
-    final OperatorApi operatorApi = ((ControlNode) cluster.nodes.get(orders.leader())).desk();
-    operatorApi.readBy((blocking, afterwards) -> afterwards.run());
+    final OperatorApi operatorApi =
+        ((ControlNode) cluster.nodes.get(orders.leader())).operatorApi();
+    operatorApi.setExecutor((blocking, afterwards) -> afterwards.run());
     assertEquals(503, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
-    operatorApi.readBy(
+    operatorApi.setExecutor(
         (blocking, afterwards) -> {
           throw new OutOfMemoryError("planted");
         });
     assertEquals(503, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
-    operatorApi.readBy(cluster.network.host(orders.leader()).clerk());
+    operatorApi.setExecutor(cluster.network.host(orders.leader()).executor());
     assertEquals(1, orders.shown());
     assertEquals(200, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
   }
--- a/src/test/java/yewjunction/system/OperatorCalls.java
+++ b/src/test/java/yewjunction/system/OperatorCalls.java
@@ -128,8 +128,8 @@
           for (final String controlNode : among) {
             if (cluster.network.host(controlNode).up()) {
               ((ControlNode) cluster.nodes.get(controlNode))
-                  .desk()
-                  .take(
+                  .operatorApi()
+                  .handle(
                       new OperatorApi.Request("GET", "/-/outlook/show", null, new byte[0]),
                       response -> {
                         if (response.json().contains("\"Leads\":true")) {
--- a/src/test/java/yewjunction/system/OperatorSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorSimulationTest.java
@@ -142,7 +142,7 @@
         50,
         () -> {
           if (!quiet[0]) {
-            cluster.customers.get(cluster.network.random.nextInt(6)).publish("s.a");
+            cluster.clients.get(cluster.network.random.nextInt(6)).publish("s.a");
           }
         });
     cluster.boot("10.1.0.99:7000".replace("99", "19"), false);
--- a/src/test/java/yewjunction/system/OrderSimulationTest.java
+++ b/src/test/java/yewjunction/system/OrderSimulationTest.java
@@ -46,7 +46,7 @@
         25,
         () -> {
           final SimulatedClient client =
-              cluster.customers.get(cluster.network.random.nextInt(cluster.customers.size()));
+              cluster.clients.get(cluster.network.random.nextInt(cluster.clients.size()));
           if (client.open.size() < 6 && !quiet) {
             final DeliveryChecker.Sent earlier =
                 client.publish("o." + (1 + cluster.network.random.nextInt(2)));
@@ -63,7 +63,7 @@
   private Map<String, Integer> breaks() {
     final Map<String, Long> dispatched = new HashMap<>();
     final Map<String, Integer> breaks = new HashMap<>();
-    for (final DeliveryChecker.Delivery sight : checker.sights) {
+    for (final DeliveryChecker.Delivery sight : checker.allDeliveries) {
       if (sight.topic().startsWith("d.")) {
         dispatched.merge(sight.client(), sight.position(), Math::max);
       } else if (dispatched.getOrDefault(sight.client(), -1L) > sight.position()) {
@@ -99,7 +99,7 @@
   /** Sent in one breath: the later one is accepted only behind the earlier one. */
   private int kept() {
     final Map<String, Long> positions = new HashMap<>();
-    checker.sights.forEach(
+    checker.allDeliveries.forEach(
         sight -> positions.put(sight.sender() + " " + sight.number(), sight.position()));
     int kept = 0;
     for (final Pair pair : pairs) {
@@ -135,11 +135,10 @@
         case 1 -> cluster.stop(edge);
         case 2 -> cluster.all(NodeRole.STORE).forEach(store -> cluster.network.cut(edge, store));
         case 3 ->
-            cluster.customers.forEach(
-                client -> client.stall(cluster.network.random.nextInt(1_500)));
+            cluster.clients.forEach(client -> client.stall(cluster.network.random.nextInt(1_500)));
         case 4 -> {
           // Cursors of different age: some are away for a while.
-          cluster.customers.forEach(
+          cluster.clients.forEach(
               client -> {
                 if (cluster.network.random.nextBoolean()) {
                   client.stall(800);
@@ -149,7 +148,7 @@
         }
         default -> {
           for (int flap = 0; flap < 5; flap++) {
-            cluster.customers.get(cluster.network.random.nextInt(12)).cut();
+            cluster.clients.get(cluster.network.random.nextInt(12)).cut();
             cluster.network.runFor(150);
           }
         }
@@ -176,9 +175,9 @@
             .replaceFirst("\"Fifo\":\"topic\"", "\"Fifo\":\"topic\",\"After\":[\"r-d.\"]"),
         SimulatedCluster.tenant("t", "key", 1_000));
     cluster.network.runFor(1_000);
-    final int from = checker.sights.size();
+    final int from = checker.allDeliveries.size();
     for (int round = 0; round < 10; round++) {
-      cluster.customers.forEach(SimulatedClient::cut);
+      cluster.clients.forEach(SimulatedClient::cut);
       cluster.network.runFor(900);
     }
     settle();
@@ -186,7 +185,7 @@
     // only one way.
     final Map<String, Long> last = new HashMap<>();
     for (final DeliveryChecker.Delivery sight :
-        checker.sights.subList(from, checker.sights.size())) {
+        checker.allDeliveries.subList(from, checker.allDeliveries.size())) {
       final String other = sight.client() + (sight.topic().startsWith("d.") ? " o" : " d");
       final long before = last.getOrDefault(other, -1L);
       assertTrue(before < sight.position(), sight + " after " + before);
@@ -208,7 +207,7 @@
         .all(NodeRole.EDGE)
         .forEach(
             edge ->
-                cluster.network.host(edge).tampering =
+                cluster.network.host(edge).messageFilter =
                     message -> {
                       if (swapped[0] < 3 && SwappedMessages.swap(message, "o.", "d.")) {
                         swapped[0]++;
@@ -220,7 +219,7 @@
         () -> {
           if (!quiet) {
             cluster
-                .customers
+                .clients
                 .subList(3, 9)
                 .forEach(
                     client -> {
--- a/src/test/java/yewjunction/system/RandomFaults.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -45,7 +45,7 @@
                 cluster.all(NodeRole.EDGE).stream()
                     .filter(edge -> machine(edge).endsWith(".2"))
                     .toList()
-                    .get(draw.nextInt(3)));
+                    .get(random.nextInt(3)));
           }
           edge();
         });
@@ -57,7 +57,7 @@
       return;
     }
     final long forMs = span(200, 4_000);
-    final int kind = draw.nextInt(6);
+    final int kind = random.nextInt(6);
     note(
         "edge "
             + edge
@@ -70,8 +70,8 @@
       case 1 -> cluster.powerOff(edge);
       case 2 -> cluster.stop(edge);
       case 3 -> host.freeze();
-      case 4 -> host.resetLinks();
-      default -> cluster.customers.forEach(SimulatedClient::cut);
+      case 4 -> host.resetConnections();
+      default -> cluster.clients.forEach(SimulatedClient::cut);
     }
     edgesUnderWay++;
     cluster.network.after(
@@ -90,15 +90,15 @@
   /** Strikes once, and returns when nothing counts as lost any more. */
   void next() {
     // As many as are to be borne, and that may be two.
-    if (cluster.losses > 1 && draw.nextInt(2) == 0) {
+    if (cluster.losses > 1 && random.nextInt(2) == 0) {
       pair();
       return;
     }
     final List<String> core = core();
-    final String machine = core.get(draw.nextInt(core.size()));
-    final String victim = draw.nextInt(3) == 0 ? machine(leader()) : machine;
+    final String machine = core.get(random.nextInt(core.size()));
+    final String victim = random.nextInt(3) == 0 ? machine(leader()) : machine;
     final long forMs = span(300, 6_000);
-    final int kind = draw.nextInt(harder ? 21 : 16);
+    final int kind = random.nextInt(harder ? 21 : 16);
     switch (kind) {
       case 0 -> {
         note("kill " + victim + " " + forMs);
@@ -116,7 +116,7 @@
         lost(forMs);
       }
       case 3, 4 -> replace(victim);
-      case 5, 6 -> replacePlanned(draw.nextBoolean() ? machine(leader()) : victim);
+      case 5, 6 -> replacePlanned(random.nextBoolean() ? machine(leader()) : victim);
       case 7 -> {
         note("freeze " + victim + " " + forMs);
         hosts(victim).forEach(SimulatedHost::freeze);
@@ -126,10 +126,10 @@
       }
       case 8, 9 -> cut(victim, forMs);
       case 10 -> {
-        final int times = 1 + draw.nextInt(5);
+        final int times = 1 + random.nextInt(5);
         note("links reset " + victim + " " + times);
         for (int time = 0; time < times; time++) {
-          hosts(victim).forEach(SimulatedHost::resetLinks);
+          hosts(victim).forEach(SimulatedHost::resetConnections);
           cluster.network.runFor(span(50, 600));
         }
       }
@@ -146,13 +146,13 @@
         hosts(victim).forEach(host -> host.stallDisk(forMs));
         lost(forMs);
       }
-      case 13 -> herd(draw.nextBoolean(), draw.nextBoolean());
-      case 14 -> afterAck(draw.nextBoolean());
+      case 13 -> herd(random.nextBoolean(), random.nextBoolean());
+      case 14 -> afterAck(random.nextBoolean());
       case 15 -> retireOrAdd();
-      case 16, 17 -> afterOrder(draw.nextBoolean());
+      case 16, 17 -> afterOrder(random.nextBoolean());
       case 18 -> {
         note("links reset on all of the core");
-        core().forEach(one -> hosts(one).forEach(SimulatedHost::resetLinks));
+        core().forEach(one -> hosts(one).forEach(SimulatedHost::resetConnections));
       }
       case 19 -> killWhileCutOff(victim, forMs);
       default -> killAsItWakes(victim, forMs);
@@ -187,7 +187,7 @@
   private void afterOrder(final boolean withDisk) {
     final int before = operator.acks;
     cluster.network.runUntil(() -> operator.acks > before, 3_000);
-    cluster.network.runFor(draw.nextInt(3) * span(1, 60));
+    cluster.network.runFor(random.nextInt(3) * span(1, 60));
     final String victim = machine(operator.acknowledger);
     if (on(victim).isEmpty()) {
       return;
@@ -202,12 +202,13 @@
 
   private void retireOrAdd() {
     final List<String> stores = cluster.all(NodeRole.STORE);
-    if (stores.size() < 2 * cluster.losses + 2 || stores.size() < 7 && draw.nextBoolean()) {
-      note("add " + bootLike(machine(stores.get(draw.nextInt(stores.size())))));
+    if (stores.size() < 2 * cluster.losses + 2 || stores.size() < 7 && random.nextBoolean()) {
+      note("add " + bootLike(machine(stores.get(random.nextInt(stores.size())))));
       cluster.network.runFor(SYNC_MS);
       return;
     }
-    final String victim = draw.nextBoolean() ? leader() : stores.get(draw.nextInt(stores.size()));
+    final String victim =
+        random.nextBoolean() ? leader() : stores.get(random.nextInt(stores.size()));
     note("retire " + victim);
     cluster.insist("POST", "/-/retire/node-" + victim + "/begin", 0, "{\"OverS\":10}", 200);
     final long startMs = cluster.network.nowMs();
@@ -228,13 +229,13 @@
 
   /** The last fault, right after something was acknowledged or at any moment. */
   void closing() {
-    final int kind = draw.nextInt(4);
-    final int moment = draw.nextInt(3);
+    final int kind = random.nextInt(4);
+    final int moment = random.nextInt(3);
     final int before = moment == 0 ? operator.acks : checker.acks;
     if (moment < 2) {
       cluster.network.runUntil(() -> (moment == 0 ? operator.acks : checker.acks) > before, 3_000);
     }
-    cluster.network.runFor(harder ? draw.nextInt(60) : 0);
+    cluster.network.runFor(harder ? random.nextInt(60) : 0);
     note(
         "closing fault after "
             + List.of("an order's", "a message's", "no").get(moment)
@@ -247,7 +248,7 @@
                 .get(kind));
     final List<String> core = core();
     final String wiped =
-        draw.nextBoolean() ? machine(leader()) : core.get(draw.nextInt(core.size()));
+        random.nextBoolean() ? machine(leader()) : core.get(random.nextInt(core.size()));
     switch (kind) {
       case 0 -> cluster.nodes.keySet().forEach(cluster::powerOff);
       case 1 -> cluster.nodes.keySet().forEach(cluster::kill);
@@ -258,7 +259,7 @@
         note("wiped " + wiped);
         wipe(wiped);
         if (cluster.losses > 1) {
-          final String other = core.get(draw.nextInt(core.size()));
+          final String other = core.get(random.nextInt(core.size()));
           note("wiped " + other);
           wipe(other);
         }
--- a/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
+++ b/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
@@ -41,7 +41,7 @@
     // Links that were held up end, and its next lease tells it of its name.
     cluster.network.runFor(8_000);
     assertTrue(cluster.edge(edge).ready(), edge + " is not ready");
-    cluster.customers.stream()
+    cluster.clients.stream()
         .filter(client -> client.zone.equals(zone))
         .forEach(SimulatedClient::cut);
     cluster.network.runFor(4_000);
@@ -50,7 +50,7 @@
     cluster.network.runFor(4_000);
     final long fromMs = cluster.network.nowMs();
     final List<String> here =
-        cluster.customers.stream()
+        cluster.clients.stream()
             .filter(client -> edge.equals(client.edge()))
             .map(client -> client.name)
             .toList();
@@ -69,11 +69,11 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void anEarlierLifesLateQuestionUnseatsNobody(final long seed) {
     begin(seed);
-    final String edge = cluster.customers.get(0).edge();
+    final String edge = cluster.clients.get(0).edge();
     final PeerTransport crux = cluster.network.host("10.9.0.1:1").boot();
     cluster
         .all(NodeRole.CONTROL)
-        .forEach(other -> crux.dial(other).send(StaleRegistration.enlist(edge, 1_000_000)));
+        .forEach(other -> crux.connect(other).send(StaleRegistration.enlist(edge, 1_000_000)));
     cluster.network.runFor(1_000);
     served(edge);
   }
@@ -84,7 +84,7 @@
   void whoKeepsItsNameServesOn(final long seed) {
     begin(seed);
     cluster.network.runFor(1_000);
-    served(cluster.customers.get(0).edge());
+    served(cluster.clients.get(0).edge());
   }
 
   /** Away for so long that the core has given its name up, and back in the same life. */
@@ -92,7 +92,7 @@
   @ValueSource(longs = {1, 2})
   void whoWasAwayForLongComesBackUnderAnotherName(final long seed) {
     begin(seed);
-    final String edge = cluster.customers.get(0).edge();
+    final String edge = cluster.clients.get(0).edge();
     cluster.nodes.keySet().stream()
         .filter(other -> !other.equals(edge))
         .forEach(other -> cluster.network.cut(edge, other));
--- a/src/test/java/yewjunction/system/SimulatedClient.java
+++ b/src/test/java/yewjunction/system/SimulatedClient.java
@@ -38,8 +38,8 @@
     this.name = name;
     this.zone = zone;
     this.key = key;
-    cluster.customers.add(this);
-    cluster.network.every(200, this::look);
+    cluster.clients.add(this);
+    cluster.network.every(200, this::check);
   }
 
   /** What the edge has written arrives, unless the client has another connection by now. */
@@ -50,7 +50,7 @@
     heardMs = cluster.network.nowMs();
     for (final FrameSplitter.Frame frame : from.frames.feed(words)) {
       if (wire == from) {
-        told(frame.fields(), frame.body());
+        onRefusal(frame.fields(), frame.body());
       }
     }
   }
@@ -90,7 +90,7 @@
     }
   }
 
-  private void look() {
+  private void check() {
     final long nowMs = cluster.network.nowMs();
     if (wire != null && nowMs - heardMs > 3_000) {
       cut();
@@ -155,7 +155,7 @@
             + "\r\n");
   }
 
-  private void told(final String[] fields, final String body) {
+  private void onRefusal(final String[] fields, final String body) {
     switch (fields[0]) {
       case "OK" -> {
         if (fields[1].equals("HELLO")) {
--- a/src/test/java/yewjunction/system/SimulatedClientConnection.java
+++ b/src/test/java/yewjunction/system/SimulatedClientConnection.java
@@ -39,13 +39,13 @@
                     return;
                   }
                   if (owner == null) {
-                    owner = cluster.edge(edge).greet(this);
+                    owner = cluster.edge(edge).newHandler(this);
                   }
                   final byte[] more = words.getBytes(StandardCharsets.US_ASCII);
                   final byte[] all = new byte[unread.length + more.length];
                   System.arraycopy(unread, 0, all, 0, unread.length);
                   System.arraycopy(more, 0, all, unread.length, more.length);
-                  final int taken = owner.take(all, all.length);
+                  final int taken = owner.onReceived(all, all.length);
                   unread = java.util.Arrays.copyOfRange(all, taken, all.length);
                 }));
   }
@@ -66,12 +66,12 @@
   }
 
   @Override
-  public int waiting() {
+  public int queuedBytes() {
     return out.size();
   }
 
   @Override
-  public void closeSoon() {
+  public void closeAfterFlush() {
     close();
   }
 
@@ -80,14 +80,14 @@
     if (up) {
       up = false;
       if (owner != null) {
-        host.guarded(life, owner::closed);
+        host.guarded(life, owner::onClosed);
       }
       cluster.network.after(1, () -> client.closed(this));
     }
   }
 
   @Override
-  public boolean open() {
+  public boolean isOpen() {
     return up;
   }
 }
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -26,13 +26,13 @@
   static final int PORT = 7000;
   final SimulatedNetwork network;
   final Map<String, Node> nodes = new TreeMap<>();
-  final List<SimulatedClient> customers = new ArrayList<>();
-  private final Map<String, MembershipList> rosters = new HashMap<>();
+  final List<SimulatedClient> clients = new ArrayList<>();
+  private final Map<String, MembershipList> membershipLists = new HashMap<>();
 
   /** Where the core is, as the operator's list has it for whoever starts now. */
   List<String> seeds = List.of("10.1.0.1:8024", "10.2.0.1:8024", "10.3.0.1:8024");
 
-  private final boolean readsBeside;
+  private final boolean backgroundReads;
   private long lives = 1;
 
   /** Machines with a disk that may be lost at once. */
@@ -57,7 +57,7 @@
   SimulatedCluster(
       final long seed, final int vaultsInZone, final int losses, final boolean readsBeside) {
     this.losses = losses;
-    this.readsBeside = readsBeside;
+    this.backgroundReads = readsBeside;
     network = new SimulatedNetwork(seed);
     for (int zone = 1; zone <= 3; zone++) {
       boot("10." + zone + ".0.1:" + (PORT + Settings.CONTROL_PORT_OFFSET), true);
@@ -113,11 +113,11 @@
             20,
             64);
     final SimulatedNodes.Running running = SimulatedNodes.boot(host, settings, role, life);
-    if (readsBeside && running.node() instanceof ControlNode controlNode) {
-      controlNode.desk().readBy(host.clerk());
+    if (backgroundReads && running.node() instanceof ControlNode controlNode) {
+      controlNode.operatorApi().setExecutor(host.executor());
     }
     nodes.put(address, running.node());
-    rosters.put(address, running.membership());
+    membershipLists.put(address, running.membership());
   }
 
   void bootAll() {
@@ -130,7 +130,7 @@
 
   void kill(final String address) {
     network.host(address).kill();
-    customers.forEach(client -> client.resetBy(address));
+    clients.forEach(client -> client.resetBy(address));
   }
 
   void powerOff(final String address) {
@@ -142,7 +142,7 @@
     final SimulatedHost host = network.host(address);
     final int life = host.life();
     final Node node = nodes.get(address);
-    final MembershipList membership = rosters.get(address);
+    final MembershipList membership = membershipLists.get(address);
     host.guarded(
         life,
         () ->
@@ -177,7 +177,7 @@
   }
 
   /** A zone's machines, all or some, lose touch with all others. */
-  void darken(final String zone, final boolean withVault) {
+  void isolateZone(final String zone, final boolean withVault) {
     for (final String inside : nodes.keySet()) {
       if (zone(inside).equals(zone) && (withVault || role(inside) != NodeRole.STORE)) {
         nodes.keySet().stream()
@@ -199,11 +199,11 @@
       final Consumer<OperatorApi.Response> responder) {
     final SimulatedHost host = network.host(controlNode);
     if (host.up()) {
-      host.post(
+      host.execute(
           () ->
               ((ControlNode) nodes.get(controlNode))
-                  .desk()
-                  .take(
+                  .operatorApi()
+                  .handle(
                       new OperatorApi.Request(
                           method,
                           path,
--- a/src/test/java/yewjunction/system/SystemSimulation.java
+++ b/src/test/java/yewjunction/system/SystemSimulation.java
@@ -40,7 +40,7 @@
         ms,
         () -> {
           final SimulatedClient client =
-              cluster.customers.get(cluster.network.random.nextInt(cluster.customers.size()));
+              cluster.clients.get(cluster.network.random.nextInt(cluster.clients.size()));
           if (client.open.size() < 4 && !quiet) {
             client.publish("s.t" + cluster.network.random.nextInt(topics));
           }
--- a/src/test/java/yewjunction/system/SystemSimulationTest.java
+++ b/src/test/java/yewjunction/system/SystemSimulationTest.java
@@ -64,7 +64,7 @@
         case 6 -> cluster.stop(edge);
         case 7 -> cluster.stop(store);
         case 8 ->
-            cluster.customers.forEach(
+            cluster.clients.forEach(
                 client -> {
                   if (cluster.network.random.nextInt(3) > 0) {
                     client.cut();
@@ -109,7 +109,7 @@
     final long ackMs = cluster.network.nowMs();
     cluster.network.runFor(5_000);
     // The lonely edge never hears of it: there it is the lapsed lease that ends all service.
-    cluster.customers.stream()
+    cluster.clients.stream()
         .filter(client -> client.key.equals("other") && !lonely.equals(client.edge()))
         .forEach(
             client ->
@@ -119,7 +119,7 @@
     cluster.network.runFor(5_000);
     // The others go on; who holds the old key hears of nothing sent after the bound, wherever it is
     // connected.
-    for (final SimulatedClient client : cluster.customers) {
+    for (final SimulatedClient client : cluster.clients) {
       final long newestMs = checker.newestDelivered.getOrDefault(client.name, 0L);
       assertEquals(
           client.key.equals("key"),
@@ -157,7 +157,7 @@
               .filter(
                   store ->
                       cluster.network.host(store).up()
-                          && ((yewjunction.node.StoreNode) cluster.nodes.get(store)).leads())
+                          && ((yewjunction.node.StoreNode) cluster.nodes.get(store)).isLeader())
               .findFirst()
               .orElse(cluster.all(NodeRole.STORE).get(0));
       cluster.stop(lead);
--- a/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
+++ b/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
@@ -114,7 +114,7 @@
   /** The newest message that a vault knows as committed. */
   private long held(final String store) {
     return ((StoreNode) cluster.nodes.get(store))
-        .cellar().between(0, Long.MAX_VALUE).stream()
+        .messageStore().between(0, Long.MAX_VALUE).stream()
             .mapToLong(message -> message.index)
             .max()
             .orElse(0);
@@ -137,7 +137,7 @@
 
   private void seated(final String fresh) {
     final String lead = troubles.leader();
-    assertTrue(((StoreNode) cluster.nodes.get(lead)).leads(), "nobody leads");
+    assertTrue(((StoreNode) cluster.nodes.get(lead)).isLeader(), "nobody leads");
     assertTrue(
         held(fresh) + 60 > held(lead), fresh + " is at " + held(fresh) + " of " + held(lead));
     final List<String> voters = LogReader.voters(cluster.network.host(lead).disk, "messages");
@@ -163,7 +163,7 @@
   void aSpareThatNobodyHearsShows() {
     replacedLeader(1);
     cluster.all(NodeRole.STORE).forEach(this::seated);
-    cluster.network.hosts().forEach(host -> host.tampering = LogReader::drownJoins);
+    cluster.network.hosts().forEach(host -> host.messageFilter = LogReader::drownJoins);
     final String machine = troubles.leader().replaceAll(":.*", "");
     troubles.replacePlanned(machine);
     cluster.network.runFor(2_000);
--- a/src/test/java/yewjunction/transport/CommandQueueTest.java
+++ b/src/test/java/yewjunction/transport/CommandQueueTest.java
@@ -59,7 +59,7 @@
     }
 
     final void wake() {
-      if (inbox.mustWake()) {
+      if (inbox.shouldWakeOwner()) {
         wakeUp.set(true);
       }
     }
@@ -134,12 +134,12 @@
   void oneWakeUpServesAllThatWaitAndTheNextIsAskedForAgain() {
     final CommandQueue<Integer> inbox = new CommandQueue<>();
     inbox.put(1);
-    assertTrue(inbox.mustWake());
+    assertTrue(inbox.shouldWakeOwner());
     inbox.put(2);
-    assertFalse(inbox.mustWake());
+    assertFalse(inbox.shouldWakeOwner());
     assertEquals(List.of(1, 2), inbox.takeAll());
     inbox.put(3);
-    assertTrue(inbox.mustWake());
+    assertTrue(inbox.shouldWakeOwner());
   }
 
   @Test
@@ -167,7 +167,7 @@
           new Thread(
               () -> {
                 for (int command = 0; command < total; command++) {
-                  agent.post(run::countDown);
+                  agent.execute(run::countDown);
                 }
               });
       putters[i].start();
--- a/src/test/java/yewjunction/transport/EventLoopAgentTest.java
+++ b/src/test/java/yewjunction/transport/EventLoopAgentTest.java
@@ -22,14 +22,14 @@
   void whatNestsTooDeepEndsItsOwnTurnOnly() throws IOException {
     final EventLoopAgent agent = new EventLoopAgent(1);
     final List<String> done = new ArrayList<>();
-    agent.post(() -> done.add("first " + deep(0)));
-    agent.post(() -> done.add("second"));
-    agent.after(
+    agent.execute(() -> done.add("first " + deep(0)));
+    agent.execute(() -> done.add("second"));
+    agent.schedule(
         0,
         () -> {
           throw new IllegalStateException("planted");
         });
-    agent.after(0, () -> done.add("alarm"));
+    agent.schedule(0, () -> done.add("alarm"));
     agent.doWork();
     assertEquals(List.of("second", "alarm"), done);
   }
@@ -51,13 +51,13 @@
     final List<PeerConnection> closed = new ArrayList<>();
     transport.onClose(closed::add);
     final List<PeerConnection> dialled = new ArrayList<>();
-    agent.post(() -> dialled.add(transport.dial("127.0.0.1:9")));
+    agent.execute(() -> dialled.add(transport.connect("127.0.0.1:9")));
     agent.doWork();
     agent.doWork();
     assertEquals(1, dialled.size());
-    assertFalse(dialled.get(0).open());
+    assertFalse(dialled.get(0).isOpen());
     assertFalse(dialled.get(0).send("a letter"));
-    assertEquals("127.0.0.1:9", dialled.get(0).remote());
+    assertEquals("127.0.0.1:9", dialled.get(0).remoteAddress());
     assertEquals(dialled, closed);
   }
 }
