--- a/src/main/java/yewjunction/cli/RehearsalClients.java
+++ b/src/main/java/yewjunction/cli/RehearsalClients.java
@@ -134,8 +134,8 @@
   }
 
   /**
-   * The tenant's page once so many vaults say so: they tell a crux with their next lease what they
-   * hold.
+   * The tenant's page once so many stores say so: they tell a control node with their next lease
+   * what they hold.
    */
   private String shown(final String wanted, final int vaults)
       throws IOException, InterruptedException {
--- a/src/main/java/yewjunction/common/AgentContext.java
+++ b/src/main/java/yewjunction/common/AgentContext.java
@@ -2,7 +2,9 @@
 
 import java.util.Random;
 
-/** What an owner of state is given of the world: a clock, alarms, a queue of commands and luck. */
+/**
+ * What an owner of state is given of the world: a clock, alarms, a queue of commands and chance.
+ */
 public interface AgentContext {
   /** Steady milliseconds; never the time of day, so a stepped clock moves no lease. */
   long nowMs();
@@ -20,7 +22,7 @@
     schedule(
         periodMs,
         () -> {
-          // Re-arm before running, so that a defect in one turn does not end the rest.
+          // Re-arm before running, so that a failure in one turn does not end the rest.
           scheduleAtFixedRate(periodMs, task);
           task.run();
         });
--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Letters to bytes and back: one byte of kind, then Protostuff. One thread at a time. */
+/** Messages to bytes and back: one byte of kind, then Protostuff. One thread at a time. */
 public final class MessageCodec {
   private final Map<Class<?>, Integer> numberByType = new HashMap<>();
   private final Map<Integer, Schema<?>> schemaByNumber = new HashMap<>();
--- a/src/main/java/yewjunction/common/PeerConnection.java
+++ b/src/main/java/yewjunction/common/PeerConnection.java
@@ -1,14 +1,14 @@
 package yewjunction.common;
 
-/** An ordered connection to a peer; letters are lost only together with the link. */
+/** An ordered connection to a member; messages are lost only together with the connection. */
 public interface PeerConnection {
-  /** Queues a letter; false when the link is closed. */
+  /** Queues a message; false when the connection is closed. */
   boolean send(Object message);
 
   void close();
 
   boolean isOpen();
 
-  /** The far address, ip:port; for links taken in, the port is the peer's ephemeral one. */
+  /** The far address, ip:port; for connections taken in, the port is the peer's ephemeral one. */
   String remoteAddress();
 }
--- a/src/main/java/yewjunction/common/PeerTransport.java
+++ b/src/main/java/yewjunction/common/PeerTransport.java
@@ -3,9 +3,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Letters between peers over ordered links. */
+/** Messages between peers over ordered connections. */
 public interface PeerTransport {
-  /** The link to that address, dialled when there is none. */
+  /** The connection to that address, dialled when there is none. */
   PeerConnection connect(String address);
 
   <T> void onMessage(Class<T> kind, BiConsumer<PeerConnection, T> handler);
--- a/src/main/java/yewjunction/common/PendingRequests.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -12,10 +12,10 @@
  * Questions that one life of a process has asked and that are open, each by its number, with whom
  * it was asked of. An answer counts once, and only from that one. Numbers go on from a start that
  * the life makes, so that an answer to an earlier life meets none: the number alone says whose
- * question it was, and the letters need no further field.
+ * question it was, and the messages need no further field.
  *
- * @param <P> who is asked: a link, which ends with either process, or the address where datagrams
- *     leave nothing better
+ * @param <P> who is asked: a connection, which ends with either process, or the address where
+ *     datagrams leave nothing better
  * @param <T> what the asker wants back with the answer
  */
 public final class PendingRequests<P, T> {
--- a/src/main/java/yewjunction/common/package-info.java
+++ b/src/main/java/yewjunction/common/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What all aggregates share: the clock and queue they are given, links, letters, events, defects,
- * constants.
+ * What all aggregates share: the clock and queue they are given, connections, messages, events,
+ * failures, constants.
  */
 package yewjunction.common;
--- a/src/main/java/yewjunction/control/AccountBalance.java
+++ b/src/main/java/yewjunction/control/AccountBalance.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * What one vault holds of a tenant that borrows ahead, for operators; amounts in thousandths of a
+ * What one store holds of a tenant that borrows ahead, for operators; amounts in thousandths of a
  * message.
  */
 public final class AccountBalance {
@@ -16,7 +16,7 @@
   public String tenant = "";
 
   /**
-   * The entry of the log that touched the account last: two vaults that name the same one hold the
+   * The entry of the log that touched the account last: two stores that name the same one hold the
    * same account.
    */
   public long index;
--- a/src/main/java/yewjunction/control/CallDecision.java
+++ b/src/main/java/yewjunction/control/CallDecision.java
@@ -4,7 +4,7 @@
 
 /**
  * What a look at the state says to an operator's call. Beside: to be worked out off the owner's
- * thread before the next look. Deed: to be agreed on first; then that is done, and this is the
+ * thread before the next look. Command: to be agreed on first; then that is done, and this is the
  * answer. Fact: see there.
  */
 record CallDecision(
@@ -35,7 +35,7 @@
 
   static CallDecision propose(
       final ControlCommand command, final OperatorApi.Response response, final Runnable done) {
-    // Without a deed the answer would be a promise of nothing.
+    // Without a command the answer would be a promise of nothing.
     return new CallDecision(response, false, null, requireNonNull(command), done);
   }
 }
--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -71,7 +71,7 @@
     processing = false;
   }
 
-  /** True when the next one may go on; false while this one is read, or the ledger has its deed. */
+  /** True when the next one may go on; false while this one is read, or the log has its command. */
   private boolean process(final PendingCall call) {
     if (context.nowMs() > call.deadlineMs) {
       // Its caller has been told that there is no answer, and asks again: begun now it would only
@@ -163,7 +163,7 @@
     return proposed;
   }
 
-  /** Comes as a command of its own: the ledger drops questions before it has let go of its lead. */
+  /** Comes as a command of its own: the log drops questions before it has let go of its lead. */
   private void onLeadershipConfirmed(final PendingCall call, final boolean held) {
     if (held) {
       enqueue(
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import yewjunction.raft.RaftNode;
 
-/** What the core has decided besides the configuration. */
+/** What the control group has decided besides the configuration. */
 public final class ClusterState {
   long version;
   long newestReplicaId;
   List<Replica> replicas = new ArrayList<>();
 
-  /** The first voters of the vaults' ledger; later changes are that ledger's own. */
+  /** The first voters of the stores' log; later changes are that log's own. */
   List<String> stores = new ArrayList<>();
 
   /** Their zones, in the same order. */
@@ -47,7 +47,9 @@
     return version;
   }
 
-  /** The same at every crux, and at whoever is told of it; false when it changes nothing. */
+  /**
+   * The same at every control node, and at whoever is told of it; false when it changes nothing.
+   */
   boolean apply(final Change change) {
     final boolean changed = apply(change.command);
     if (changed) {
@@ -148,7 +150,7 @@
     return addresses;
   }
 
-  /** Addresses of vaults that are to hold no duty. */
+  /** Addresses of stores that are to hold no duty. */
   public Set<String> retiringAddresses() {
     final Set<String> addresses = new HashSet<>();
     retirements.forEach(retirement -> addresses.add(retirement.address));
--- a/src/main/java/yewjunction/control/ClusterStatus.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -11,8 +11,8 @@
 import yewjunction.raft.RaftNode;
 
 /**
- * How the system looks from one crux, for operators and the doctor. Answered by any crux, from its
- * own tables.
+ * How the system looks from one control node, for operators and the doctor. Answered by any control
+ * node, from its own tables.
  */
 final class ClusterStatus {
   private final ControlStateMachine stateMachine;
@@ -34,7 +34,9 @@
     this.processes = processes;
   }
 
-  /** Breaks of the declared order that the edges which ask this crux for leases have met. */
+  /**
+   * Breaks of the declared order that the edges which ask this control node for leases have met.
+   */
   String orderViolationsJson() {
     return ConfigValueFactory.fromMap(Map.of("Channels", processes.orderViolationRows()))
         .render(ConfigRenderOptions.concise());
@@ -70,10 +72,10 @@
               member.ready));
     }
     page.put("Siblings", peers);
-    // Only the leader hears from all vaults; on the others the list is empty.
+    // Only the leader hears from all stores; on the others the list is empty.
     page.put("Vaults", registry.storeRows());
     page.put("DiskOwedMs", raftNode.commitTracker().oldestPendingWriteMs());
-    // Those that ask this crux for their leases: mostly its zone's.
+    // Those that ask this control node for their leases: mostly its zone's.
     page.put("Wards", processes.processRows());
     page.put("Channels", processes.orderViolationRows());
     return ConfigValueFactory.fromMap(page).render(ConfigRenderOptions.concise());
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Reads JSON and checks all of it; a defect names the path. */
+  /** Reads JSON and checks all of it; a failure names the path. */
   public static Configuration read(final String json) {
     return of(parse(json));
   }
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -108,7 +108,7 @@
 
   /**
    * What is to be agreed on, worked out on a base that is current, beside the owner's thread: a
-   * base's text never changes, so neither does this, nor a defect found here.
+   * base's text never changes, so neither does this, nor a failure found here.
    */
   void prepare(final Configuration current) {
     prepared = true;
@@ -145,7 +145,7 @@
     return prepared;
   }
 
-  /** Null until it is prepared, or where it has a defect. */
+  /** Null until it is prepared, or where it has a failure. */
   ControlCommand deed() {
     return command;
   }
--- a/src/main/java/yewjunction/control/ConfigurationPatches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -21,7 +21,7 @@
 final class ConfigurationPatches {
   private ConfigurationPatches() {}
 
-  /** Adds the patch to the deed where there is one that leads to exactly the same. */
+  /** Adds the patch to the command where there is one that leads to exactly the same. */
   static void attachTo(
       final ControlCommand command, final Configuration before, final Configuration after) {
     if (before == null) {
--- a/src/main/java/yewjunction/control/ControlCommand.java
+++ b/src/main/java/yewjunction/control/ControlCommand.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One entry of the core's ledger. */
+/** One entry of the control group's log. */
 final class ControlCommand {
   static final int SET_CONFIGURATION = 1;
   static final int ASSIGN_REPLICA = 2;
--- a/src/main/java/yewjunction/control/ControlService.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -13,9 +13,9 @@
 import yewjunction.raft.VoterPlacement;
 import yewjunction.settings.Settings;
 
-/** One member of the core: its ledger, leases, registrations and the operator's desk. */
+/** One member of the control group: its log, leases, registrations and the operator's desk. */
 public final class ControlService implements ControlStateMachine.Listener {
-  /** Group number of the core's ledger. */
+  /** Group number of the control group's log. */
   public static final int GROUP = 0;
 
   private final AgentContext context;
--- a/src/main/java/yewjunction/control/ControlStateMachine.java
+++ b/src/main/java/yewjunction/control/ControlStateMachine.java
@@ -11,7 +11,7 @@
 import yewjunction.common.LogEvent;
 import yewjunction.raft.StateMachine;
 
-/** The state that the core's ledger drives; the same on every crux. */
+/** The state that the control group's log drives; the same on every control node. */
 final class ControlStateMachine implements StateMachine {
   private static final Schema<ControlCommand> COMMAND_SCHEMA =
       RuntimeSchema.getSchema(ControlCommand.class);
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Read only when a change builds on it: after a loss of power every moment of a crux's start is
-   * service lost.
+   * Read only when a change builds on it: after a loss of power every moment of a control node's
+   * start is service lost.
    */
   Configuration currentConfiguration() {
     if (currentConfiguration == null && snapshot.json != null) {
--- a/src/main/java/yewjunction/control/LeaseClient.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -20,8 +20,8 @@
 import yewjunction.membership.NodeRole;
 
 /**
- * A tide's or vault's hold on the configuration: renewed from a home crux, lapsed when no majority
- * stands behind it.
+ * A process's hold on the configuration: renewed from a control node control node, lapsed when no
+ * majority stands behind it.
  */
 public final class LeaseClient {
   private final AgentContext context;
@@ -41,7 +41,7 @@
   /** Nobody has answered since the newest question. */
   private boolean awaitingResponse;
 
-  /** When a lease was asked for, and at which turn through the homes. */
+  /** When a lease was asked for, and at which turn through the control nodes. */
   private record PendingRenewal(long requestedMs, int attempt) {}
 
   /** Told of what changed. */
@@ -51,7 +51,7 @@
     void onClusterStateChanged(ClusterState clusterState);
   }
 
-  /** Homes: addresses of cruxes, the nearest first. */
+  /** Serving stores: addresses of control nodes, the nearest first. */
   public LeaseClient(
       final AgentContext context,
       final PeerTransport transport,
@@ -84,17 +84,20 @@
     return process.life;
   }
 
-  /** A vault's ledger identity. */
+  /** A store's log identity. */
   public void setIdentity(final String identity) {
     process.identity = identity;
   }
 
-  /** How far this vault's ledger is applied. */
+  /** How far this store's log is applied. */
   public void setAppliedIndex(final long applied) {
     process.appliedIndex = applied;
   }
 
-  /** Looks just before each renewal at how this process does, for whoever asks a crux about it. */
+  /**
+   * Looks just before each renewal at how this process does, for whoever asks a control node about
+   * it.
+   */
   public void beforeEachReport(final Runnable chosenReport) {
     reportUpdater = chosenReport;
   }
@@ -105,12 +108,12 @@
     process.leaderUnreachable = dark;
   }
 
-  /** For how long a vault's disk has owed its oldest write. */
+  /** For how long a store's disk has owed its oldest write. */
   public void setDiskDelay(final long owedMs) {
     process.diskDelayMs = owedMs;
   }
 
-  /** What tenants that borrow ahead hold and owe at this vault. */
+  /** What tenants that borrow ahead hold and owe at this store. */
   public void setBalances(final List<AccountBalance> balances) {
     process.balances = balances;
   }
@@ -120,7 +123,7 @@
     process.orderViolations = disorders;
   }
 
-  /** Nodes that the vault group's leader has emptied. */
+  /** Nodes that the store group's leader has emptied. */
   public void setEmptiedNodes(final List<String> nodes) {
     process.emptiedNodes = new ArrayList<>(nodes);
   }
@@ -136,7 +139,7 @@
             ? LEASE_RESPONSE_TIMEOUT_MS / 2
             : LEASE_RENEWAL_INTERVAL_MS;
     if (awaitingResponse) {
-      // The home did not answer: it may be dark, so the next nearest is asked.
+      // The control node did not answer: it may be unreachable, so the next nearest is asked.
       attempt++;
       successfulRenewals = 0;
     } else if (++successfulRenewals >= RENEWALS_BEFORE_NEAREST) {
@@ -214,8 +217,8 @@
   private void applyPatch(final RecentChanges.VersionPatch patch) {
     final Configuration changed =
         Configuration.of(configuration.updated(Configuration.parse(patch.json)));
-    // Nothing is used that is not exactly what the core holds; without it the version stays, and
-    // the whole is sent.
+    // Nothing is used that is not exactly what the control group holds; without it the version
+    // stays, and the whole is sent.
     if (changed.digest() == patch.digest) {
       configuration = changed;
     } else {
--- a/src/main/java/yewjunction/control/LeaseMessages.java
+++ b/src/main/java/yewjunction/control/LeaseMessages.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import yewjunction.common.MessageCodec;
 
-/** What tides, vaults and cruxes say to one another about configuration and leases. */
+/** What edges, stores and control nodes say to one another about configuration and leases. */
 public final class LeaseMessages {
   private LeaseMessages() {}
 
@@ -17,7 +17,7 @@
         .register(54, RegisterRequest.class);
   }
 
-  /** Asks a home for a lease, says what is known already, and names this process. */
+  /** Asks a control node for a lease, says what is known already, and names this process. */
   static final class LeaseRequest {
     /** Stands for the asker's life and the moment it asked, which it keeps for itself. */
     long requestId;
@@ -27,7 +27,7 @@
     ProcessReport process = new ProcessReport();
   }
 
-  /** Who asks: a tide that needs a replica name, or a vault. */
+  /** Who asks: an edge that needs a replica name, or a store. */
   static final class ProcessReport {
     String address = "";
     String node = "";
@@ -35,10 +35,10 @@
     String role = "";
     long life;
 
-    /** A vault's ledger identity. */
+    /** A store's log identity. */
     String identity = "";
 
-    /** How far a vault has applied its ledger. */
+    /** How far a store has applied its log. */
     long appliedIndex;
 
     /** Its lease counts right now. */
@@ -49,16 +49,16 @@
 
     boolean leaderUnreachable;
 
-    /** For how long a vault's disk has owed its oldest write. */
+    /** For how long a store's disk has owed its oldest write. */
     long diskDelayMs;
 
     /** Of the memory it may use. */
     int memoryPercent;
 
-    /** Nodes that hold no duty any more, told by the vault group's leader. */
+    /** Nodes that hold no duty any more, told by the store group's leader. */
     List<String> emptiedNodes = new ArrayList<>();
 
-    /** What tenants that borrow ahead hold and owe at a vault. */
+    /** What tenants that borrow ahead hold and owe at a store. */
     List<AccountBalance> balances = new ArrayList<>();
 
     /** Breaks of the declared order that an edge met since its start. */
@@ -77,7 +77,7 @@
     /** The configuration, when newer than what the asker has. */
     String json;
 
-    /** The facts, when newer. */
+    /** The cluster state, when newer. */
     ClusterState clusterState;
 
     /** In their place, to an asker that knows what was before: the changes since, in order. */
@@ -86,7 +86,7 @@
     List<ClusterState.Change> changes = new ArrayList<>();
   }
 
-  /** A home asks the leader to confirm its leadership with a majority. */
+  /** A control node asks the leader to confirm its leadership with a majority. */
   static final class ConfirmLeadershipRequest {
     long requestId;
   }
@@ -97,7 +97,7 @@
     long commitIndex;
   }
 
-  /** A home tells the leader of a process that needs a name, or of a vault. */
+  /** A control node tells the leader of a process that needs a name, or of a store. */
   static final class RegisterRequest {
     ProcessReport process = new ProcessReport();
   }
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -23,7 +23,7 @@
 import yewjunction.raft.RaftNode;
 
 /**
- * Home for the tides and vaults of a zone: leases on the leader's confirmed word, and news at once.
+ * Home for the edges and stores of a zone: leases on the leader's confirmed word, and news at once.
  */
 final class LeaseServer {
   private final AgentContext context;
@@ -48,7 +48,8 @@
   private record PendingRenewal(PeerConnection connection, LeaseRequest request, long receivedMs) {}
 
   /**
-   * What a process has been told on its link. Links lose nothing, so nothing is told twice on one.
+   * What a process has been told on its connection. Connections lose nothing, so nothing is told
+   * twice on one.
    */
   private static final class SubscriberState {
     LeaseRequest request;
@@ -57,7 +58,7 @@
     long updatedMs;
   }
 
-  /** Confirmed up to a commit that this home may not have applied yet. */
+  /** Confirmed up to a commit that this control node may not have applied yet. */
   private record ConfirmedBatch(long commitIndex, List<PendingRenewal> renewals) {}
 
   LeaseServer(
@@ -192,7 +193,7 @@
     confirmLeadership();
   }
 
-  /** Grants what was proven once this home has applied as much. */
+  /** Grants what was proven once this control node has applied as much. */
   void grantApplied() {
     for (final ConfirmedBatch one : List.copyOf(confirmedBatches)) {
       if (raftNode.appliedIndex() >= one.commitIndex) {
@@ -237,7 +238,7 @@
     return response;
   }
 
-  /** Tells all subscribers of a configuration; what one turn changes goes out in one letter. */
+  /** Tells all subscribers of a configuration; what one turn changes goes out in one message. */
   void scheduleUpdate() {
     if (!updateScheduled) {
       updateScheduled = true;
@@ -261,8 +262,8 @@
   }
 
   /**
-   * Other facts change in bursts, one for each process that starts: only who waits for its name
-   * hears at once.
+   * Other cluster state change in bursts, one for each process that starts: only who waits for its
+   * name hears at once.
    */
   void onClusterStateChanged() {
     for (final PeerConnection connection : List.copyOf(awaitingReplicaId)) {
--- a/src/main/java/yewjunction/control/LeasedProcesses.java
+++ b/src/main/java/yewjunction/control/LeasedProcesses.java
@@ -11,8 +11,8 @@
 import yewjunction.control.LeaseMessages.ProcessReport;
 
 /**
- * What the tides and vaults that ask this crux for leases say of themselves: for operators and the
- * doctor only.
+ * What the edges and stores that ask this control node for leases say of themselves: for operators
+ * and the doctor only.
  */
 final class LeasedProcesses {
   private final AgentContext context;
@@ -42,7 +42,7 @@
 
   List<Map<String, Object>> processRows() {
     final long nowMs = context.nowMs();
-    // Whoever asks another crux now is that one's ward.
+    // Whoever asks another control node now is that one's leased process.
     reports.values().removeIf(report -> nowMs - report.receivedMs > PROCESS_REPORT_EXPIRY_MS);
     final List<Map<String, Object>> rows = new ArrayList<>();
     for (final TimedReport report : reports.values()) {
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -21,7 +21,7 @@
 import yewjunction.membership.NodeRole;
 import yewjunction.raft.RaftNode;
 
-/** The leader's decisions about processes: replica names, the first vault voters, retirements. */
+/** The leader's decisions about processes: replica names, the first store voters, retirements. */
 final class NodeRegistry {
   private final AgentContext context;
   private final PeerTransport transport;
@@ -58,7 +58,7 @@
   void onReport(final ProcessReport process) {
     final boolean vault = NodeRole.STORE.is(process.role);
     if (!raftNode.isReadyLeader()) {
-      // Only the leader decides; vaults are told of each time, tides until they have their name.
+      // Only the leader decides; stores are told of each time, edges until they have their name.
       final boolean news =
           vault || stateMachine.clusterState().replicaId(process.address, process.life) == 0;
       if (news && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
@@ -125,7 +125,7 @@
     }
   }
 
-  /** Fewer zones than voters, or fewer vaults: begun only once late ones have had time to call. */
+  /** Fewer zones than voters, or fewer stores: begun only once late ones have had time to call. */
   private boolean fillFromSameZones(final List<String> identities) {
     final long waitedMs = context.nowMs() - firstReportTimeMs();
     if (waitedMs
@@ -201,7 +201,7 @@
     return rows;
   }
 
-  /** What each vault holds of one tenant's account. */
+  /** What each store holds of one tenant's account. */
   List<Map<String, Object>> balanceRows(final String tenant) {
     final List<Map<String, Object>> rows = new ArrayList<>();
     storeReports
@@ -225,7 +225,7 @@
   }
 
   /**
-   * Led long enough that every vault in touch has called: what is not known by now is not there.
+   * Led long enough that every store in touch has called: what is not known by now is not there.
    */
   boolean allStoresHaveReported() {
     return context.nowMs() - leaderSinceMs >= STORES_REPORT_MS;
@@ -244,7 +244,7 @@
                         && context.nowMs() - report.receivedMs < REPLICA_RETIREMENT_MS);
   }
 
-  /** Whether enough vaults stay when this one goes. */
+  /** Whether enough stores stay when this one goes. */
   boolean canSpare(final String node) {
     final Set<String> retiring = stateMachine.clusterState().retiringAddresses();
     final long staying =
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -251,7 +251,7 @@
   }
 
   /**
-   * A tenant's terms, and its account at each vault; one that is gone from the configuration may
+   * A tenant's terms, and its account at each store; one that is gone from the configuration may
    * still owe.
    */
   private Response showQuota(final String name) {
--- a/src/main/java/yewjunction/control/RecentChanges.java
+++ b/src/main/java/yewjunction/control/RecentChanges.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * What changed lately at a crux. Whoever knows an earlier state is told of the changes alone: the
- * whole grows with the number of nodes and tenants, and every node would hear all of it at every
- * change.
+ * What changed lately at a control node. Whoever knows an earlier state is told of the changes
+ * alone: the whole grows with the number of nodes and tenants, and every node would hear all of it
+ * at every change.
  */
 final class RecentChanges {
   private final ArrayDeque<VersionPatch> patches = new ArrayDeque<>();
@@ -69,7 +69,7 @@
     return found.isEmpty() || 2 * length > wholeLength ? null : found;
   }
 
-  /** The same for facts. */
+  /** The same for cluster state. */
   List<ClusterState.Change> changesFrom(final long number) {
     final List<ClusterState.Change> found = new ArrayList<>();
     for (final ClusterState.Change change : changes) {
--- a/src/main/java/yewjunction/control/package-info.java
+++ b/src/main/java/yewjunction/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The system's configuration, replica names and voters, in the core's ledger, and its lease to
- * every tide.
+ * The system's configuration, replica names and voters, in the control group's log, and its lease
+ * to every edge.
  */
 package yewjunction.control;
--- a/src/main/java/yewjunction/doctor/BorrowingCheck.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import yewjunction.doctor.Finding.Code;
 
-/** What the vaults say of the accounts of tenants that borrow ahead, held against one another. */
+/** What the stores say of the accounts of tenants that borrow ahead, held against one another. */
 final class BorrowingCheck {
   private BorrowingCheck() {}
 
-  /** Rows of vaults as the leading crux shows them. */
+  /** Rows of stores as the leading control node shows them. */
   static List<Finding> check(final List<? extends Config> stores) {
     final List<Finding> findings = new ArrayList<>();
     final Map<String, String> told = new TreeMap<>();
@@ -45,7 +45,7 @@
                       + other,
                   "report it with both ledger files; empty the folder of the vault that a third one contradicts"));
         }
-        // A vault that lags says what was; the newest word counts.
+        // A store that lags says what was; the newest word counts.
         newest.merge(
             tenant, account, (one, two) -> two.getLong("Index") > one.getLong("Index") ? two : one);
       }
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -126,7 +126,7 @@
       if (status.getBoolean("Leads")) {
         leaders.add(one.getKey());
       }
-      // More cruxes than seats: the rest stand by.
+      // More control nodes than votes: the rest stand by.
       if (!status.getBoolean("Votes")
           && status.getStringList("Voters").size() < settings.votersNeeded()) {
         found(
@@ -210,7 +210,7 @@
     }
   }
 
-  /** What processes say of themselves to the crux they ask for leases. */
+  /** What processes say of themselves to the control node they ask for leases. */
   private void examineProcesses() {
     for (final Config status : statuses.values()) {
       for (final Config ward :
@@ -286,7 +286,7 @@
             .findFirst()
             .map(status -> status.getConfigList("Vaults"))
             .orElse(null);
-    // Only the leader hears from all vaults: without its word nothing can be said of them.
+    // Only the leader hears from all stores: without its word nothing can be said of them.
     if (rows == null) {
       return;
     }
--- a/src/main/java/yewjunction/fanout/FanoutMessages.java
+++ b/src/main/java/yewjunction/fanout/FanoutMessages.java
@@ -5,7 +5,7 @@
 import yewjunction.common.MessageCodec;
 import yewjunction.store.StoredMessage;
 
-/** What a home and its edges say to one another. */
+/** What a serving store and its edges say to one another. */
 public final class FanoutMessages {
   private FanoutMessages() {}
 
@@ -26,7 +26,8 @@
   }
 
   /**
-   * An edge asks a vault to be its home, from the last index it has processed; -1 for a fresh one.
+   * An edge asks a store to be its serving store, from the last index it has processed; -1 for a
+   * fresh one.
    */
   static final class AttachRequest {
     long replica;
--- a/src/main/java/yewjunction/fanout/StreamClient.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -19,8 +19,8 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * An edge's side of its home: attaches, follows the stream without gap, moves on when the home is
- * lost.
+ * An edge's side of its serving store: attaches, follows the stream without gap, moves on when the
+ * serving store is lost.
  */
 public final class StreamClient {
   private final AgentContext context;
@@ -41,7 +41,7 @@
   private int refusals;
   private String leader = "";
 
-  /** Told of what comes from the home. */
+  /** Told of what comes from the serving store. */
   public interface Listener {
     void onMessage(StoredMessage message);
 
@@ -50,10 +50,10 @@
 
     void onLeaderChange(String address);
 
-    /** The home hears a leader right now. */
+    /** The serving store hears a leader right now. */
     void onLeaderReachable();
 
-    /** A home took this edge: what is still open is asked again. */
+    /** A serving store took this edge: what is still open is asked again. */
     void onAttached();
 
     /** Messages this edge should have had are gone: its clients must take up their cursors anew. */
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Vaults: addresses, the own zone's first. Changed: something of the set may have been merged.
+   * Stores: addresses, the own zone's first. Changed: something of the set may have been merged.
    */
   public StreamClient(
       final AgentContext context,
@@ -92,9 +92,10 @@
     context.scheduleAtFixedRate(
         STREAM_HEARTBEAT_INTERVAL_MS / 3,
         () -> {
-          // Without a home clients wait: looked for at a faster pace than a home is kept at.
+          // Without a serving store clients wait: looked for at a faster pace than a serving store
+          // is kept at.
           if (server != null && context.nowMs() - lastContactMs > STREAM_TIMEOUT_MS) {
-            // A dark machine resets nothing: silence is all there is to go by.
+            // An unreachable machine resets nothing: silence is all there is to go by.
             detach();
             attempt++;
           }
@@ -105,7 +106,7 @@
         });
   }
 
-  /** ms without a home, 0 while there is one. */
+  /** ms without a serving store, 0 while there is one. */
   public long detachedMs() {
     return attached ? 0 : context.nowMs() - detachedMs;
   }
@@ -126,7 +127,7 @@
   }
 
   /**
-   * The own zone's vault is nearest: an edge that fled goes back once that has been up for a while.
+   * The own zone's store is nearest: an edge that fled goes back once that has been up for a while.
    */
   private void returnToOwnZone(final long nowMs) {
     final List<String> known = stores.get();
@@ -188,9 +189,9 @@
 
   private void onClose(final PeerConnection connection) {
     if (connection == server) {
-      // A link that broke may be the link's own trouble: the same home is asked first, and only one
-      // that
-      // does not take this edge again is given up for another zone's.
+      // A connection that broke may be the connection's own trouble: the same serving store is
+      // asked first, and only one that does not take this edge again is given up for another
+      // zone's.
       if (!attached) {
         attempt++;
       }
@@ -207,7 +208,7 @@
     if (!response.accepted) {
       detach();
       attempt++;
-      // Each vault is asked once a beat: the next one at once, the same again a little later.
+      // Each store is asked once a heartbeat: the next one at once, the same again a little later.
       if (++refusals < stores.get().size()) {
         attach();
       }
--- a/src/main/java/yewjunction/fanout/StreamServer.java
+++ b/src/main/java/yewjunction/fanout/StreamServer.java
@@ -27,7 +27,7 @@
 import yewjunction.store.StoredMessage;
 import yewjunction.subscription.AddWinsSet;
 
-/** A vault as the home of edges: sends each what its part of the set asks for. */
+/** A store as the serving store of edges: sends each what its part of the set asks for. */
 public final class StreamServer {
   private final AgentContext context;
   private final RaftNode raftNode;
@@ -93,7 +93,7 @@
 
   private void onAttachRequest(final PeerConnection connection, final AttachRequest request) {
     final AttachResponse response = new AttachResponse();
-    // One that hears no leader, or lags behind what the edge has seen, is a poor home.
+    // One that hears no leader, or lags behind what the edge has seen, is a poor serving store.
     response.accepted = !closing && isUpToDate() && raftNode.appliedIndex() >= request.lastIndex;
     response.leader = leader();
     if (response.accepted) {
@@ -157,7 +157,8 @@
     if (!attachedEdges.containsKey(connection)) {
       return;
     }
-    // Named by another home that was ahead of this one: answered once as much is applied here.
+    // Named by another serving store that was ahead of this one: answered once as much is applied
+    // here.
     if (raftNode.appliedIndex() < request.throughIndex) {
       context.schedule(
           STREAM_HEARTBEAT_INTERVAL_MS / 10, () -> onReplayRequest(connection, request));
--- a/src/main/java/yewjunction/fanout/SubscriptionSync.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSync.java
@@ -60,7 +60,7 @@
     connection.send(gauge(mostCells, mutual));
   }
 
-  /** Asks for the parts of that home's own edges, where they differ. */
+  /** Asks for the parts of that serving store's own edges, where they differ. */
   void requestOwnEdges(final PeerConnection connection) {
     final DigestRequest request = gauge(MAX_SYNC_CELLS, false);
     request.ownEdgesOnly = true;
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
@@ -22,9 +22,9 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * An edge's side of the exchange of the set: what it changed goes to its home at once, and what
- * others changed comes from there at a pace that its link bears. Counts and older messages are
- * asked of the home, which holds them.
+ * An edge's side of the exchange of the set: what it changed goes to its serving store at once, and
+ * what others changed comes from there at a pace that its connection bears. Counts and older
+ * messages are asked of the serving store, which holds them.
  */
 public final class SubscriptionSyncClient {
   private final AgentContext context;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** How many subscribe, from the home; false when it can't be asked. */
+  /** How many subscribe, from the serving store; false when it can't be asked. */
   public boolean requestCount(final String topic, final IntConsumer response) {
     final PeerConnection server = attachedServer.get();
     if (server == null) {
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Questions that the home has not answered in time are answered from here: -1 asks the asker to
-   * do so.
+   * Questions that the serving store has not answered in time are answered from here: -1 asks the
+   * asker to do so.
    */
   public void expireCounts() {
     final long nowMs = context.nowMs();
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -23,8 +23,8 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * A home's side of the exchange of the set: gathers the parts of its edges, compares with the homes
- * of other edges, and tells an edge what others changed in its own part.
+ * A serving store's side of the exchange of the set: gathers the parts of its edges, compares with
+ * the serving stores of other edges, and tells an edge what others changed in its own part.
  */
 public final class SubscriptionSyncServer {
   private final AgentContext context;
@@ -91,7 +91,7 @@
 
   private void syncRound() {
     rounds++;
-    // Other homes look for those that have edges: the rest need not know the set.
+    // Other serving stores look for those that have edges: the rest need not know the set.
     membership.setReady(!streamServer.replicaByConnection().isEmpty());
     streamServer
         .replicaByConnection()
@@ -109,9 +109,9 @@
   }
 
   /**
-   * Inside the zone with one other home a round. Across zones, where bytes are dear, seldom; while
-   * somebody asks for counts each home tells of its own edges, and no more: with clients coming and
-   * going every part changes every second.
+   * Inside the zone with one other serving store a round. Across zones, where bytes are dear,
+   * seldom; while somebody asks for counts each serving store tells of its own edges, and no more:
+   * with clients coming and going every part changes every second.
    */
   private void syncWithServers() {
     final Map<String, Member> partners = new HashMap<>();
@@ -126,7 +126,8 @@
     partners.forEach(
         (zone, member) -> {
           final boolean inside = zone.equals(membership.self().zone);
-          // Both sides give and take; across zones only a little of what no home tells of itself.
+          // Both sides give and take; across zones only a little of what no serving store tells of
+          // itself.
           if (inside || heals) {
             sync.requestDifferences(
                 transport.connect(member.address),
@@ -139,7 +140,7 @@
     }
   }
 
-  /** Each home of another zone tells of its own edges. */
+  /** Each serving store of another zone tells of its own edges. */
   private void syncOwnEdgesOfOtherZones() {
     membership.membersUp(NodeRole.STORE).stream()
         .filter(member -> member.ready && !member.zone.equals(membership.self().zone))
--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -98,7 +98,7 @@
     return new ArrayList<>(sessionByClient.values());
   }
 
-  /** How many subscribe, from the home, or from here when that does not answer. */
+  /** How many subscribe, from the serving store, or from here when that does not answer. */
   void requestCount(final ClientSession session, final String topic) {
     final boolean asked =
         streamClient != null
@@ -119,7 +119,7 @@
 
   void onHello(final ClientSession session) {
     final ClientSession older = sessionByClient.put(session.client, session);
-    // The newest link owns the client: the older one gets nothing more.
+    // The newest connection owns the client: the older one gets nothing more.
     if (older != null) {
       older.connection.close();
     }
@@ -226,7 +226,9 @@
     }
   }
 
-  /** Another edge took a client over: its instance here is cancelled, so the old link goes. */
+  /**
+   * Another edge took a client over: its instance here is cancelled, so the old connection goes.
+   */
   public void onSubscriptionsMerged() {
     for (final ClientSession session : sessions()) {
       for (final Subscription subscription : session.subscriptions.values()) {
@@ -250,7 +252,7 @@
       closeAllSessions();
     }
     if (streamClient.detachedMs() > DETACHED_NOT_READY_MS) {
-      // The same without a home; whoever has only just come may still see one found.
+      // The same without a serving store; whoever has only just come may still see one found.
       sessions().stream()
           .filter(session -> nowMs - session.helloMs > DETACHED_NOT_READY_MS)
           .forEach(session -> session.connection.close());
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -13,7 +13,9 @@
 import yewjunction.transport.ClientConnection;
 import yewjunction.transport.WriteBuffer;
 
-/** One client's link: what it has said, what it subscribes, and how answers are written to it. */
+/**
+ * One client's connection: what it has said, what it subscribes, and how answers are written to it.
+ */
 final class ClientSession implements ClientConnection.Handler {
   private static final byte[] LINE_END = {'\r', '\n'};
   final ClientConnection connection;
@@ -22,7 +24,7 @@
   /** Looks at each message once more before it is written. */
   final OrderingGuard guard = new OrderingGuard();
 
-  /** When this client's messages to a space were last not accepted. */
+  /** When this client's messages to a route were last not accepted. */
   private final Map<String, Long> refusedMs = new HashMap<>(2);
 
   private final ClientRegistry clientRegistry;
@@ -48,8 +50,8 @@
 
   /**
    * What may be said of a number that is not sent on. RETRY promises that it never was nor will be:
-   * true only of a number's first try. A client brings what it sent on other links right after its
-   * greeting, and numbers only rise.
+   * true only of a number's first try. A client brings what it sent on other connections right
+   * after its HELLO, and numbers only rise.
    */
   boolean isFirstTry(final long number) {
     final boolean first =
@@ -65,7 +67,7 @@
   }
 
   /**
-   * A message of this space was sent, most likely, before its sender heard that one it is to follow
+   * A message of this route was sent, most likely, before its sender heard that one it is to follow
    * was not accepted.
    */
   boolean followsRefused(final Configuration.Route route, final long nowMs) {
--- a/src/main/java/yewjunction/gateway/ConnectionDrainer.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -59,8 +59,8 @@
     final long stepsLeft = Math.max(1, (DRAIN_MOVE_DURATION_MS - sinceMs) / DRAIN_MOVE_INTERVAL_MS);
     final long chosen = (staying.size() + stepsLeft - 1) / stepsLeft;
     staying.stream().limit(chosen).forEach(this::move);
-    // New links keep coming until the platform has seen that this node is not ready: it listens to
-    // the end.
+    // New connections keep coming until the platform has seen that this node is not ready: it
+    // listens to the end.
     if (sinceMs >= DRAIN_TIMEOUT_MS
         || clientRegistry.sessions().isEmpty()
             && sinceMs >= DRAIN_TIMEOUT_MS - DRAIN_MOVE_DURATION_MS / 2) {
--- a/src/main/java/yewjunction/gateway/DisconnectedClients.java
+++ b/src/main/java/yewjunction/gateway/DisconnectedClients.java
@@ -7,8 +7,8 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * Clients of this edge that have no link now; one that stays away long enough is taken out of the
- * set.
+ * Clients of this edge that have no connection now; one that stays away long enough is taken out of
+ * the set.
  */
 final class DisconnectedClients {
   private final AddWinsSet subscriptions;
--- a/src/main/java/yewjunction/gateway/OrderingConstraints.java
+++ b/src/main/java/yewjunction/gateway/OrderingConstraints.java
@@ -6,7 +6,9 @@
 
 import yewjunction.control.Configuration;
 
-/** Which messages of a link must wait for earlier ones of the channels that theirs follows. */
+/**
+ * Which messages of a connection must wait for earlier ones of the channels that theirs follows.
+ */
 final class OrderingConstraints {
   /** Some channel follows another: where none does, nothing here costs anything. */
   private boolean anyDeclared;
@@ -20,7 +22,9 @@
     return anyDeclared && subscription.route != null && !subscription.route.after().isEmpty();
   }
 
-  /** Whether all earlier messages of the channels it follows have been written to this link. */
+  /**
+   * Whether all earlier messages of the channels it follows have been written to this connection.
+   */
   boolean mayDeliver(final Subscription subscription, final long index) {
     for (final Subscription other : subscription.session.subscriptions.values()) {
       if (other != subscription
--- a/src/main/java/yewjunction/gateway/OrderingGuard.java
+++ b/src/main/java/yewjunction/gateway/OrderingGuard.java
@@ -10,13 +10,14 @@
 import yewjunction.store.StoredMessage;
 
 /**
- * The last look before a message is written to a link. It knows what was written there and what the
- * channels declare, and nothing of how messages get there, so it finds what the mechanisms miss.
+ * The last look before a message is written to a connection. It knows what was written there and
+ * what the channels declare, and nothing of how messages get there, so it finds what the mechanisms
+ * miss.
  */
 final class OrderingGuard {
   private final Map<String, WrittenMessages> writtenByTopic = new HashMap<>();
 
-  /** Messages written to this link: tells what was written before a subscription began. */
+  /** Messages written to this connection: tells what was written before a subscription began. */
   private long writes;
 
   /** What was written of one subscription. */
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -23,9 +23,9 @@
 import yewjunction.store.StoredMessage;
 
 /**
- * Messages on their way from this edge's clients to the leading vault. There is one history, and
- * only the leader adds to it: while none is in reach messages wait in the intake, and are folded in
- * when one is.
+ * Messages on their way from this edge's clients to the leading store. There is one history, and
+ * only the leader adds to it: while none is in reach messages wait in the publish queue, and are
+ * folded in when one is.
  */
 public final class PublishForwarder {
   private final AgentContext context;
@@ -141,8 +141,8 @@
   }
 
   /**
-   * A growing pause with some luck in it, so that edges do not come back all together to a vault in
-   * trouble.
+   * A growing pause with some chance in it, so that edges do not come back all together to a store
+   * in trouble.
    */
   private void backOff() {
     backoffUntilMs = context.nowMs() + backoffMs + context.random().nextInt((int) backoffMs);
@@ -160,7 +160,7 @@
     sendQueued();
   }
 
-  /** The home hears a leader: worth a try, also where none answered here. */
+  /** The serving store hears a leader: worth a try, also where none answered here. */
   void onLeaderReachable() {
     if (leaderUnreachable) {
       markLeaderReachable();
@@ -274,7 +274,7 @@
   }
 
   /**
-   * A link is gone: its messages are not sent again from here, since the client will do so
+   * A connection is gone: its messages are not sent again from here, since the client will do so
    * elsewhere.
    */
   void onSessionClosed(final ClientSession session) {
--- a/src/main/java/yewjunction/gateway/Subscription.java
+++ b/src/main/java/yewjunction/gateway/Subscription.java
@@ -4,7 +4,7 @@
 import yewjunction.control.Configuration.Route;
 import yewjunction.store.StoredMessage;
 
-/** One topic on one client's link. */
+/** One topic on one client's connection. */
 final class Subscription {
   final ClientSession session;
   final String topic;
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Asked once more on the same link: a filter replaces the one in force, from the named position
-   * on.
+   * Asked once more on the same connection: a filter replaces the one in force, from the named
+   * position on.
    */
   void resubscribe(final Filter newFilter, final long nowMs) {
     if (newFilter != null) {
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -18,8 +18,8 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * Subscriptions of this edge's clients, from SUB to the home's word, while they catch up, and to
- * their end.
+ * Subscriptions of this edge's clients, from SUB to the serving store's word, while they catch up,
+ * and to their end.
  */
 final class SubscriptionManager {
   private final ClientRegistry clientRegistry;
@@ -30,12 +30,15 @@
   private final Map<String, List<Subscription>> byTopic = new HashMap<>();
   private final Map<Long, Subscription> pendingById = new LinkedHashMap<>();
 
-  /** Of those that join: which the home was asked about, and which wait for their turn to be. */
+  /**
+   * Of those that join: which the serving store was asked about, and which wait for their turn to
+   * be.
+   */
   private final Set<Long> requested = new HashSet<>();
 
   private final ArrayDeque<Long> queued = new ArrayDeque<>();
 
-  /** Subscriptions for which the home was asked for a next piece. */
+  /** Subscriptions for which the serving store was asked for a next piece. */
   private final Map<Long, Subscription> fetching = new LinkedHashMap<>();
 
   private final Set<Subscription> filtered = new HashSet<>();
@@ -95,8 +98,8 @@
 
   /**
    * So many questions at a time: after a mass reconnect all clients of an edge come with old
-   * cursors at once, and a home that gets all of it answers nobody in time, is left as silent, and
-   * is asked everything again.
+   * cursors at once, and a serving store that gets all of it answers nobody in time, is left as
+   * silent, and is asked everything again.
    */
   private void requestQueued() {
     while (requested.size() < MAX_SUBSCRIBES_IN_FLIGHT && !queued.isEmpty()) {
@@ -109,7 +112,7 @@
     }
   }
 
-  /** Asked once more on the same link, with a filter or without. */
+  /** Asked once more on the same connection, with a filter or without. */
   void resubscribe(final Subscription subscription, final Filter filter) {
     if (filter != null) {
       filtered.add(subscription);
@@ -117,7 +120,7 @@
     subscription.resubscribe(filter, context.nowMs());
   }
 
-  /** A new home knows nothing of what the old one was asked. */
+  /** A new serving store knows nothing of what the old one was asked. */
   void requestAllAgain() {
     requested.clear();
     queued.clear();
@@ -156,8 +159,8 @@
   }
 
   /**
-   * A home's word on a subscription: where it starts, and the first piece of what lies behind its
-   * cursor.
+   * A serving store's word on a subscription: where it starts, and the first piece of what lies
+   * behind its cursor.
    */
   void onReplay(
       final long request,
@@ -210,7 +213,7 @@
   }
 
   void deliver(final StoredMessage message, final long nowMs) {
-    // Copied: a slow client's link may be cut while it is written to.
+    // Copied: a slow client's connection may be cut while it is written to.
     for (final Subscription subscription : new ArrayList<>(subscribersOf(message.topic))) {
       if (subscription.catchingUp) {
         replayScheduler.holdLive(subscription, message);
@@ -230,7 +233,7 @@
     subscription.session.sendRefuse("SUB", subscription.topic, "", reason);
   }
 
-  /** The link is gone, or the client gave the topic up: nothing more is delivered. */
+  /** The connection is gone, or the client gave the topic up: nothing more is delivered. */
   void remove(final Subscription subscription) {
     if (subscription.session.subscriptions.remove(subscription.topic, subscription)) {
       subscription.session.guard.onUnsubscribed(subscription.topic);
--- a/src/main/java/yewjunction/gateway/package-info.java
+++ b/src/main/java/yewjunction/gateway/package-info.java
@@ -1,2 +1,4 @@
-/** Clients' links: the line protocol, subscriptions, messages under way, moving clients on. */
+/**
+ * Clients' connections: the line protocol, subscriptions, messages under way, moving clients on.
+ */
 package yewjunction.gateway;
--- a/src/main/java/yewjunction/limits/ClientLimits.java
+++ b/src/main/java/yewjunction/limits/ClientLimits.java
@@ -44,11 +44,11 @@
    */
   public static final double SENT_PUBLISH_DEADLINE_SHARE = 0.5;
 
-  /** The same for a message that never left the edge: the client may have more luck elsewhere. */
+  /** The same for a message that never left the edge: the client may have more chance elsewhere. */
   public static final double UNSENT_PUBLISH_DEADLINE_SHARE = 0.4;
 
   /**
-   * Milliseconds: a number that comes so soon after a greeting may have been sent on an earlier
+   * Milliseconds: a number that comes so soon after a HELLO may have been sent on an earlier
    * connection.
    */
   public static final long RESENT_AFTER_HELLO_MS = 2_000;
--- a/src/main/java/yewjunction/limits/LeaseLimits.java
+++ b/src/main/java/yewjunction/limits/LeaseLimits.java
@@ -5,7 +5,7 @@
  * for its value.
  */
 public final class LeaseLimits {
-  /** Milliseconds: pace of a edge's renewal of its lease. */
+  /** Milliseconds: pace of an edge's renewal of its lease. */
   public static final long LEASE_RENEWAL_INTERVAL_MS = 600;
 
   /** Milliseconds: the pace of a process that has no configuration yet: clients wait for it. */
@@ -20,7 +20,7 @@
   /** Milliseconds: a store asks the leader at most this often, for all who asked meanwhile. */
   public static final long LEASE_CONFIRMATION_INTERVAL_MS = 150;
 
-  /** Renewals: after so many good ones a edge asks the nearest control node again. */
+  /** Renewals: after so many good ones an edge asks the nearest control node again. */
   public static final int RENEWALS_BEFORE_NEAREST = 8;
 
   /** Milliseconds: a renewal without an answer is asked of another control node after this. */
@@ -51,8 +51,8 @@
   public static final long STORES_REPORT_MS = 2_500;
 
   /**
-   * Milliseconds: a process that has not asked a control node for its lease for so long is no ward
-   * of it.
+   * Milliseconds: a process that has not asked a control node for its lease for so long is no
+   * leased process of it.
    */
   public static final long PROCESS_REPORT_EXPIRY_MS = 20_000;
 
--- a/src/main/java/yewjunction/limits/OrderingLimits.java
+++ b/src/main/java/yewjunction/limits/OrderingLimits.java
@@ -6,14 +6,14 @@
  */
 public final class OrderingLimits {
   /**
-   * Milliseconds: a burst of SUBs after a greeting is over when none has come for so long (a
-   * client's round trip), and at most.
+   * Milliseconds: a burst of SUBs after a HELLO is over when none has come for so long (a client's
+   * round trip), and at most.
    */
   public static final long SUBSCRIBE_BURST_GAP_MS = 50;
 
   /**
-   * Milliseconds: a burst of SUBs after a greeting is over when none has come for so long (a
-   * client's round trip), and at most.
+   * Milliseconds: a burst of SUBs after a HELLO is over when none has come for so long (a client's
+   * round trip), and at most.
    */
   public static final long MAX_SUBSCRIBE_BURST_MS = 300;
 
--- a/src/main/java/yewjunction/limits/RaftLimits.java
+++ b/src/main/java/yewjunction/limits/RaftLimits.java
@@ -85,11 +85,11 @@
   /** Milliseconds: a leader that stops transfers its leadership within this. */
   public static final long LEADER_TRANSFER_TIMEOUT_MS = 700;
 
-  /** Entries: a newcomer this close to the end may become a voter. */
+  /** Entries: a new member this close to the end may become a voter. */
   public static final int CAUGHT_UP_ENTRIES = 50;
 
   /**
-   * Milliseconds: a voter silent for so long loses its seat to a spare: above an election, below
+   * Milliseconds: a voter silent for so long loses its vote to a spare: above an election, below
    * what a replaced machine is given.
    */
   public static final long VOTER_SILENCE_TIMEOUT_MS = 1_500;
@@ -99,7 +99,7 @@
 
   /**
    * Milliseconds: a member that has heard no leader for so long asks around: it may have lost its
-   * seat meanwhile.
+   * vote meanwhile.
    */
   public static final long LEADER_SEARCH_AFTER_MS = 2_000;
 
@@ -107,7 +107,7 @@
   public static final long REGISTRATION_INTERVAL_MS = 500;
 
   /**
-   * Milliseconds: a process that ends waits at most so long for its seat to pass: a change of
+   * Milliseconds: a process that ends waits at most so long for its vote to pass: a change of
    * voters takes a tenth, the grace is 6 s.
    */
   public static final long LEAVE_TIMEOUT_MS = 1_000;
--- a/src/main/java/yewjunction/limits/StorageLimits.java
+++ b/src/main/java/yewjunction/limits/StorageLimits.java
@@ -27,7 +27,7 @@
   public static final int MAX_CATCH_UP_TAIL_BYTES = 8 << 20;
 
   /**
-   * Bytes: what a peer that was far behind may still lack to get the rest at once: a quarter of a
+   * Bytes: what a member that was far behind may still lack to get the rest at once: a quarter of a
    * second at 2 Mbit/s.
    */
   public static final int CAUGHT_UP_BYTES = 64 << 10;
--- a/src/main/java/yewjunction/limits/ToolLimits.java
+++ b/src/main/java/yewjunction/limits/ToolLimits.java
@@ -8,7 +8,9 @@
   /** Milliseconds: one call of the doctor: a machine that takes longer is as good as silent. */
   public static final int PROBE_TIMEOUT_MS = 1_500;
 
-  /** Milliseconds: between two looks: longer than an election, and than updates of a peer takes. */
+  /**
+   * Milliseconds: between two looks: longer than an election, and than updates of a member takes.
+   */
   public static final long SECOND_LOOK_DELAY_MS = 2_500;
 
   /**
--- a/src/main/java/yewjunction/limits/TransportLimits.java
+++ b/src/main/java/yewjunction/limits/TransportLimits.java
@@ -6,13 +6,13 @@
  */
 public final class TransportLimits {
   /**
-   * Milliseconds: a peer that is up takes a connection within a round trip, so a second means it is
-   * unreachable.
+   * Milliseconds: a member that is up takes a connection within a round trip, so a second means it
+   * is unreachable.
    */
   public static final long CONNECT_TIMEOUT_MS = 1_000;
 
   /**
-   * Milliseconds: a connection that sent nothing for this long says so, which keeps a unreachable
+   * Milliseconds: a connection that sent nothing for this long says so, which keeps an unreachable
    * peer apart from a quiet one.
    */
   public static final long CONNECTION_HEARTBEAT_INTERVAL_MS = 800;
@@ -20,13 +20,13 @@
   /** Milliseconds: about three heartbeats: two may be late on a lossy connection. */
   public static final long CONNECTION_TIMEOUT_MS = 2_600;
 
-  /** Bytes: one message at most, above any snapshot piece and any state of the set. */
+  /** Bytes: one message at most, above any snapshot chunk and any state of the set. */
   public static final int MAX_MESSAGE_BYTES = 16 << 20;
 
-  /** Bytes: what may wait for a peer that reads slowly before it is cut. */
+  /** Bytes: what may wait for a member that reads slowly before it is cut. */
   public static final int MAX_PEER_QUEUE_BYTES = 24 << 20;
 
-  /** Bytes: first size of a buffer of a peer connection: most messages fit. */
+  /** Bytes: first size of a buffer of a member connection: most messages fit. */
   public static final int INITIAL_PEER_BUFFER_BYTES = 4 << 10;
 
   /** Bytes: first size of a client's buffer: most messages fit. */
--- a/src/main/java/yewjunction/membership/FailureDetector.java
+++ b/src/main/java/yewjunction/membership/FailureDetector.java
@@ -16,14 +16,14 @@
 import yewjunction.membership.MembershipMessages.Ping;
 import yewjunction.membership.MembershipMessages.PingRequest;
 
-/** Probes a peer a period, asks others for a second opinion, and answers for others. */
+/** Probes a member a period, asks others for a second opinion, and answers for others. */
 final class FailureDetector {
   private final AgentContext context;
   private final MembershipList membership;
   private final ArrayDeque<String> ownZoneQueue = new ArrayDeque<>();
   private final ArrayDeque<String> otherZonesQueue = new ArrayDeque<>();
 
-  /** By address: a datagram has no link that would end with its sender. */
+  /** By address: a datagram has no connection that would end with its sender. */
   private final PendingRequests<String, Runnable> pendingRequests;
 
   /**
@@ -39,7 +39,7 @@
   }
 
   void start() {
-    // Spread over a period, so that processes started together do not probe together.
+    // Spread over a period, so that processes started together do not ping together.
     context.schedule(context.random().nextInt((int) PING_INTERVAL_MS), this::pingNext);
   }
 
--- a/src/main/java/yewjunction/membership/Member.java
+++ b/src/main/java/yewjunction/membership/Member.java
@@ -1,6 +1,6 @@
 package yewjunction.membership;
 
-/** One process of the system as the roster knows it. */
+/** One process of the system as the membership list knows it. */
 public final class Member {
   static final int UP = 0;
   static final int SUSPECT = 1;
@@ -13,7 +13,7 @@
   public String node = "";
   public String zone = "";
 
-  /** tide, vault or crux. */
+  /** edge, store or control node. */
   public String role = "";
 
   /** Where clients connect, empty where they do not. */
@@ -64,7 +64,7 @@
     return state == SUSPECT;
   }
 
-  /** Whether this news goes over what is known: a higher number wins, then the worse standing. */
+  /** Whether this news goes over what is known: a higher number wins, then the worse state. */
   boolean supersedes(final Member known) {
     return incarnation > known.incarnation
         || incarnation == known.incarnation && state > known.state;
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -47,7 +47,7 @@
     seedJoiner = new SeedJoiner(context, this);
   }
 
-  /** Seeds are peer addresses of crux processes; some may be stale. */
+  /** Seeds are peer addresses of control node processes; some may be stale. */
   public void start(final List<String> firstSeeds) {
     seedJoiner.setSeeds(firstSeeds);
     seedJoiner.start();
@@ -124,7 +124,7 @@
     pendingUpdates.put(address, UPDATE_TRANSMISSIONS);
   }
 
-  /** Who explains why a peer may be away: planned work, or null for none. */
+  /** Who explains why a member may be away: planned work, or null for none. */
   public void setPlannedWork(final Function<Member, String> explainer) {
     plannedWork = explainer;
   }
--- a/src/main/java/yewjunction/membership/MembershipMessages.java
+++ b/src/main/java/yewjunction/membership/MembershipMessages.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import yewjunction.common.MessageCodec;
 
-/** What rosters say to one another, in datagrams. */
+/** What membership lists say to one another, in datagrams. */
 public final class MembershipMessages {
   private MembershipMessages() {}
 
@@ -36,7 +36,7 @@
     String target;
   }
 
-  /** A newcomer asks for the whole crew. */
+  /** A new member asks for the whole membership. */
   static final class SyncRequest extends MembershipMessage {
     /** Of all that the sender knows, itself included: who knows the same need not tell it. */
     long digest;
--- a/src/main/java/yewjunction/membership/SeedJoiner.java
+++ b/src/main/java/yewjunction/membership/SeedJoiner.java
@@ -30,9 +30,9 @@
   }
 
   /**
-   * A newcomer asks again and again at a falling pace: the seeds themselves learn who started
-   * together with it, and news that ride on probes take tens of seconds to tell of a hundred. Later
-   * it heals a roster that split.
+   * A new member asks again and again at a falling pace: the seeds themselves learn who started
+   * together with it, and news that ride on pings take tens of seconds to tell of a hundred. Later
+   * it heals a membership list that split.
    */
   void start() {
     if (membership.hasLeft()) {
@@ -41,8 +41,8 @@
     final List<String> others = new ArrayList<>(seeds);
     others.remove(membership.self().address);
     // Once others are known one of the own zone knows as much, and its bytes cost nothing; the
-    // seeds now and then.
-    // Not at first: where all have started together their neighbours know as little as they do.
+    // seeds now and then. Not at first: where all have started together their neighbours know as
+    // little as they do.
     if (++syncsSent > SEED_SYNCS_AT_START && context.random().nextInt(SEED_SYNC_EVERY) > 0) {
       final List<String> near =
           membership.all().stream()
@@ -79,7 +79,7 @@
   }
 
   /**
-   * The whole crew, in datagrams of a bounded size; to one that knows the same only that this
+   * The whole membership, in datagrams of a bounded size; to one that knows the same only that this
    * process is there.
    */
   void respond(final String from, final SyncRequest syncRequest) {
--- a/src/main/java/yewjunction/membership/package-info.java
+++ b/src/main/java/yewjunction/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Who is there: probes to a few peers in turn, second opinions, suspicion before removal. */
+/** Who is there: pings to a few peers in turn, second opinions, suspicion before removal. */
 package yewjunction.membership;
--- a/src/main/java/yewjunction/node/EdgeNode.java
+++ b/src/main/java/yewjunction/node/EdgeNode.java
@@ -23,7 +23,9 @@
 import yewjunction.subscription.AddWinsSet;
 import yewjunction.transport.ClientConnection;
 
-/** An edge machine's data plane: holds clients' links and one replica of the subscription set. */
+/**
+ * An edge machine's data plane: holds clients' connections and one replica of the subscription set.
+ */
 public final class EdgeNode implements Node, LeaseClient.Listener {
   private final AgentContext context;
   private final MembershipList membership;
@@ -82,8 +84,8 @@
   }
 
   /**
-   * Vaults, the own zone's first: those the roster knows, and before it knows any, those the core
-   * has named.
+   * Stores, the own zone's first: those the membership list knows, and before it knows any, those
+   * the control group has named.
    */
   private List<String> storeAddresses() {
     final Set<String> addresses = new LinkedHashSet<>();
@@ -147,9 +149,9 @@
     subscriptions.self(name);
     subscriptions.setReplicas(clusterState.newestReplicaId(), clusterState.liveReplicaIds());
     if (before != 0 && name != before) {
-      // Given up while this process was away, or for an earlier life's late letter: under that name
-      // nobody is told of
-      // its clients any more. They come again, and what it says of them stands under the new one.
+      // Given up while this process was away, or for an earlier life's late message: under that
+      // name nobody is told of its clients any more. They come again, and what it says of them
+      // stands under the new one.
       LogEvent.REPLICA_ID_LOST.warn(before + " now " + name);
       clientRegistry.onStreamGap();
       streamClient.onReplicaIdChanged();
--- a/src/main/java/yewjunction/node/Node.java
+++ b/src/main/java/yewjunction/node/Node.java
@@ -18,19 +18,25 @@
   /** The settings file changed. */
   default void onSettingsChanged(final Settings fresh) {}
 
-  /** Cruxes, nearest first; before the roster knows any, those on the seeds' machines. */
+  /**
+   * Control nodes, nearest first; before the membership list knows any, those on the seeds'
+   * machines.
+   */
   static List<String> controlNodeAddresses(
       final MembershipList membership, final Settings settings) {
     final List<String> known = addresses(membership, NodeRole.CONTROL);
     return known.isEmpty() ? settings.controlNodeAddresses() : known;
   }
 
-  /** Peer addresses of a duty, own zone first, as the roster knows them now. */
+  /** Peer addresses of a duty, own zone first, as the membership list knows them now. */
   static List<String> addresses(final MembershipList membership, final NodeRole role) {
     return membership.membersUp(role).stream().map(member -> member.address).toList();
   }
 
-  /** Whether a replica's clients count as there: its process is up, as far as the roster knows. */
+  /**
+   * Whether a replica's clients count as there: its process is up, as far as the membership list
+   * knows.
+   */
   static boolean isLive(
       final long replica,
       final AddWinsSet subscriptions,
--- a/src/main/java/yewjunction/node/StoreNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -24,9 +24,12 @@
 import yewjunction.store.StoredMessage;
 import yewjunction.subscription.AddWinsSet;
 
-/** A store machine's data plane: one member of the vaults' ledger, and home to its zone's edges. */
+/**
+ * A store machine's data plane: one member of the stores' log, and serving store to its zone's
+ * edges.
+ */
 public final class StoreNode implements Node, MessageStore.Listener, LeaseClient.Listener {
-  /** Group number of the vaults' ledger; a field everywhere, so that there can be more. */
+  /** Group number of the stores' log; a field everywhere, so that there can be more. */
   private static final int GROUP = 1;
 
   private final MessageStore messageStore;
@@ -102,7 +105,7 @@
     return raftNode.isReadyLeader();
   }
 
-  /** What this vault keeps. */
+  /** What this store keeps. */
   public MessageStore messageStore() {
     return messageStore;
   }
@@ -114,7 +117,7 @@
         : Node.addresses(membership, NodeRole.STORE);
   }
 
-  /** Says how far it is, and empties what the core wants emptied. */
+  /** Says how far it is, and empties what the control group wants emptied. */
   private void reportAndRetire() {
     leaseClient.setAppliedIndex(raftNode.appliedIndex());
     leaseClient.setBalances(messageStore.balances());
@@ -143,7 +146,7 @@
 
   @Override
   public void stop(final Runnable ended) {
-    // Edges leave first; the seat goes to a spare, and the lead to a peer that holds everything.
+    // Edges leave first; the vote goes to a spare, and the lead to a member that holds everything.
     streamServer.detachAll();
     raftNode
         .groupMembership()
@@ -164,8 +167,8 @@
   public void onClusterStateChanged(final ClusterState clusterState) {
     subscriptions.setReplicas(clusterState.newestReplicaId(), clusterState.liveReplicaIds());
     if (clusterState.retiringAddresses().contains(address)) {
-      // It may be taken away the moment it is empty: its edges find another home while it still
-      // answers.
+      // It may be taken away the moment it is empty: its edges find another serving store while it
+      // still answers.
       streamServer.detachAll();
     }
     if (clusterState.stores().contains(raftNode.identity())) {
--- a/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
+++ b/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
@@ -4,8 +4,8 @@
 import static yewjunction.limits.StorageLimits.MIN_CHUNK_BYTES;
 
 /**
- * How much a peer far behind is sent at a time: more while its link takes it well within a beat,
- * less where beats would wait.
+ * How much a member far behind is sent at a time: more while its connection takes it well within a
+ * heartbeat, less where heartbeats would wait.
  */
 final class AdaptiveChunkSize {
   private final int maxBytes;
--- a/src/main/java/yewjunction/raft/ConnectionHandshakes.java
+++ b/src/main/java/yewjunction/raft/ConnectionHandshakes.java
@@ -5,24 +5,24 @@
 import yewjunction.common.PeerConnection;
 
 /**
- * Who speaks on a link, and to whom: said with its first letter and left out of the later ones,
- * since most letters cross zones and are hardly longer than two identities. A link loses nothing
- * and ends with either process.
+ * Who speaks on a connection, and to whom: said with its first message and left out of the later
+ * ones, since most messages cross zones and are hardly longer than two identities. A connection
+ * loses nothing and ends with either process.
  */
 final class ConnectionHandshakes {
   private final RaftNode raftNode;
 
-  /** To whom the last letter sent on a link was. */
+  /** To whom the last message sent on a connection was. */
   private final Map<PeerConnection, Long> announcedReceivers = new HashMap<>();
 
-  /** Who speaks to this member on a link. */
+  /** Who speaks to this member on a connection. */
   private final Map<PeerConnection, String> senders = new HashMap<>();
 
   ConnectionHandshakes(final RaftNode raftNode) {
     this.raftNode = raftNode;
   }
 
-  /** The letter may be changed: it is on its way now. */
+  /** The message may be changed: it is on its way now. */
   boolean send(final PeerConnection connection, final RaftMessages.RaftMessage message) {
     if (message.to != 0) {
       final Long before = announcedReceivers.put(connection, message.to);
@@ -34,7 +34,7 @@
     return connection.send(message);
   }
 
-  /** Whether the letter is for this member; its sender stands in it then. */
+  /** Whether the message is for this member; its sender stands in it then. */
   boolean accept(final PeerConnection connection, final RaftMessages.RaftMessage message) {
     if (message.from == null) {
       message.from = senders.get(connection);
@@ -43,7 +43,7 @@
     if (message.to == 0) {
       return true;
     }
-    // An identity whose disk is gone: neither this letter nor those that follow it are for this
+    // An identity whose disk is gone: neither this message nor those that follow it are for this
     // member.
     final boolean own = message.to == RaftMessages.identityHash(raftNode.identity());
     if (own) {
--- a/src/main/java/yewjunction/raft/Disk.java
+++ b/src/main/java/yewjunction/raft/Disk.java
@@ -1,6 +1,6 @@
 package yewjunction.raft;
 
-/** The few disk operations a ledger needs; names are inside one folder. */
+/** The few disk operations a log needs; names are inside one folder. */
 public interface Disk {
   /** All bytes, or null when there is no such file. */
   byte[] read(String name);
--- a/src/main/java/yewjunction/raft/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * The leader's link broke, as it does when its process dies: no full patience is owed, unless it
-   * dials again.
+   * The leader's connection broke, as it does when its process dies: no full patience is owed,
+   * unless it dials again.
    */
   void onLeaderDisconnected() {
     resetTimeout(MIN_DISCONNECT_ELECTION_TIMEOUT_MS, MAX_DISCONNECT_ELECTION_TIMEOUT_MS);
--- a/src/main/java/yewjunction/raft/FollowerState.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -36,7 +36,8 @@
         request.lastTerm > raftNode.log.lastTerm()
             || request.lastTerm == raftNode.log.lastTerm()
                 && request.lastIndex >= raftNode.log.lastIndex();
-    // Whoever hears a leader keeps to it: a peer with a bad link must not unseat a good leader.
+    // Whoever hears a leader keeps to it: a member with a bad connection must not unseat a good
+    // leader.
     if (raftNode.hasRecentLeader() && !request.leadershipTransfer) {
       respond(connection, request, false, storage.term);
       return;
@@ -72,7 +73,7 @@
     raftNode.handshakes.send(connection, response);
   }
 
-  /** True when the letter comes from the leader of the current term. */
+  /** True when the message comes from the leader of the current term. */
   private boolean acceptLeader(final RaftMessages.RaftMessage message) {
     raftNode.observeTerm(message.term);
     if (message.term < raftNode.storage.term) {
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -33,7 +33,7 @@
 
   /**
    * From now on. Peers: addresses of members that may lead, or know who does; whether there is a
-   * seat is the leader's matter.
+   * vote is the leader's matter.
    */
   public void start(
       final Supplier<List<String>> chosenPeers, final BooleanSupplier chosenWantsVote) {
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Gives its seat to whoever is there for it, then its lead. A machine that is replaced for good
-   * stops like one that is started again: the seat passes before it ends, since the next loss may
+   * Gives its vote to whoever is there for it, then its lead. A machine that is replaced for good
+   * stops like one that is started again: the vote passes before it ends, since the next loss may
    * come before its silence would tell.
    */
   public void leaveGroup(final Runnable ended) {
@@ -79,7 +79,7 @@
 
   private void awaitReplacement(final long startMs, final Runnable ended) {
     final boolean owed = isVoter() || raftNode.reconfiguration().changeInProgress();
-    // Nobody without a seat is known: what remains to be handed on is the lead.
+    // Nobody without a vote is known: what remains to be handed on is the lead.
     final boolean taker = peers.get().size() >= raftNode.reconfiguration().voterCount();
     if (!owed || !taker || raftNode.context.nowMs() - startMs > LEAVE_TIMEOUT_MS) {
       raftNode.reconfiguration().transferLeadership(ended);
--- a/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
+++ b/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Whether this leader's own links or machine hold everybody up: when all peers answer late, it is
- * the one to go.
+ * Whether this leader's own connections or machine hold everybody up: when all peers answer late,
+ * it is the one to go.
  */
 final class LeaderLatencyMonitor {
   private final RaftNode raftNode;
@@ -27,7 +27,7 @@
     lastHeartbeatRound = 0;
   }
 
-  /** At each beat: who has not answered the one before. */
+  /** At each heartbeat: who has not answered the one before. */
   void onHeartbeat(final long newRound) {
     for (final PeerProgress progress : leaderState.progressByMember.values()) {
       final boolean late = progress.confirmedRound < lastHeartbeatRound;
--- a/src/main/java/yewjunction/raft/LeaderState.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -25,7 +25,10 @@
   private long leadershipNumber;
   private boolean sendScheduled;
 
-  /** The next letters ask for an answer: a beat, or a question whether this member still leads. */
+  /**
+   * The next messages ask for an answer: a heartbeat, or a question whether this member still
+   * leads.
+   */
   private boolean responseWanted;
 
   private boolean leadershipAnnounced;
@@ -84,7 +87,7 @@
     if (ofLeadership != leadershipNumber || !raftNode.isLeader()) {
       return;
     }
-    // Armed first: a turn that fails must not be the last beat.
+    // Armed first: a turn that fails must not be the last heartbeat.
     raftNode.context.schedule(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
     final long nowMs = raftNode.context.nowMs();
     // A leader that a majority no longer answers steps down, so that others are not led astray.
@@ -123,7 +126,7 @@
     return entry.index;
   }
 
-  /** What one turn of the owner appends goes out in one letter. */
+  /** What one turn of the owner appends goes out in one message. */
   private void scheduleSend() {
     if (!sendScheduled) {
       sendScheduled = true;
@@ -136,7 +139,7 @@
   }
 
   /**
-   * Rides on the next entries where some follow at once; alone it is a letter to everyone, across
+   * Rides on the next entries where some follow at once; alone it is a message to everyone, across
    * zones.
    */
   private void scheduleCommitNotice() {
@@ -166,8 +169,8 @@
   }
 
   /**
-   * What was lost with a link shows at the next beat: it names an entry that the peer lacks, and is
-   * denied.
+   * What was lost with a connection shows at the next heartbeat: it names an entry that the peer
+   * lacks, and is denied.
    */
   private void replicateTo(final String identity, final PeerProgress progress) {
     final long nowMs = raftNode.context.nowMs();
@@ -177,8 +180,8 @@
       return;
     }
     final boolean silent = nowMs - progress.lastContactMs > APPEND_RETRY_MS;
-    // A newcomer with nothing also needs to learn who votes, which only a snapshot tells.
-    // None is built for a silent peer: it gets a beat, which it denies once it is back.
+    // A new member with nothing also needs to learn who votes, which only a snapshot tells. None is
+    // built for a silent peer: it gets a heartbeat, which it denies once it is back.
     final boolean behind =
         progress.nextIndex <= log.snapshotIndex()
             || progress.nextIndex == 1 && !raftNode.voters().contains(identity);
@@ -192,7 +195,7 @@
     request.commitIndex = raftNode.commitIndex();
     request.round = readIndexRequests.newestRound();
     request.responseOptional = !responseWanted;
-    // A silent peer gets beats only: what it misses would pile up on its link.
+    // A silent peer gets heartbeats only: what it misses would pile up on its connection.
     if (!silent) {
       request.entries = progress.nextEntries(log, nowMs);
     }
--- a/src/main/java/yewjunction/raft/MessageRouter.java
+++ b/src/main/java/yewjunction/raft/MessageRouter.java
@@ -13,7 +13,7 @@
 import yewjunction.raft.RaftMessages.VoteRequest;
 import yewjunction.raft.RaftMessages.VoteResponse;
 
-/** Brings a member the letters that are for it. */
+/** Brings a member the messages that are for it. */
 final class MessageRouter {
   private final RaftNode raftNode;
   private final FollowerState followerState;
@@ -51,8 +51,8 @@
           if (raftNode.isLeader()) {
             leaderState.onJoinRequest(request);
           } else if (request.forwarded == null && raftNode.leader() != null) {
-            // The newcomer may not know the leader's machine yet; passed on once, so that it never
-            // runs in circles.
+            // The new member may not know the leader's machine yet; passed on once, so that it
+            // never runs in circles.
             request.forwarded = true;
             raftNode.transport.connect(RaftNode.addressOf(raftNode.leader())).send(request);
           }
--- a/src/main/java/yewjunction/raft/PeerProgress.java
+++ b/src/main/java/yewjunction/raft/PeerProgress.java
@@ -8,7 +8,7 @@
 
 import java.util.List;
 
-/** How far a peer is. */
+/** How far a member is. */
 final class PeerProgress {
   long nextIndex;
   long matchIndex;
@@ -48,9 +48,9 @@
   }
 
   /**
-   * The entries to send next. All that a peer far behind lacks would wait on its link before any
-   * beat: it gets a little at a time, each after the answer to the one before, or after a denial
-   * when that was lost.
+   * The entries to send next. All that a member far behind lacks would wait on its connection
+   * before any heartbeat: it gets a little at a time, each after the answer to the one before, or
+   * after a denial when that was lost.
    */
   List<LogEntry> nextEntries(final RaftLog log, final long nowMs) {
     if (inFlightEnd > matchIndex && nextIndex == inFlightEnd + 1) {
@@ -58,7 +58,7 @@
     }
     inFlightEnd = 0;
     // One that was far behind stays so until the rest is small, too: all of it at once would hold
-    // beats up at the end.
+    // heartbeats up at the end.
     catchingUp =
         catchingUp
             ? log.exceeds(nextIndex, MAX_APPEND_ENTRIES, CAUGHT_UP_BYTES)
--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import yewjunction.common.MessageCodec;
 
-/** What ledgers of one group say to one another. */
+/** What Raft groups of one group say to one another. */
 public final class RaftMessages {
   private RaftMessages() {}
 
@@ -26,12 +26,12 @@
   abstract static class RaftMessage {
     int group;
 
-    /** Null, and nobody named as receiver, where the link's earlier letters said both. */
+    /** Null, and nobody named as receiver, where the connection's earlier messages said both. */
     String from;
 
     /**
-     * The receiver's identity, shortened: it only checks that the letter is for it, and most
-     * letters cross zones.
+     * The receiver's identity, shortened: it only checks that the message is for it, and most
+     * messages cross zones.
      */
     long to;
 
@@ -98,7 +98,7 @@
     long round;
   }
 
-  /** A piece of a snapshot, for a peer too far behind; the next one follows its answer. */
+  /** A piece of a snapshot, for a member too far behind; the next one follows its answer. */
   static final class InstallSnapshotRequest extends RaftMessage {
     long lastIndex;
     long lastTerm;
@@ -115,16 +115,16 @@
      */
     long snapshotNumber;
 
-    /** Which letter of this snapshot; one without a piece only asks what is held. */
+    /** Which message of this snapshot; one without a piece only asks what is held. */
     int attempt;
   }
 
-  /** How much of a snapshot a peer holds. */
+  /** How much of a snapshot a member holds. */
   static final class InstallSnapshotResponse extends RaftMessage {
     long lastIndex;
     int receivedBytes;
 
-    /** Of the letter that it answers. */
+    /** Of the message that it answers. */
     long snapshotNumber;
 
     int attempt;
@@ -134,7 +134,8 @@
   static final class TimeoutNowRequest extends RaftMessage {}
 
   /**
-   * A newcomer asks whoever leads to bring it up to date and make it a voter when a place is free.
+   * A new member asks whoever leads to bring it up to date and make it a voter when a place is
+   * free.
    */
   static final class JoinRequest extends RaftMessage {
     boolean wantsVote;
@@ -142,7 +143,7 @@
     /** By a member that does not lead itself. */
     Boolean forwarded;
 
-    /** Its process ends: a voter's seat is for somebody else. */
+    /** Its process ends: a voter's vote is for somebody else. */
     Boolean leaving;
   }
 }
--- a/src/main/java/yewjunction/raft/RaftNode.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -100,7 +100,9 @@
     return storage.identity;
   }
 
-  /** A short name for an identity, from what was drawn at the start: it travels in every letter. */
+  /**
+   * A short name for an identity, from what was drawn at the start: it travels in every message.
+   */
   public static String identitySuffix(final long drawn) {
     final String whole = Long.toString(drawn >>> 1, Character.MAX_RADIX);
     return whole.substring(Math.max(0, whole.length() - 7));
@@ -178,7 +180,7 @@
     return groupMembership;
   }
 
-  /** Takes the group's letters from the post. */
+  /** Takes the group's messages from the post. */
   public void registerHandlers() {
     new MessageRouter(this, followerState, leaderState, election).registerHandlers();
   }
--- a/src/main/java/yewjunction/raft/RaftStorage.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A ledger's records: identity, votes, entries, cuts, snapshots. */
+/** A log's records: identity, votes, entries, cuts, snapshots. */
 final class RaftStorage {
   private static final int IDENTITY = 1;
   private static final int VOTE = 2;
@@ -59,7 +59,7 @@
         log.reset(baseIndex, baseTerm, decodeVoters(voters));
       }
       default -> {
-        // Written by a newer release: skipping it could lose a vote, so the ledger stays shut.
+        // Written by a newer release: skipping it could lose a vote, so the log stays shut.
         throw new IllegalStateException("record kind " + kind);
       }
     }
--- a/src/main/java/yewjunction/raft/SnapshotTransfer.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -43,7 +43,7 @@
     int offset;
     final AdaptiveChunkSize chunkSize = new AdaptiveChunkSize(MAX_SNAPSHOT_CHUNK_BYTES);
 
-    /** Counts letters; and which of them was the last that carried a piece. */
+    /** Counts messages; and which of them was the last that carried a piece. */
     int lastAttempt;
 
     int lastChunkAttempt;
@@ -99,7 +99,8 @@
     } else if (nowMs - transfer.sentMs < SNAPSHOT_PROBE_INTERVAL_MS) {
       return;
     }
-    // What is held is asked for first: a piece that is late would only be doubled on a slow link.
+    // What is held is asked for first: a piece that is late would only be doubled on a slow
+    // connection.
     sendChunk(identity, transfer, transfer.offset, nowMs);
   }
 
@@ -114,7 +115,7 @@
               final OutgoingSnapshot transfer = one.getValue();
               final PeerProgress progress = leaderState.progressByMember.get(one.getKey());
               // What is there in full needs this leader no more, and a receiver may be gone while a
-              // broken link shows.
+              // broken connection shows.
               return progress != null
                   && transfer.offset < transfer.snapshot.state.length
                   && nowMs - transfer.startedMs < MAX_SNAPSHOT_LEADERSHIP_MS
@@ -185,7 +186,7 @@
     }
     final long nowMs = raftNode.context.nowMs();
     progress.lastContactMs = nowMs;
-    // Letters keep their order: an answer to one before the last piece does not say whether that
+    // Messages keep their order: an answer to one before the last piece does not say whether that
     // piece came.
     if (response.receivedBytes <= transfer.offset && response.attempt < transfer.lastChunkAttempt) {
       return;
@@ -205,7 +206,7 @@
           nowMs);
       transfer.lastChunkAttempt = transfer.lastAttempt;
     }
-    // The rest is the ledger's: the peer answers once it has the whole on disk, and is asked until
+    // The rest is the log's: the peer answers once it has the whole on disk, and is asked until
     // then.
   }
 
@@ -252,7 +253,7 @@
   byte[] onChunk(final InstallSnapshotRequest request) {
     final boolean sameLeader =
         incoming != null && incoming.from.equals(request.from) && incoming.term == request.term;
-    // A late letter of one that its sender gave up, or nothing that a ledger could hold.
+    // A late message of one that its sender gave up, or nothing that a log could hold.
     if (sameLeader && request.snapshotNumber < incoming.snapshotNumber
         || request.totalBytes < 0
         || request.totalBytes > MAX_SNAPSHOT_BYTES) {
@@ -261,7 +262,7 @@
     if (!sameLeader || request.snapshotNumber > incoming.snapshotNumber) {
       incoming = new IncomingSnapshot(request);
     }
-    // One that was lost with a link leaves a gap: the answer names what is missing.
+    // One that was lost with a connection leaves a gap: the answer names what is missing.
     if (request.offset == incoming.receivedBytes
         && request.chunk.length <= incoming.state.length - incoming.receivedBytes) {
       System.arraycopy(
--- a/src/main/java/yewjunction/raft/StorageInspection.java
+++ b/src/main/java/yewjunction/raft/StorageInspection.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A ledger file as the daemons would read it; only read. */
+/** A log file as the daemons would read it; only read. */
 public record StorageInspection(String file, long bytes, long validBytes, boolean damaged) {
-  /** All ledger files of a folder. */
+  /** All log files of a folder. */
   public static List<StorageInspection> inspect(final Path folder) {
     final List<StorageInspection> found = new ArrayList<>();
     for (final String name : List.of("charter", "messages")) {
--- a/src/main/java/yewjunction/raft/VoterPlacement.java
+++ b/src/main/java/yewjunction/raft/VoterPlacement.java
@@ -6,7 +6,7 @@
 
 /**
  * How many vote in a group, which addresses are to hold no vote, and in which zone an address lies.
- * Without a number of seats whoever wants a vote gets one.
+ * Without a number of votes whoever wants a vote gets one.
  */
 public record VoterPlacement(
     int voterCount, Supplier<Set<String>> leavingAddresses, UnaryOperator<String> zoneOf) {
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -17,8 +17,8 @@
 import yewjunction.raft.RaftMessages.TimeoutNowRequest;
 
 /**
- * Who votes, and who leads next: a leader changes voters one at a time and hands over before it
- * stops.
+ * Who votes, and who leads next: a leader changes voters one at a time and transfers the leadership
+ * before it stops.
  */
 public final class VoterReconfiguration {
   private final RaftNode raftNode;
@@ -65,9 +65,9 @@
   }
 
   /**
-   * Fills the seats, by changes of one voter each. A newcomer at a voter's address means that the
+   * Fills the votes, by changes of one voter each. A new member at a voter's address means that the
    * voter's disk is gone, and that voter for good: it goes first. A voter that is silent, that
-   * ends, or whose disk no longer takes what others have taken, loses its seat to a newcomer that
+   * ends, or whose disk no longer takes what others have taken, loses its vote to a new member that
    * does better, and goes last: whoever was only away counts until then.
    */
   void adjustVoters() {
@@ -88,7 +88,7 @@
     final List<String> newVoters = new ArrayList<>(voters);
     final String surplus = surplusVoter(voters, nowMs);
     if (raftNode.identity().equals(surplus)) {
-      // A leader that is to go hands over before.
+      // A leader that is to go transfers the leadership before.
       transferLeadership(() -> {});
       return;
     }
@@ -185,7 +185,7 @@
    */
   void assignRelays(final long nowMs) {
     final List<String> voters = raftNode.voters();
-    // While a seat is to be filled, candidates are brought to the very end.
+    // While a vote is to be filled, candidates are brought to the very end.
     final boolean seated =
         voters.stream().filter(voter -> !isLeaving(voter)).count() >= placement.voterCount()
             && voters.stream()
--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -42,9 +42,8 @@
             context.execute(afterwards);
           } catch (final Throwable failure) {
             // A disk that fails a sync can no longer be trusted: better down than wrong. An error
-            // too, as of memory: the
-            // pool would go on with another thread, and the owner would wait for this work for
-            // ever.
+            // too, as of memory: the pool would go on with another thread, and the owner would wait
+            // for this work for ever.
             try {
               LogEvent.DISK_FAILED.warn(String.valueOf(failure.getMessage()), failure);
             } finally {
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -31,7 +31,10 @@
 import yewjunction.transport.TcpPeerTransport;
 import yewjunction.transport.UdpTransport;
 
-/** What all processes share: the agent, peer links, the roster, signals, the settings file. */
+/**
+ * What all processes share: the agent, peer connections, the membership list, signals, the settings
+ * file.
+ */
 public final class ServerProcess {
   private final Settings settings;
   private final EventLoopAgent agent;
--- a/src/main/java/yewjunction/settings/Settings.java
+++ b/src/main/java/yewjunction/settings/Settings.java
@@ -171,7 +171,7 @@
     return number.doubleValue();
   }
 
-  /** Peer addresses of the cruxes on the seeds' machines: ports are alike on all. */
+  /** Peer addresses of the control nodes on the seeds' machines: ports are alike on all. */
   public List<String> controlNodeAddresses() {
     return seeds.stream()
         .map(seed -> SocketAddresses.ip(seed) + ":" + (firstPort + CONTROL_PORT_OFFSET))
--- a/src/main/java/yewjunction/store/AdmissionController.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -18,9 +18,7 @@
 import yewjunction.store.AdmissionMessages.AdmitRequest;
 import yewjunction.store.AdmissionMessages.AdmitResponse;
 
-/**
- * Admission of new messages, by the vaults' leader alone: doubles, order, quota, then the ledger.
- */
+/** Admission of new messages, by the stores' leader alone: doubles, order, quota, then the log. */
 public final class AdmissionController {
   private final AgentContext context;
   private final RaftNode raftNode;
--- a/src/main/java/yewjunction/store/AdmissionMessages.java
+++ b/src/main/java/yewjunction/store/AdmissionMessages.java
@@ -2,7 +2,7 @@
 
 import yewjunction.common.MessageCodec;
 
-/** What edges and the leading vault say to one another about new messages. */
+/** What edges and the leading store say to one another about new messages. */
 public final class AdmissionMessages {
   private AdmissionMessages() {}
 
--- a/src/main/java/yewjunction/store/BorrowingAccount.java
+++ b/src/main/java/yewjunction/store/BorrowingAccount.java
@@ -4,7 +4,7 @@
 
 /**
  * What a tenant that borrows ahead may still send, and what it owes. Whole thousandths of a message
- * and log time only, so every vault that has applied the same entries holds the same account.
+ * and log time only, so every store that has applied the same entries holds the same account.
  */
 final class BorrowingAccount {
   /** Thousandths that make a message. */
--- a/src/main/java/yewjunction/store/BorrowingAccounts.java
+++ b/src/main/java/yewjunction/store/BorrowingAccounts.java
@@ -11,7 +11,7 @@
 import yewjunction.control.AccountBalance;
 
 /**
- * The accounts of all tenants that borrow ahead or still owe: part of the state that the vaults'
+ * The accounts of all tenants that borrow ahead or still owe: part of the state that the stores'
  * log drives.
  */
 final class BorrowingAccounts {
@@ -20,7 +20,7 @@
   /** The configuration whose terms are in force. */
   private long version;
 
-  /** The newest log time, and when this vault heard it by its own steady clock. */
+  /** The newest log time, and when this store heard it by its own steady clock. */
   private long stampMs;
 
   private long stampReceivedMs;
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Log time as far as this vault can tell: the newest stamp and what has passed here since. What
+   * Log time as far as this store can tell: the newest stamp and what has passed here since. What
    * was not counted, as between two leaders or while all were down, makes a debt fall later, never
    * sooner.
    */
--- a/src/main/java/yewjunction/store/BorrowingTerms.java
+++ b/src/main/java/yewjunction/store/BorrowingTerms.java
@@ -37,7 +37,7 @@
   }
 
   /**
-   * An entry of the vaults' log: the terms of all tenants that borrow or owe, or only that time has
+   * An entry of the stores' log: the terms of all tenants that borrow or owe, or only that time has
    * passed.
    */
   static final class TermsChange {
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -20,7 +20,7 @@
 import yewjunction.raft.StateMachine;
 import yewjunction.settings.Settings;
 
-/** The kept messages of one vault, driven by the vaults' ledger. */
+/** The kept messages of one store, driven by the stores' log. */
 public final class MessageStore implements StateMachine {
   private static final Schema<StoredMessage> MESSAGE_SCHEMA =
       RuntimeSchema.getSchema(StoredMessage.class);
@@ -58,7 +58,7 @@
 
   /** Told of what is new here. */
   public interface Listener {
-    /** Whether this vault admitted it in its present leadership, so that it is counted already. */
+    /** Whether this store admitted it in its present leadership, so that it is counted already. */
     boolean isAdmittedHere(StoredMessage message);
 
     void onCommitted(long commit);
@@ -165,7 +165,7 @@
 
   private long retentionMs(final String topic) {
     final Configuration.Route route = configuration == null ? null : configuration.routeOf(topic);
-    // Without a configuration nothing may be dropped; of a space that is gone nothing is owed.
+    // Without a configuration nothing may be dropped; of a route that is gone nothing is owed.
     return configuration == null
         ? Long.MAX_VALUE
         : (route == null ? 0 : route.retentionMs()) + RETENTION_SLACK_MS;
--- a/src/main/java/yewjunction/store/StoredMessage.java
+++ b/src/main/java/yewjunction/store/StoredMessage.java
@@ -1,6 +1,6 @@
 package yewjunction.store;
 
-/** A kept message; its index in the ledger is its position. */
+/** A kept message; its index in the log is its position. */
 public final class StoredMessage {
   public long index;
   public String topic = "";
@@ -23,6 +23,6 @@
   /** What it changes in the accounts, in an entry that is no message; else null. */
   BorrowingTerms.TermsChange termsChange;
 
-  /** When this vault got it, by its own steady clock: other clocks mean nothing here. */
+  /** When this store got it, by its own steady clock: other clocks mean nothing here. */
   transient long receivedMs;
 }
--- a/src/main/java/yewjunction/store/TenantRateLimiter.java
+++ b/src/main/java/yewjunction/store/TenantRateLimiter.java
@@ -126,7 +126,7 @@
     return true;
   }
 
-  /** A message that another leader admitted: it counts here too, for the day this vault leads. */
+  /** A message that another leader admitted: it counts here too, for the day this store leads. */
   void recordAcceptedElsewhere(final String tenantName, final long nowMs) {
     // What the log brings back right after a start was counted before it.
     final TokenBucket bucket =
--- a/src/main/java/yewjunction/store/package-info.java
+++ b/src/main/java/yewjunction/store/package-info.java
@@ -1,2 +1,2 @@
-/** Kept messages: admission at the leader, the messages on every vault, numbers and quotas. */
+/** Kept messages: admission at the leader, the messages on every store, numbers and quotas. */
 package yewjunction.store;
--- a/src/main/java/yewjunction/subscription/AddWinsSet.java
+++ b/src/main/java/yewjunction/subscription/AddWinsSet.java
@@ -245,7 +245,10 @@
     return replica <= newestReplicaId && !liveReplicaIds.contains(replica);
   }
 
-  /** Charter's word on which names live; the others' entries are dropped and their w compacted. */
+  /**
+   * The control plane's word on which names live; the others' entries are dropped and their w
+   * compacted.
+   */
   public void setReplicas(final long newest, final Set<Long> live) {
     if (newest >= newestReplicaId) {
       newestReplicaId = newest;
--- a/src/main/java/yewjunction/subscription/ReplicaState.java
+++ b/src/main/java/yewjunction/subscription/ReplicaState.java
@@ -10,7 +10,7 @@
 /**
  * One replica's part of the set: w(s), and v(., s) for all elements. The merge rule of one part
  * looks at no other part, so each is a whole state by itself. With it goes which of the replica's
- * clients have no link.
+ * clients have no connection.
  */
 final class ReplicaState {
   /** w(s). */
--- a/src/main/java/yewjunction/transport/EventLoopAgent.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -51,7 +51,7 @@
     return selector;
   }
 
-  /** Runs once at the end of this turn: links gather what a turn wrote into one write. */
+  /** Runs once at the end of this turn: connections gather what a turn wrote into one write. */
   void flushAtEndOfTurn(final Runnable flush) {
     flushes.add(flush);
   }
@@ -132,9 +132,8 @@
       turn.run();
     } catch (final IOException | RuntimeException | StackOverflowError failure) {
       // One broken turn must not end the process: state is changed only after checks. What nests
-      // too deep fails in
-      // the same way, and whoever sent it must not be able to end node after node. Other errors end
-      // the process.
+      // too deep fails in the same way, and whoever sent it must not be able to end node after
+      // node. Other errors end the process.
       LogEvent.UNEXPECTED_ERROR.warn(String.valueOf(failure.getMessage()), failure);
     }
   }
--- a/src/main/java/yewjunction/transport/TcpPeerConnection.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -20,7 +20,7 @@
 import yewjunction.common.PeerConnection;
 import yewjunction.common.YewjunctionException;
 
-/** One peer link: frames of four bytes of length and a letter; length 0 is a beat. */
+/** One peer connection: frames of four bytes of length and a message; length 0 is a heartbeat. */
 final class TcpPeerConnection implements PeerConnection, EventLoopAgent.ReadyHandler {
   private final TcpPeerTransport transport;
   private final EventLoopAgent agent;
@@ -174,7 +174,7 @@
       larger.put(input);
       input = larger;
     } else if (input.position() == 0 && input.capacity() > 16 * INITIAL_PEER_BUFFER_BYTES) {
-      // A large letter came once; memory at its peak is dear, so the buffer shrinks again.
+      // A large message came once; memory at its peak is dear, so the buffer shrinks again.
       input = ByteBuffer.allocate(INITIAL_PEER_BUFFER_BYTES);
     }
   }
@@ -219,7 +219,7 @@
     try {
       channel.close();
     } catch (final IOException ignored) {
-      // Nothing is owed to a link that is being given up.
+      // Nothing is owed to a connection that is being given up.
     }
     transport.onClosed(this);
   }
--- a/src/main/java/yewjunction/transport/TcpPeerTransport.java
+++ b/src/main/java/yewjunction/transport/TcpPeerTransport.java
@@ -22,7 +22,7 @@
 import yewjunction.common.PeerConnection;
 import yewjunction.common.PeerTransport;
 
-/** All peer links of a process over TCP. */
+/** All peer connections of a process over TCP. */
 public class TcpPeerTransport implements PeerTransport {
   private final EventLoopAgent agent;
   private final MessageCodec codec;
@@ -76,7 +76,7 @@
     SocketChannel channel = null;
     try {
       channel = channel();
-      // The own address as source: the platform's links belong to the machine's address.
+      // The own address as source: the platform's connections belong to the machine's address.
       channel.bind(new InetSocketAddress(localAddress.getAddress(), 0));
       connection = new TcpPeerConnection(this, agent, codec, channel, address);
       connections.add(connection);
@@ -84,8 +84,8 @@
       connection.connect();
     } catch (final IOException failure) {
       if (connection == null) {
-        // No descriptor is left, perhaps: a link that broke at once. Whoever dialled has more to do
-        // in this turn.
+        // No descriptor is left, perhaps: a connection that broke at once. Whoever dialled has more
+        // to do in this turn.
         closeQuietly(channel);
         final PeerConnection lost = new FailedConnection(address);
         agent.execute(() -> closeHandlers.forEach(closer -> closer.accept(lost)));
@@ -110,7 +110,7 @@
     return SocketChannel.open();
   }
 
-  /** A link that never was open. */
+  /** A connection that never was open. */
   private static final class FailedConnection implements PeerConnection {
     private final String remote;
 
--- a/src/main/java/yewjunction/transport/UdpTransport.java
+++ b/src/main/java/yewjunction/transport/UdpTransport.java
@@ -10,9 +10,9 @@
 import yewjunction.common.MessageCodec;
 import yewjunction.common.YewjunctionException;
 
-/** Small letters that may be lost. */
+/** Small messages that may be lost. */
 public final class UdpTransport {
-  /** bytes; above any datagram the roster sends. */
+  /** bytes; above any datagram the membership list sends. */
   private static final int MAX_DATAGRAM_BYTES = 8 << 10;
 
   private final DatagramChannel channel;
--- a/src/main/java/yewjunction/transport/WriteBuffer.java
+++ b/src/main/java/yewjunction/transport/WriteBuffer.java
@@ -77,7 +77,7 @@
     }
     start = 0;
     end = 0;
-    // An idle link holds no buffer: there are many links, and memory is priced.
+    // An idle connection holds no buffer: there are many connections, and memory is priced.
     if (buffer != null && buffer.capacity() > 2 * firstBytes) {
       buffer = null;
     }
--- a/src/test/java/yewjunction/capacity/CapacityHarness.java
+++ b/src/test/java/yewjunction/capacity/CapacityHarness.java
@@ -17,8 +17,8 @@
   private static final int NODES_MOST = 1_000;
 
   /**
-   * bytes; a process's own tables, and what its roster keeps of each other one: both from runs of
-   * this program.
+   * bytes; a process's own tables, and what its membership list keeps of each other one: both from
+   * runs of this program.
    */
   private static final long NODE_BYTES = 500_000;
 
@@ -69,7 +69,7 @@
               + (Runtime.getRuntime().maxMemory() >> 20));
     }
     final ControlTraffic control = new ControlTraffic();
-    // Five of the machines are cruxes, a seventh vaults.
+    // Five of the machines are control nodes, a seventh stores.
     return control.measure(nodes - 5 - Math.max(5, nodes / 7), Math.max(5, nodes / 7), 5)
         ? control.figures
         : null;
--- a/src/test/java/yewjunction/capacity/ControlTraffic.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -8,13 +8,13 @@
 
 /** What a fleet that only keeps itself together says and costs, for one number of nodes. */
 final class ControlTraffic {
-  /** simulated ms; the news of a start ride on probes for up to a minute where nodes are many. */
+  /** simulated ms; the news of a start ride on pings for up to a minute where nodes are many. */
   private static final long SETTLE_MS = 60_000;
 
   private static final long WATCH_MS = 30_000;
 
   /**
-   * Layers whose letters are control; vault and herald letters of an idle fleet too: nobody
+   * Layers whose messages are control; store and herald messages of an idle fleet too: nobody
    * publishes here.
    */
   private static final List<String> LAYERS = List.of("membership", "control", "raft", "fanout", "");
--- a/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
+++ b/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * What crosses zones, by kind of letter, with so many stores: 90 edges, 450 clients, 100 messages,
+ * What crosses zones, by kind of message, with so many stores: 90 edges, 450 clients, 100 messages,
  * 60 counts and 250 changed subscriptions a second.
  */
 final class CrossZoneTraffic {
--- a/src/test/java/yewjunction/capacity/MessageCost.java
+++ b/src/test/java/yewjunction/capacity/MessageCost.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * What messages cost on their way: leader, followers, homes, edges, for one count of messages,
- * edges and listeners.
+ * What messages cost on their way: leader, followers, serving stores, edges, for one count of
+ * messages, edges and listeners.
  */
 final class MessageCost {
   /** simulated ms. */
--- a/src/test/java/yewjunction/cli/DoctorTest.java
+++ b/src/test/java/yewjunction/cli/DoctorTest.java
@@ -36,7 +36,7 @@
     servers.forEach(server -> server.stop(0));
   }
 
-  /** A crux that answers with this page; the address it listens on. */
+  /** A control node that answers with this page; the address it listens on. */
   private String serve(final int status, final String body) throws IOException {
     final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
     server.createContext(
--- a/src/test/java/yewjunction/control/ControlSnapshotCost.java
+++ b/src/test/java/yewjunction/control/ControlSnapshotCost.java
@@ -4,8 +4,8 @@
 import java.util.Random;
 
 /**
- * What building a core's snapshot costs its owner at the largest configuration: ms of a thread's
- * processor.
+ * What building a control group's snapshot costs its owner at the largest configuration: ms of a
+ * thread's processor.
  */
 final class ControlSnapshotCost {
   private ControlSnapshotCost() {}
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -24,7 +24,8 @@
 import yewjunction.simulation.SimulatedNodes;
 
 /**
- * A home grants leases only on the word of the leader that it asked, on the link on which it asked.
+ * A control node grants leases only on the word of the leader that it asked, on the connection on
+ * which it asked.
  */
 class LeadershipConfirmationTest {
   private static final List<String> CRUXES = List.of("10.1.0.1", "10.2.0.1", "10.3.0.1");
@@ -44,7 +45,7 @@
     return ip + ":" + (7000 + Settings.CONTROL_PORT_OFFSET);
   }
 
-  /** Three cruxes with a configuration, and an edge that may ask any of them. */
+  /** Three control nodes with a configuration, and an edge that may ask any of them. */
   @BeforeEach
   void begin() {
     network = new SimulatedNetwork(3);
@@ -136,7 +137,7 @@
     assertEquals(99, leases.get(0).requestId);
   }
 
-  /** Right in its number, and from a link on which nothing was asked. */
+  /** Right in its number, and from a connection on which nothing was asked. */
   @Test
   void aWordFromAnotherLinkGrantsNothing() {
     mute = true;
--- a/src/test/java/yewjunction/control/LeaseResponsesTest.java
+++ b/src/test/java/yewjunction/control/LeaseResponsesTest.java
@@ -16,8 +16,8 @@
 import yewjunction.simulation.SimulatedNetwork;
 
 /**
- * A lease counts only as the answer to a question of this life, from the crux that it was asked of,
- * and from when it was.
+ * A lease counts only as the answer to a question of this life, from the control node that it was
+ * asked of, and from when it was.
  */
 class LeaseResponsesTest {
   private final List<String> homes = new ArrayList<>(List.of("near:1", "far:1"));
@@ -104,7 +104,7 @@
   }
 
   /**
-   * An answer to the first life's question reaches the second one, as it were on a link that
+   * An answer to the first life's question reaches the second one, as it were on a connection that
    * outlived the first.
    */
   private boolean heldByAnEarlierLifesLease(final boolean drawn) {
--- a/src/test/java/yewjunction/control/StaleRegistration.java
+++ b/src/test/java/yewjunction/control/StaleRegistration.java
@@ -3,7 +3,9 @@
 import yewjunction.control.LeaseMessages.RegisterRequest;
 import yewjunction.membership.NodeRole;
 
-/** Plants a fault: a letter that asks for a replica's name for a life of a process that is over. */
+/**
+ * Plants a fault: a message that asks for a replica's name for a life of a process that is over.
+ */
 public final class StaleRegistration {
   private StaleRegistration() {}
 
--- a/src/test/java/yewjunction/fanout/StreamResponsesTest.java
+++ b/src/test/java/yewjunction/fanout/StreamResponsesTest.java
@@ -21,8 +21,8 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * What the link to a former home still brings counts for nothing: the link is the question, and
- * ends with it.
+ * What the connection to a former serving store still brings counts for nothing: the connection is
+ * the question, and ends with it.
  */
 class StreamResponsesTest {
   private final ScriptedTransport transport = new ScriptedTransport();
@@ -75,7 +75,8 @@
   }
 
   /**
-   * Attached to one home, which falls silent, and asked of the next one at the same address anew.
+   * Attached to one serving store, which falls silent, and asked of the next one at the same
+   * address anew.
    */
   @BeforeEach
   void begin() {
@@ -124,7 +125,7 @@
     assertEquals(List.of(), told);
   }
 
-  /** The fault planted: the same comes on the present home's link. */
+  /** The fault planted: the same comes on the present serving store's connection. */
   @Test
   void onThePresentLinkTheyCount() {
     allOfIt(transport.connect("vault:1"));
--- a/src/test/java/yewjunction/fanout/SwappedMessages.java
+++ b/src/test/java/yewjunction/fanout/SwappedMessages.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import yewjunction.fanout.FanoutMessages.StreamBatch;
 
-/** Plants a fault: a home that sends two messages the wrong way round. */
+/** Plants a fault: a serving store that sends two messages the wrong way round. */
 public final class SwappedMessages {
   private SwappedMessages() {}
 
--- a/src/test/java/yewjunction/membership/LateResponsesTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -80,8 +80,8 @@
   }
 
   /**
-   * The first life's probes are answered late, all of them and again and again, while the second
-   * one probes.
+   * The first life's pings are answered late, all of them and again and again, while the second one
+   * pings.
    */
   private boolean missedInTheSecondLife(final long seed, final boolean drawn) {
     network = new SimulatedNetwork(seed);
--- a/src/test/java/yewjunction/membership/MembershipSimulationTest.java
+++ b/src/test/java/yewjunction/membership/MembershipSimulationTest.java
@@ -83,7 +83,7 @@
 
   @Test
   void manyLostDatagramsRemoveNobodyForLong() {
-    // Many worlds: in a single one it is luck, with or without a fault.
+    // Many worlds: in a single one it is chance, with or without a fault.
     final int worlds = 20;
     int wrong = 0;
     for (int seed = 1; seed <= worlds; seed++) {
--- a/src/test/java/yewjunction/raft/ModelCheck.java
+++ b/src/test/java/yewjunction/raft/ModelCheck.java
@@ -20,7 +20,7 @@
   private ModelCheck() {}
 
   public static void main(final String[] args) {
-    // Before the first event: millions of starts would each say that a ledger opened.
+    // Before the first event: millions of starts would each say that a log opened.
     System.setProperty("tinylog.level", "off");
     final boolean fine =
         switch (args[0]) {
--- a/src/test/java/yewjunction/raft/ModelCheckTest.java
+++ b/src/test/java/yewjunction/raft/ModelCheckTest.java
@@ -29,7 +29,7 @@
 
   @BeforeAll
   static void silence() {
-    // Each of a million starts would say that a ledger opened.
+    // Each of a million starts would say that a log opened.
     System.setProperty("tinylog.level", "off");
     System.setOut(new PrintStream(OutputStream.nullOutputStream()));
   }
--- a/src/test/java/yewjunction/raft/ModelDigest.java
+++ b/src/test/java/yewjunction/raft/ModelDigest.java
@@ -15,7 +15,7 @@
 
 /**
  * A hash of all that a member's code holds, read field by field, so that nothing is left out by
- * hand: tables, what waits for a disk, timers with what they will do, letters under way. Moments
+ * hand: tables, what waits for a disk, timers with what they will do, messages under way. Moments
  * count from the member's own clock.
  */
 final class ModelDigest {
--- a/src/test/java/yewjunction/raft/ModelDisk.java
+++ b/src/test/java/yewjunction/raft/ModelDisk.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** One ledger file: what would outlast a loss of power, and what was only written. */
+/** One log file: what would outlast a loss of power, and what was only written. */
 final class ModelDisk implements Disk {
   /** What becomes of bytes that were written and not synced, and of the write under way. */
   static final int LOST = 0;
--- a/src/test/java/yewjunction/raft/ModelFault.java
+++ b/src/test/java/yewjunction/raft/ModelFault.java
@@ -13,6 +13,6 @@
   OLD_NAME_AFTER_WIPE,
   /** A peer's answer counts as one to a later question whether this member still leads. */
   ROUND_MADE_UP,
-  /** Nobody hears that a link is gone. */
+  /** Nobody hears that a connection is gone. */
   CLOSE_UNTOLD
 }
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import yewjunction.common.AgentContext;
 
-/** One member's machine: a clock of its own, timers, a disk, and the ledger that runs here. */
+/** One member's machine: a clock of its own, timers, a disk, and the log that runs here. */
 final class ModelHost implements AgentContext {
   /**
    * ms; how late a frozen process finds its timers: beyond every patience but that for forgetting a
@@ -125,7 +125,7 @@
   }
 
   /**
-   * Asked to stop: the process ends when the scheduler says so, whether its seat has passed by then
+   * Asked to stop: the process ends when the scheduler says so, whether its vote has passed by then
    * or not.
    */
   void leave() {
@@ -235,7 +235,7 @@
     nowMs = Math.max(nowMs, thenMs);
   }
 
-  /** The process did not run for a while: letters may be read before its timers are. */
+  /** The process did not run for a while: messages may be read before its timers are. */
   void froze() {
     nowMs += FROZEN_MS;
   }
--- a/src/test/java/yewjunction/raft/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -246,7 +246,7 @@
   /**
    * Whether one more machine may lose its disk without more losses at once than are borne. A
    * machine counts as lost until its new disk holds what is committed, a spare like a voter, and a
-   * seat until its holder votes by all accounts.
+   * vote until its holder votes by all accounts.
    */
   boolean mayLose(final ModelHost host) {
     final long good = world.hosts.stream().filter(this::good).count();
--- a/src/test/java/yewjunction/raft/ModelRecovery.java
+++ b/src/test/java/yewjunction/raft/ModelRecovery.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** The world without a scheduler: letters arrive, disks work, and clocks run alike. */
+/** The world without a scheduler: messages arrive, disks work, and clocks run alike. */
 final class ModelRecovery {
   /**
-   * ms; a leader is there, a proposal is acknowledged and all seats are filled within this once all
+   * ms; a leader is there, a proposal is acknowledged and all votes are filled within this once all
    * is well again.
    */
   private static final int GOES_ON_MS = 20_000;
@@ -21,7 +21,7 @@
     this.world = world;
   }
 
-  /** Letters arrive and disks work, without any timer, until nothing is under way. */
+  /** Messages arrive and disks work, without any timer, until nothing is under way. */
   void drain() {
     boolean more = true;
     while (more) {
--- a/src/test/java/yewjunction/raft/ModelSetup.java
+++ b/src/test/java/yewjunction/raft/ModelSetup.java
@@ -51,7 +51,7 @@
 
   /**
    * In the order of their numbers: timers, crashes, wipes, breaks, freezes, proposals, confirms,
-   * hand-overs.
+   * leadership transfers.
    */
   static final List<ModelSetup> ALL =
       List.of(
--- a/src/test/java/yewjunction/raft/ModelStates.java
+++ b/src/test/java/yewjunction/raft/ModelStates.java
@@ -11,7 +11,7 @@
     }
   }
 
-  /** Open addressing; 0 marks a free place. */
+  /** Open addressing; 0 digests a free place. */
   private static final class Stripe {
     private long[] table = new long[1 << 10];
     private int size;
--- a/src/test/java/yewjunction/raft/ModelThreads.java
+++ b/src/test/java/yewjunction/raft/ModelThreads.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The same work on several threads; a defect of the check itself ends it and is never taken for a
+ * The same work on several threads; a failure of the check itself ends it and is never taken for a
  * pass.
  */
 final class ModelThreads {
--- a/src/test/java/yewjunction/raft/ModelTransport.java
+++ b/src/test/java/yewjunction/raft/ModelTransport.java
@@ -12,8 +12,8 @@
 import yewjunction.common.PeerTransport;
 
 /**
- * Links whose letters, encoded as on the wire, wait until the scheduler delivers them or breaks the
- * link.
+ * Connections whose messages, encoded as on the wire, wait until the scheduler delivers them or
+ * breaks the connection.
  */
 final class ModelTransport implements PeerTransport {
   private static final ThreadLocal<MessageCodec> CODECS =
@@ -24,7 +24,7 @@
             return codec;
           });
 
-  /** In the place of a letter: the link is gone. */
+  /** In the place of a message: the connection is gone. */
   static final byte[] CLOSE = new byte[0];
 
   private final ModelHost host;
@@ -62,7 +62,7 @@
     }
   }
 
-  /** One side of a link. */
+  /** One side of a connection. */
   static final class End implements PeerConnection {
     final Connection connection;
     final ModelHost owner;
@@ -95,7 +95,7 @@
       return true;
     }
 
-    /** The oldest letter arrives. */
+    /** The oldest message arrives. */
     void deliver() {
       final byte[] bytes = inbound.poll();
       if (bytes == CLOSE) {
--- a/src/test/java/yewjunction/raft/ModelWalks.java
+++ b/src/test/java/yewjunction/raft/ModelWalks.java
@@ -4,11 +4,11 @@
 
 /**
  * Long random schedules, each with its own leaning. Stretches in which anything may happen take
- * turns with calm ones, in which letters arrive and a leader's clock runs, or nobody would ever get
- * as far as a change of voters; over both, somebody may be cut off.
+ * turns with calm ones, in which messages arrive and a leader's clock runs, or nobody would ever
+ * get as far as a change of voters; over both, somebody may be cut off.
  */
 final class ModelWalks {
-  /** By kind of step, in thousandths of a plain letter. */
+  /** By kind of step, in thousandths of a plain message. */
   private static final int[] WEIGHTS = {
     250, 800, 1_000, 1_000, 15, 25, 300, 40, 12, 150, 40, 10, 0, 8
   };
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Letters and disks first; then a clock, mostly that of whoever leads. */
+  /** Messages and disks first; then a clock, mostly that of whoever leads. */
   private static int[] calmly(final ModelWorld world, final Random random) {
     final int[] weights = new int[WEIGHTS.length];
     final boolean idle =
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -18,7 +18,7 @@
   final ModelMonitor monitor = new ModelMonitor(this);
   ModelBudget budget;
 
-  /** Letters so far, whether they arrive or not. */
+  /** Messages so far, whether they arrive or not. */
   long sent;
 
   /** The plain clock draws; the scheduler does not. */
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Which of several links between the same two, dialled by the same one: an end may not know yet
-   * that it is dead.
+   * Which of several connections between the same two, dialled by the same one: an end may not know
+   * yet that it is dead.
    */
   private int place(final ModelTransport.Connection connection) {
     int place = 0;
@@ -235,7 +235,7 @@
   }
 
   /**
-   * Whatever happened before: once every machine runs and every letter arrives, the group serves
+   * Whatever happened before: once every machine runs and every message arrives, the group serves
    * again.
    */
   void goesOn() {
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -40,7 +40,7 @@
   /** Bytes that each snapshot holds beside what its member was told. */
   int ballast;
 
-  /** Plants a fault in letters that are taken. */
+  /** Plants a fault in messages that are taken. */
   Consumer<Object> tampering = message -> {};
 
   /** No proposals for the while. */
@@ -73,7 +73,7 @@
     @Override
     public byte[] snapshot() {
       snapshots++;
-      // As the vaults' state does, it differs from one moment to the next without any entry:
+      // As the stores' state does, it differs from one moment to the next without any entry:
       // stamped at both ends.
       final ByteBuffer bytes = ByteBuffer.allocate(20 + 16 * told.size() + ballast);
       bytes.putLong(network.nowMs()).putInt(told.size());
@@ -202,7 +202,8 @@
                             + one.voters())
                 .toList());
     network.runFor(2_000);
-    // The load goes on: what is acknowledged this very moment is told to the others within a beat.
+    // The load goes on: what is acknowledged this very moment is told to the others within a
+    // heartbeat.
     final Set<Long> owed = Set.copyOf(acknowledged);
     network.runFor(100);
     for (final String address : addresses) {
--- a/src/test/java/yewjunction/raft/RaftSimulationTest.java
+++ b/src/test/java/yewjunction/raft/RaftSimulationTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import yewjunction.simulation.SimulatedHost;
 
-/** Three members under random kills, losses of power, wiped disks, cuts and hand-overs. */
+/**
+ * Three members under random kills, losses of power, wiped disks, cuts and leadership transfers.
+ */
 class RaftSimulationTest extends RaftSimulation {
   @ParameterizedTest
   @ValueSource(
@@ -108,7 +110,7 @@
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     network.loss = 0;
     final String slow = RaftNode.addressOf(leader().identity());
-    // Every piece to or from this machine takes far longer than a beat.
+    // Every piece to or from this machine takes far longer than a heartbeat.
     network.drag(slow, 150);
     assertTrue(
         network.runUntil(
--- a/src/test/java/yewjunction/raft/SnapshotSimulation.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulation.java
@@ -4,9 +4,9 @@
 
 import java.nio.ByteBuffer;
 
-/** Members with large states behind narrow links. */
+/** Members with large states behind narrow connections. */
 class SnapshotSimulation extends RaftSimulation {
-  /** Bytes a second of a link of 2 Mbit/s. */
+  /** Bytes a second of a connection of 2 Mbit/s. */
   static final long NARROW = 250_000;
 
   private long loaded;
--- a/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Members far behind, links that are narrow, and a load that goes on: a snapshot once begun is
- * finished.
+ * Members far behind, connections that are narrow, and a load that goes on: a snapshot once begun
+ * is finished.
  */
 class SnapshotSimulationTest extends SnapshotSimulation {
   private static final List<String> LATE = List.of("d:1", "e:1");
@@ -32,7 +32,7 @@
     beginNarrow(1, 3 << 20, 0);
     LATE.forEach(address -> boot(address, false));
     final int before = snapshots;
-    // In full to both they take 25 s of the link.
+    // In full to both they take 25 s of the connection.
     assertTrue(all(60_000), "not caught up in 60 s");
     assertEquals(before + 1, snapshots, "one is built, and both share it");
   }
@@ -40,7 +40,7 @@
   @Test
   void theFaultOfBeginningAnewIsSeen() {
     beginNarrow(1, 3 << 20, 0);
-    // As it was: a piece that is late on the shared link, and the whole is begun again.
+    // As it was: a piece that is late on the shared connection, and the whole is begun again.
     network.every(
         1_000,
         () ->
@@ -130,7 +130,7 @@
     network.join();
     final long startMs = network.nowMs();
     finishes(built);
-    // The whole takes 14 s of the link, and more than a third was there.
+    // The whole takes 14 s of the connection, and more than a third was there.
     assertTrue(network.nowMs() - startMs < 13_000, "took " + (network.nowMs() - startMs) + " ms");
   }
 
@@ -216,7 +216,7 @@
     addresses.forEach(address -> network.narrow(address, NARROW));
     network.join();
     final long term = leader().storage.term;
-    // 6 MB, 24 s of the link, and nothing of it as a snapshot.
+    // 6 MB, 24 s of the connection, and nothing of it as a snapshot.
     final int built = snapshots;
     assertTrue(network.runUntil(() -> caughtUp(away), 60_000), "not caught up");
     assertEquals(term, leader().storage.term, "the leader was lost");
@@ -227,11 +227,11 @@
   @ValueSource(ints = {3, 12})
   void aLargeStateArrivesUnderLoad(final int megabytes) {
     beginNarrow(13, megabytes << 20, 0);
-    // Each entry is a letter of its own here: more losses alone would make all answers late.
+    // Each entry is a message of its own here: more losses alone would make all answers late.
     network.loss = 0.001;
     network.every(5, () -> propose(300));
     boot("d:1", false);
-    // Two voters' entries take more than half of the link: 110 s for the larger, and as many
+    // Two voters' entries take more than half of the connection: 110 s for the larger, and as many
     // entries again meanwhile.
     assertTrue(network.runUntil(() -> caughtUp("d:1"), 600_000), "not caught up in 600 s");
   }
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -17,7 +17,7 @@
 import yewjunction.store.StoredMessage;
 
 /**
- * Prints what the owner's turn costs in which a vault's snapshot is built and its file is
+ * Prints what the owner's turn costs in which a store's snapshot is built and its file is
  * rewritten: ms of a thread's processor.
  */
 final class SnapshotTurnCost {
--- a/src/test/java/yewjunction/raft/StoredDataFixture.java
+++ b/src/test/java/yewjunction/raft/StoredDataFixture.java
@@ -14,7 +14,7 @@
  * cut, a file rewritten with a snapshot, entries behind it, a change of voters, and a torn tail.
  * Those under src/test/resources/stored-data were written by release 0.1.0 (revision 268ab92) with
  * {@code mvn -q test-compile && java -cp target/test-classes:target/classes:$CLASSPATH
- * yewjunction.ledger.StoredDataFixture FOLDER}.
+ * yewjunction.log.StoredDataFixture FOLDER}.
  */
 final class StoredDataFixture {
   static final String IDENTITY = "10.0.0.4:7000#x";
--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Three seats and more machines than that: who sits in them when machines go for good, fall silent
+ * Three votes and more machines than that: who sits in them when machines go for good, fall silent
  * or stall.
  */
 class VoterPlacementSimulationTest extends RaftSimulation {
@@ -92,7 +92,7 @@
     network.runFor(6_000);
     assertEquals(voters().size(), 3);
     assertTrue(!voters().contains(away));
-    // The load goes on: what is acknowledged this very moment reaches it within a beat.
+    // The load goes on: what is acknowledged this very moment reaches it within a heartbeat.
     final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
     network.runFor(100);
     assertTrue(tales.get(away).told.values().containsAll(owed), "it was not brought up to date");
@@ -185,7 +185,7 @@
   }
 
   /**
-   * Planted: what a member says of its end is not heard, so its seat passes only once it has been
+   * Planted: what a member says of its end is not heard, so its vote passes only once it has been
    * silent.
    */
   @Test
@@ -236,7 +236,7 @@
   }
 
   /**
-   * Away for as long as a seat is kept, and back: meanwhile another voter goes for good, but the
+   * Away for as long as a vote is kept, and back: meanwhile another voter goes for good, but the
    * rest have everything.
    */
   @ParameterizedTest
--- a/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
@@ -38,7 +38,7 @@
     assertEquals("d:1", relay("d:2"));
     assertNull(relay("c:1"));
     allLearn("all is well");
-    // Close behind the end, or a seat could not be filled from them.
+    // Close behind the end, or a vote could not be filled from them.
     SPARES.forEach(
         spare ->
             assertTrue(
--- a/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -52,7 +52,7 @@
     assertEquals(1, termAfterALateAppend(true));
   }
 
-  /** The fault planted: the letter names no term. */
+  /** The fault planted: the message names no term. */
   @Test
   void withoutItsTermItWouldBeCut() {
     assertThrows(IllegalStateException.class, () -> termAfterALateAppend(false));
--- a/src/test/java/yewjunction/simulation/ScriptedTransport.java
+++ b/src/test/java/yewjunction/simulation/ScriptedTransport.java
@@ -9,12 +9,15 @@
 import yewjunction.common.PeerConnection;
 import yewjunction.common.PeerTransport;
 
-/** Links that keep what is sent on them; the test itself answers, in any order and from anyone. */
+/**
+ * Connections that keep what is sent on them; the test itself answers, in any order and from
+ * anyone.
+ */
 public final class ScriptedTransport implements PeerTransport {
   private final Map<String, ScriptedConnection> links = new HashMap<>();
   private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
 
-  /** A link, with what was sent on it. */
+  /** A connection, with what was sent on it. */
   public static final class ScriptedConnection implements PeerConnection {
     private final String remote;
     private final List<Object> sent = new ArrayList<>();
@@ -68,14 +71,14 @@
 
   @Override
   public void onClose(final Consumer<PeerConnection> handler) {
-    // Only the owner itself closes these links.
+    // Only the owner itself closes these connections.
   }
 
   public void respond(final String from, final Object message) {
     respond(connect(from), message);
   }
 
-  /** On that very link, also on one that was closed: as it were still being read. */
+  /** On that very connection, also on one that was closed: as it were still being read. */
   public void respond(final PeerConnection on, final Object message) {
     handlers.get(message.getClass()).accept(on, message);
   }
--- a/src/test/java/yewjunction/simulation/SimulatedHost.java
+++ b/src/test/java/yewjunction/simulation/SimulatedHost.java
@@ -7,7 +7,10 @@
 import yewjunction.common.MessageCodec;
 import yewjunction.raft.TaskExecutor;
 
-/** One process's place: it may be up, killed or dark; its disk outlives it unless it is wiped. */
+/**
+ * One process's place: it may be up, killed or unreachable; its disk outlives it unless it is
+ * wiped.
+ */
 public final class SimulatedHost implements AgentContext {
   public final SimulatedNetwork network;
   public final String address;
@@ -15,7 +18,7 @@
   public long syncMicros = 2_000;
   SimulatedTransport post;
 
-  /** Sees each letter before it is taken, and may plant a fault in it. */
+  /** Sees each message before it is taken, and may plant a fault in it. */
   public java.util.function.Consumer<Object> messageFilter = message -> {};
 
   private java.util.function.BiConsumer<String, Object> datagrams = (from, message) -> {};
@@ -68,7 +71,7 @@
     }
   }
 
-  /** The machine loses power: nothing answers, and unsynced writes are at the mercy of luck. */
+  /** The machine loses power: nothing answers, and unsynced writes are at the mercy of chance. */
   public void powerOff() {
     up = false;
     isolated = true;
@@ -83,7 +86,7 @@
     disk = new SimulatedDisk();
   }
 
-  /** Does nothing from now on, though its links stay up and take what comes. */
+  /** Does nothing from now on, though its connections stay up and take what comes. */
   public void freeze() {
     frozen = true;
   }
@@ -104,7 +107,7 @@
     diskStalledUntilMs = network.nowMs() + forMs;
   }
 
-  /** All its links break, at both ends. */
+  /** All its connections break, at both ends. */
   public void resetConnections() {
     if (up) {
       post.reset();
--- a/src/test/java/yewjunction/simulation/SimulatedNetwork.java
+++ b/src/test/java/yewjunction/simulation/SimulatedNetwork.java
@@ -22,7 +22,8 @@
   private long dragMicros;
 
   /**
-   * Bytes a second that a machine may send, and until when its link is busy with what it was given.
+   * Bytes a second that a machine may send, and until when its connection is busy with what it was
+   * given.
    */
   private final Map<String, Long> narrow = new TreeMap<>();
 
@@ -31,7 +32,7 @@
   /** Share of datagrams lost, and of TCP pieces that need to be sent again. */
   public double loss = 0.01;
 
-  /** Counts all letters; null for nobody. */
+  /** Counts all messages; null for nobody. */
   public TrafficMeter meter;
 
   private record ScheduledEvent(long atMicros, long order, Runnable task)
@@ -136,18 +137,18 @@
     return cuts.contains(way(from, to));
   }
 
-  /** A machine whose links, and only its, are slow. */
+  /** A machine whose connections, and only its, are slow. */
   public void drag(final String address, final long extraMs) {
     draggedMachine = machine(address);
     dragMicros = extraMs * 1_000;
   }
 
-  /** A machine whose link to all others carries no more than that. */
+  /** A machine whose connection to all others carries no more than that. */
   public void narrow(final String address, final long bytesPerSecond) {
     narrow.put(machine(address), bytesPerSecond);
   }
 
-  /** How long a letter waits for, and spends on, the sender's link. */
+  /** How long a message waits for, and spends on, the sender's connection. */
   long linkMicros(final String from, final int bytes) {
     final Long rate = narrow.get(machine(from));
     if (rate == null) {
--- a/src/test/java/yewjunction/simulation/SimulatedTransport.java
+++ b/src/test/java/yewjunction/simulation/SimulatedTransport.java
@@ -13,7 +13,7 @@
 import yewjunction.common.PeerConnection;
 import yewjunction.common.PeerTransport;
 
-/** Links over the simulated network; every letter is encoded and decoded as on the wire. */
+/** Connections over the simulated network; every message is encoded and decoded as on the wire. */
 public final class SimulatedTransport implements PeerTransport {
   final MessageCodec codec = new MessageCodec();
   private final SimulatedHost host;
@@ -33,7 +33,7 @@
     yewjunction.fanout.FanoutMessages.register(codec);
   }
 
-  /** One side of a link. */
+  /** One side of a connection. */
   private static final class End implements PeerConnection {
     private final SimulatedTransport owner;
     private final String remote;
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Held up by a cut: sent again and again as TCP does, in order, until the silence ends the link
-     * on both sides.
+     * Held up by a cut: sent again and again as TCP does, in order, until the silence ends the
+     * connection on both sides.
      */
     private void tryAgain() {
       final SimulatedNetwork network = owner.host.network;
@@ -228,7 +228,7 @@
     }
   }
 
-  /** Every link breaks as by a reset that both sides see. */
+  /** Every connection breaks as by a reset that both sides see. */
   void reset() {
     for (final End end : List.copyOf(ends)) {
       end.end();
@@ -239,8 +239,8 @@
   }
 
   /**
-   * All links end: with resets when the machine still answers, else only once the far side notices
-   * the silence.
+   * All connections end: with resets when the machine still answers, else only once the far side
+   * notices the silence.
    */
   void drop(final boolean resets) {
     for (final End end : List.copyOf(ends)) {
--- a/src/test/java/yewjunction/simulation/TrafficMeter.java
+++ b/src/test/java/yewjunction/simulation/TrafficMeter.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * Counts what processes say to one another: letters and their bytes, without the headers of the
+ * Counts what processes say to one another: messages and their bytes, without the headers of the
  * network below.
  */
 public final class TrafficMeter {
-  /** By process, then by kind of letter: count and bytes sent, count and bytes taken. */
+  /** By process, then by kind of message: count and bytes sent, count and bytes taken. */
   private final Map<String, Map<String, long[]>> rows = new HashMap<>();
 
-  /** By kind of letter: count and bytes between zones. */
+  /** By kind of message: count and bytes between zones. */
   public final Map<String, long[]> across = new TreeMap<>();
 
   void sent(final String from, final String to, final Object message, final int bytes) {
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Count and bytes sent, count and bytes taken by one process, of the letters whose kind begins
+   * Count and bytes sent, count and bytes taken by one process, of the messages whose kind begins
    * so.
    */
   public long[] totalsOf(final String address, final String kinds) {
--- a/src/test/java/yewjunction/store/TenantRateLimiterTest.java
+++ b/src/test/java/yewjunction/store/TenantRateLimiterTest.java
@@ -42,7 +42,7 @@
         taken.add(nowMs);
         follower.recordAcceptedElsewhere("t", nowMs + random.nextInt(20));
       }
-      // One change a window: more unsettle the core for far longer.
+      // One change a window: more unsettle the control group for far longer.
       if (nowMs - changedMs > 5_500 && random.nextInt(1_000) == 0) {
         changedMs = nowMs;
         final TenantRateLimiter old = leader;
--- a/src/test/java/yewjunction/system/BorrowingSimulationTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -19,13 +19,13 @@
 import yewjunction.store.ReferenceAccounts;
 
 /**
- * A tenant in a rush borrows ahead through all edges while the vaults fail: one debt, repaid once.
+ * A tenant in a rush borrows ahead through all edges while the stores fail: one debt, repaid once.
  */
 class BorrowingSimulationTest extends SystemSimulation {
   private static final int RATE = 20;
   private static final int BORROW_MAX = 150;
 
-  /** What each vault held, by tenant and entry, whenever it was looked at. */
+  /** What each store held, by tenant and entry, whenever it was looked at. */
   private final Map<String, String> seen = new HashMap<>();
 
   private boolean rush;
@@ -110,7 +110,7 @@
     return reference;
   }
 
-  /** All is quiet and repaid; whatever was seen at any vault is what the committed history says. */
+  /** All is quiet and repaid; whatever was seen at any store is what the committed history says. */
   private ReferenceAccounts repaid() {
     rush = false;
     cluster.network.join();
--- a/src/test/java/yewjunction/system/ConcurrentOperators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -11,8 +11,8 @@
 import yewjunction.simulation.SimulatedHost;
 
 /**
- * Operators that change and look all the time, lose answers and repeat at other cruxes; all they
- * see is written down.
+ * Operators that change and look all the time, lose answers and repeat at other control nodes; all
+ * they see is written down.
  */
 final class ConcurrentOperators {
   final SimulatedCluster cluster;
@@ -23,7 +23,7 @@
   private int changes;
   boolean quiet;
 
-  /** Between the operators and the cruxes: passes calls on, or answers in their place. */
+  /** Between the operators and the control nodes: passes calls on, or answers in their place. */
   interface Gate {
     void call(
         String controlNode, OperatorApi.Request request, Consumer<OperatorApi.Response> responder);
@@ -35,7 +35,7 @@
     random = new Random(seed);
   }
 
-  /** The real desk of a crux, where its process is up. */
+  /** The real desk of a control node, where its process is up. */
   static void ask(
       final SimulatedCluster cluster,
       final String controlNode,
--- a/src/test/java/yewjunction/system/DeliveryChecker.java
+++ b/src/test/java/yewjunction/system/DeliveryChecker.java
@@ -56,7 +56,7 @@
     boolean denied;
     long deniedMs;
 
-    /** When it was last said, on which link. */
+    /** When it was last said, on which connection. */
     long saidMs;
   }
 
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -8,7 +8,7 @@
 import yewjunction.settings.Settings;
 import yewjunction.simulation.SimulatedHost;
 
-/** What can be done to a town's machines, each deed noted. */
+/** What can be done to a town's machines, each command noted. */
 abstract class FaultInjector {
   /** ms; for so long a machine that came back still counts as lost. */
   static final long SYNC_MS = 4_000;
@@ -52,7 +52,7 @@
         .toList();
   }
 
-  /** Whoever leads the vaults, or the first of them. */
+  /** Whoever leads the stores, or the first of them. */
   String leader() {
     return cluster.all(NodeRole.STORE).stream()
         .filter(
--- a/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
+++ b/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
@@ -14,8 +14,8 @@
 import yewjunction.node.StoreNode;
 
 /**
- * A site loses its link under load and comes back: one history, each message once and in order, no
- * partner first.
+ * A site loses its connection under load and comes back: one history, each message once and in
+ * order, no partner first.
  */
 class IsolatedSiteSimulationTest extends SystemSimulation {
   private static final int TENANTS = 4;
@@ -62,7 +62,7 @@
     sameHistories();
   }
 
-  /** All vaults hold the same messages at the same places, as far back as each still keeps them. */
+  /** All stores hold the same messages at the same places, as far back as each still keeps them. */
   private void sameHistories() {
     final Map<Long, String> history = new TreeMap<>();
     for (final String store : cluster.all(NodeRole.STORE)) {
@@ -98,7 +98,7 @@
         }
         case 1 -> {
           // Long: leases lapse, clients move out and come back; an edge of the site dies in the
-          // dark.
+          // unreachable.
           cluster.isolateZone(zone, withVault);
           cluster.network.runFor(6_000);
           cluster.kill(
@@ -170,16 +170,16 @@
   }
 
   /**
-   * An edge that was away for longer than messages are kept lacks what its home has dropped: nobody
-   * loses by it.
+   * An edge that was away for longer than messages are kept lacks what its serving store has
+   * dropped: nobody loses by it.
    */
   @Test
   void anEdgeThatLacksWhatItsHomeHasDroppedLosesNobodyAMessage() {
     begin(41);
     cluster.network.runFor(3_000);
     final String edge = cluster.readyEdges("zone1").get(0);
-    // Only the stream is cut: leases stay, and so do the links of its clients until it lets them
-    // go.
+    // Only the stream is cut: leases stay, and so do the connections of its clients until it lets
+    // them go.
     cluster.all(NodeRole.STORE).forEach(store -> cluster.network.cut(edge, store));
     cluster.network.runFor(75_000);
     cluster.network.join();
--- a/src/test/java/yewjunction/system/OperatorCalls.java
+++ b/src/test/java/yewjunction/system/OperatorCalls.java
@@ -10,7 +10,7 @@
 import yewjunction.membership.NodeRole;
 import yewjunction.node.ControlNode;
 
-/** Single calls of an operator to single cruxes, each answered or not. */
+/** Single calls of an operator to single control nodes, each answered or not. */
 final class OperatorCalls {
   final SimulatedCluster cluster;
   final List<String> controlNodes;
@@ -97,7 +97,7 @@
     return send(controlNode, "POST", "/-/config/replace", "" + base, body);
   }
 
-  /** Goes on to other cruxes as callers do, until one answers clearly. */
+  /** Goes on to other control nodes as callers do, until one answers clearly. */
   Call insist(final String method, final String path, final long base, final String body) {
     for (int attempt = 0; attempt < 60; attempt++) {
       final Call call =
@@ -119,7 +119,7 @@
     return Long.parseLong(show().json().replaceAll(".*\"Ver\":([0-9]+).*", "$1"));
   }
 
-  /** Who says that it leads; the one in the given part where the core is parted. */
+  /** Who says that it leads; the one in the given part where the control group is parted. */
   String leader(final List<String> among) {
     final List<String> leaders = new ArrayList<>();
     cluster.network.runUntil(
--- a/src/test/java/yewjunction/system/OperatorSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorSimulationTest.java
@@ -12,7 +12,7 @@
 import yewjunction.control.OperatorApi;
 import yewjunction.membership.NodeRole;
 
-/** The operator's calls against the core, while it changes. */
+/** The operator's calls against the control group, while it changes. */
 class OperatorSimulationTest {
   private SimulatedCluster cluster;
 
--- a/src/test/java/yewjunction/system/OrderSimulationTest.java
+++ b/src/test/java/yewjunction/system/OrderSimulationTest.java
@@ -35,8 +35,7 @@
     for (int i = 0; i < 12; i++) {
       final SimulatedClient client =
           new SimulatedClient(cluster, checker, "c" + i, "zone" + (1 + i % 3), "key");
-      // Named in this order after each greeting: the dispatches first, what they follow behind
-      // them.
+      // Named in this order after each HELLO: the dispatches first, what they follow behind them.
       client.subscribe("d.1");
       client.subscribe("o.1");
       client.subscribe("o.2");
@@ -73,7 +72,7 @@
     return breaks;
   }
 
-  /** What the edges reported, by channel, from all cruxes. */
+  /** What the edges reported, by channel, from all control nodes. */
   private Map<String, Integer> reported() {
     final Map<String, Integer> reported = new HashMap<>();
     for (final String controlNode : cluster.all(NodeRole.CONTROL)) {
@@ -195,14 +194,14 @@
   }
 
   /**
-   * A home that sends messages the wrong way round: nothing comes out of place on any link, and
-   * each break is told.
+   * A serving store that sends messages the wrong way round: nothing comes out of place on any
+   * connection, and each break is told.
    */
   @Test
   void aPlantedFaultIsReportedAndNotWritten() {
     begin(51, 1_000);
     final int[] swapped = new int[1];
-    // At every edge: a link that is closed for a break may be taken up again at another one.
+    // At every edge: a connection that is closed for a break may be taken up again at another one.
     cluster
         .all(NodeRole.EDGE)
         .forEach(
@@ -233,8 +232,8 @@
     final Map<String, Integer> breaks = breaks();
     final Map<String, Integer> reported = reported();
     assertEquals(3, swapped[0]);
-    // What stands behind it on the link is lost with it: a client may see no break at all, but none
-    // that was not told.
+    // What stands behind it on the connection is lost with it: a client may see no break at all,
+    // but none that was not told.
     assertTrue(
         reported.values().stream().mapToInt(count -> count).sum() >= swapped[0],
         "reported " + reported);
--- a/src/test/java/yewjunction/system/RandomFaults.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -6,9 +6,9 @@
 import yewjunction.simulation.SimulatedHost;
 
 /**
- * Troubles drawn from a seed. One machine of the core or of the stores is lost at a time, and
- * counts as lost until SyncS after it is back; edges go in any number, and now and then everything
- * goes at once with its disks kept.
+ * Troubles drawn from a seed. One machine of the control group or of the stores is lost at a time,
+ * and counts as lost until SyncS after it is back; edges go in any number, and now and then
+ * everything goes at once with its disks kept.
  */
 final class RandomFaults extends FaultInjector {
   private final DeliveryChecker checker;
@@ -170,7 +170,7 @@
     cluster.network.runFor(SYNC_MS);
   }
 
-  /** The vault that leads goes the moment something was acknowledged. */
+  /** The store that leads goes the moment something was acknowledged. */
   private void afterAck(final boolean withDisk) {
     final int before = checker.acks;
     cluster.network.runUntil(() -> checker.acks > before, 3_000);
@@ -183,7 +183,9 @@
     lost(span(300, 3_000));
   }
 
-  /** The crux that acknowledged an order goes at once, or while the next one is on its way. */
+  /**
+   * The control node that acknowledged an order goes at once, or while the next one is on its way.
+   */
   private void afterOrder(final boolean withDisk) {
     final int before = operator.acks;
     cluster.network.runUntil(() -> operator.acks > before, 3_000);
--- a/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
+++ b/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
@@ -38,14 +38,14 @@
     cluster.all(NodeRole.EDGE).stream()
         .filter(other -> !other.equals(edge) && SimulatedCluster.zone(other).equals(zone))
         .forEach(cluster::powerOff);
-    // Links that were held up end, and its next lease tells it of its name.
+    // Connections that were held up end, and its next lease tells it of its name.
     cluster.network.runFor(8_000);
     assertTrue(cluster.edge(edge).ready(), edge + " is not ready");
     cluster.clients.stream()
         .filter(client -> client.zone.equals(zone))
         .forEach(SimulatedClient::cut);
     cluster.network.runFor(4_000);
-    // Another home knows of them by the set alone.
+    // Another serving store knows of them by the set alone.
     cluster.kill(edge.substring(0, edge.indexOf(":") - 1) + "9:" + SimulatedCluster.PORT);
     cluster.network.runFor(4_000);
     final long fromMs = cluster.network.nowMs();
@@ -64,7 +64,10 @@
     assertEquals(List.of(), checker.expired);
   }
 
-  /** An earlier life asked for its name through a crux whose letter to the leader comes late. */
+  /**
+   * An earlier life asked for its name through a control node whose message to the leader comes
+   * late.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void anEarlierLifesLateQuestionUnseatsNobody(final long seed) {
@@ -87,7 +90,7 @@
     served(cluster.clients.get(0).edge());
   }
 
-  /** Away for so long that the core has given its name up, and back in the same life. */
+  /** Away for so long that the control group has given its name up, and back in the same life. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void whoWasAwayForLongComesBackUnderAnotherName(final long seed) {
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -19,8 +19,8 @@
 import yewjunction.simulation.SimulatedNodes;
 
 /**
- * A whole system on simulated machines: three zones with a crux, two tides and one or more vaults
- * each.
+ * A whole system on simulated machines: three zones with a control node, two edges and one or more
+ * stores each.
  */
 final class SimulatedCluster {
   static final int PORT = 7000;
@@ -29,7 +29,7 @@
   final List<SimulatedClient> clients = new ArrayList<>();
   private final Map<String, MembershipList> membershipLists = new HashMap<>();
 
-  /** Where the core is, as the operator's list has it for whoever starts now. */
+  /** Where the control group is, as the operator's list has it for whoever starts now. */
   List<String> seeds = List.of("10.1.0.1:8024", "10.2.0.1:8024", "10.3.0.1:8024");
 
   private final boolean backgroundReads;
@@ -48,12 +48,14 @@
     this(seed, vaultsInZone, 1, false);
   }
 
-  /** Beside: orders are read beside the owner's thread and take a while, as on a real crux. */
+  /**
+   * Beside: orders are read beside the owner's thread and take a while, as on a real control node.
+   */
   SimulatedCluster(final long seed, final boolean readsBeside) {
     this(seed, 1, 1, readsBeside);
   }
 
-  /** Where two losses are to be borne there are two cruxes a zone. */
+  /** Where two losses are to be borne there are two control nodes a zone. */
   SimulatedCluster(
       final long seed, final int vaultsInZone, final int losses, final boolean readsBeside) {
     this.losses = losses;
@@ -213,7 +215,7 @@
     }
   }
 
-  /** Keeps calling until one crux answers with that status. */
+  /** Keeps calling until one control node answers with that status. */
   OperatorApi.Response insist(
       final String method,
       final String path,
--- a/src/test/java/yewjunction/system/SpareStoreSimulationTest.java
+++ b/src/test/java/yewjunction/system/SpareStoreSimulationTest.java
@@ -10,7 +10,7 @@
 import yewjunction.simulation.TrafficMeter;
 
 /**
- * More vaults than seats, relays inside zones, and failures of whoever serves: nothing is lost, and
+ * More stores than votes, relays inside zones, and failures of whoever serves: nothing is lost, and
  * nothing runs in circles.
  */
 class SpareStoreSimulationTest extends SystemSimulation {
@@ -49,7 +49,7 @@
       switch ((int) ((seed + round) % 6)) {
         case 0 -> cluster.kill(store);
         case 1 -> {
-          // Away for long enough to lose its seat.
+          // Away for long enough to lose its vote.
           cluster.nodes.keySet().stream()
               .filter(other -> !other.equals(store))
               .forEach(other -> cluster.network.cut(store, other));
--- a/src/test/java/yewjunction/system/SystemSimulationTest.java
+++ b/src/test/java/yewjunction/system/SystemSimulationTest.java
@@ -91,7 +91,7 @@
   void aKeyTakenAwayOpensNothingMore() {
     begin(3, 1_000);
     cluster.network.runFor(3_000);
-    // One edge is cut off from every crux: its lease must end by itself.
+    // One edge is cut off from every control node: its lease must end by itself.
     final String lonely = cluster.readyEdges("zone1").get(0);
     cluster
         .all(NodeRole.CONTROL)
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Many are denied by leaders that soon hand over, and their words come late: whoever is told
-   * RETRY, nobody gets it.
+   * Many are denied by leaders that soon transfer the leadership, and their words come late:
+   * whoever is told RETRY, nobody gets it.
    */
   @ParameterizedTest
   @ValueSource(longs = {71, 72, 73, 74, 75, 76})
--- a/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
+++ b/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
@@ -111,7 +111,7 @@
         "shows " + version + " after " + operator.acked);
   }
 
-  /** The newest message that a vault knows as committed. */
+  /** The newest message that a store knows as committed. */
   private long held(final String store) {
     return ((StoreNode) cluster.nodes.get(store))
         .messageStore().between(0, Long.MAX_VALUE).stream()
@@ -121,7 +121,7 @@
   }
 
   /**
-   * Starts a machine beside the leader of the vaults, then ends the leader as planned work does.
+   * Starts a machine beside the leader of the stores, then ends the leader as planned work does.
    */
   private String replacedLeader(final long seed) {
     begin(seed, 3);
@@ -147,18 +147,18 @@
 
   /**
    * A spare follows the leader that is then stopped: the next leader knows it, and it takes the
-   * empty seat.
+   * empty vote.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void whoFollowedTheOldLeaderIsTakenOverByTheNew(final long seed) {
     seated(replacedLeader(seed));
-    // Enough orders for the check at the end, however soon the seat passed.
+    // Enough orders for the check at the end, however soon the vote passed.
     cluster.network.runFor(1_000);
     end();
   }
 
-  /** Planted: nobody hears the newcomer ask. */
+  /** Planted: nobody hears the new member ask. */
   @Test
   void aSpareThatNobodyHearsShows() {
     replacedLeader(1);
@@ -197,7 +197,7 @@
     play(seed, stores, 6);
   }
 
-  /** Five voters of six stores and of six cruxes, and two machines lost at once. */
+  /** Five voters of six stores and of six control nodes, and two machines lost at once. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void twoLossesAtOnceAreBorne(final long seed) {
@@ -205,7 +205,7 @@
   }
 
   /**
-   * Worlds that failed once: the seat of a leader that stopped was empty at the next loss; a leader
+   * Worlds that failed once: the vote of a leader that stopped was empty at the next loss; a leader
    * cut off refused an order.
    */
   @ParameterizedTest
