--- a/src/main/java/yewjunction/cli/DoctorCommand.java
+++ b/src/main/java/yewjunction/cli/DoctorCommand.java
@@ -87,7 +87,8 @@
         calendar == null ? null : MaintenanceWindows.read(Path.of(calendar));
     final List<Finding> findings;
     try {
-      findings = lasting(Settings.load(settings), folder == null ? null : Path.of(folder), windows);
+      findings =
+          findLasting(Settings.load(settings), folder == null ? null : Path.of(folder), windows);
     } catch (final YewjunctionException failure) {
       err.println(failure.code() + " " + failure.getMessage());
       return ExitCode.USAGE;
@@ -95,7 +96,7 @@
       err.println("cannot read " + folder + ": " + failure.getCause().getMessage());
       return ExitCode.USAGE;
     }
-    tell(findings, json, out);
+    print(findings, json, out);
     return findings.isEmpty() ? ExitCode.OK : ExitCode.FINDINGS;
   }
 
@@ -103,7 +104,7 @@
    * What the second look finds too: elections, roll-outs and starts pass within moments, and news
    * of them a little later.
    */
-  private static List<Finding> lasting(
+  private static List<Finding> findLasting(
       final Settings settings, final Path folder, final MaintenanceWindows windows) {
     final List<Finding> first = new Doctor(settings, folder).planned(windows).examine();
     if (first.stream().noneMatch(finding -> TRANSIENT.contains(finding.code()))) {
@@ -122,7 +123,7 @@
     return second;
   }
 
-  private static void tell(
+  private static void print(
       final List<Finding> findings, final boolean json, final PrintStream out) {
     if (json) {
       out.println(
--- a/src/main/java/yewjunction/cli/RehearsalClients.java
+++ b/src/main/java/yewjunction/cli/RehearsalClients.java
@@ -137,7 +137,7 @@
    * The tenant's page once so many stores say so: they tell a control node with their next lease
    * what they hold.
    */
-  private String shown(final String wanted, final int vaults)
+  private String shown(final String wanted, final int stores)
       throws IOException, InterruptedException {
     final HttpClient caller = HttpClient.newHttpClient();
     final HttpRequest request =
@@ -147,7 +147,7 @@
             .build();
     String page = "";
     for (int waitedMs = 0;
-        waitedMs < PATIENCE_MS && page.split(wanted, -1).length <= vaults;
+        waitedMs < PATIENCE_MS && page.split(wanted, -1).length <= stores;
         waitedMs += STEP_MS) {
       Thread.sleep(STEP_MS);
       page = caller.send(request, HttpResponse.BodyHandlers.ofString()).body();
--- a/src/main/java/yewjunction/common/CodecException.java
+++ b/src/main/java/yewjunction/common/CodecException.java
@@ -4,10 +4,12 @@
 public final class CodecException extends YewjunctionException {
   private static final long serialVersionUID = 1L;
 
+  /** A failure that this layer found itself. */
   public CodecException(final ErrorCode code, final String text) {
     this(code, text, null);
   }
 
+  /** A failure with another one behind it. */
   public CodecException(final ErrorCode code, final String text, final Throwable cause) {
     super(code, text, cause);
   }
--- a/src/main/java/yewjunction/common/LogEvent.java
+++ b/src/main/java/yewjunction/common/LogEvent.java
@@ -2,7 +2,10 @@
 
 import org.tinylog.Logger;
 
-/** Numbered log events; the catalogue with what to do about each is docs/events.md. */
+/**
+ * Numbered log events. docs/events.md lists them with what to do about each. A number never changes
+ * and is never given again; alarms are set on numbers.
+ */
 public enum LogEvent {
   STARTED(100),
   STOPPING(101),
@@ -65,18 +68,22 @@
     this.number = number;
   }
 
+  /** The number by which operators know the event. */
   public int number() {
     return number;
   }
 
+  /** Logs the event as a part of ordinary operation. */
   public void info(final String text) {
     Logger.info("E{} {} {}", number, name(), text);
   }
 
+  /** Logs the event as one that somebody should look at. */
   public void warn(final String text) {
     Logger.warn("E{} {} {}", number, name(), text);
   }
 
+  /** Logs the event as one that somebody should look at, with the failure behind it. */
   public void warn(final String text, final Throwable cause) {
     Logger.warn(cause, "E{} {} {}", number, name(), text);
   }
--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -10,7 +10,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Messages to bytes and back: one byte of kind, then Protostuff. One thread at a time. */
+/**
+ * Messages to bytes and back: one byte that numbers the type, then its fields in Protostuff's
+ * format, by position. Not thread-safe: each agent has one.
+ */
 public final class MessageCodec {
   private final Map<Class<?>, Integer> numberByType = new HashMap<>();
   private final Map<Integer, Schema<?>> schemaByNumber = new HashMap<>();
@@ -26,6 +29,11 @@
     return this;
   }
 
+  /**
+   * The bytes of a message.
+   *
+   * @throws CodecException when its type is not registered
+   */
   @SuppressWarnings("unchecked")
   public byte[] encode(final Object message) {
     final Integer number = numberByType.get(message.getClass());
@@ -46,6 +54,11 @@
     return whole;
   }
 
+  /**
+   * The message in a part of an array.
+   *
+   * @throws CodecException when its number is not known or its body cannot be read
+   */
   @SuppressWarnings("unchecked")
   public Object decode(final byte[] bytes, final int offset, final int length) {
     // An unknown kind is told apart from a broken one: it may come from a newer release and is
--- a/src/main/java/yewjunction/common/PeerConnection.java
+++ b/src/main/java/yewjunction/common/PeerConnection.java
@@ -1,12 +1,17 @@
 package yewjunction.common;
 
-/** An ordered connection to a member; messages are lost only together with the connection. */
+/**
+ * An ordered connection to another node. Messages are lost only together with the connection. All
+ * calls on the agent's thread.
+ */
 public interface PeerConnection {
   /** Queues a message; false when the connection is closed. */
   boolean send(Object message);
 
+  /** Closes the connection; what is queued may be lost. */
   void close();
 
+  /** Whether it is open or being established. */
   boolean isOpen();
 
   /** The far address, ip:port; for connections taken in, the port is the peer's ephemeral one. */
--- a/src/main/java/yewjunction/common/PendingRequests.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -9,14 +9,14 @@
 import java.util.function.Predicate;
 
 /**
- * Questions that one life of a process has asked and that are open, each by its number, with whom
- * it was asked of. An answer counts once, and only from that one. Numbers go on from a start that
- * the life makes, so that an answer to an earlier life meets none: the number alone says whose
- * question it was, and the messages need no further field.
+ * Requests that one life of a process has sent and that are open, each by its id, with whom it was
+ * sent to. A response counts once, and only from there. Ids go on from a start that the life draws,
+ * so that a response to an earlier life meets no request: the id alone says whose request it was,
+ * and messages need no further field.
  *
- * @param <P> who is asked: a connection, which ends with either process, or the address where
+ * @param <P> who was asked: a connection, which ends with either process, or the address where
  *     datagrams leave nothing better
- * @param <T> what the asker wants back with the answer
+ * @param <T> what the asker wants back with the response
  */
 public final class PendingRequests<P, T> {
   private final Map<Long, Pending<P, T>> pending = new HashMap<>();
@@ -52,6 +52,7 @@
     return question.context;
   }
 
+  /** Whether no response is awaited. */
   public boolean isEmpty() {
     return pending.isEmpty();
   }
@@ -61,6 +62,7 @@
     pending.remove(number);
   }
 
+  /** No response to an earlier request counts any more. */
   public void cancelAll() {
     pending.clear();
   }
--- a/src/main/java/yewjunction/common/YewjunctionException.java
+++ b/src/main/java/yewjunction/common/YewjunctionException.java
@@ -13,6 +13,7 @@
     this.code = code;
   }
 
+  /** What went wrong, for programs. */
   public ErrorCode code() {
     return code;
   }
--- a/src/main/java/yewjunction/control/AccountBalance.java
+++ b/src/main/java/yewjunction/control/AccountBalance.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What one store holds of a tenant that borrows ahead, for operators; amounts in thousandths of a
- * message.
+ * What one store holds of a tenant that borrows ahead, for operators. Amounts in thousandths of a
+ * message, shares in millionths. Encoded by position.
  */
 public final class AccountBalance {
   /** Thousandths, and millionths of a share. */
--- a/src/main/java/yewjunction/control/CallDecision.java
+++ b/src/main/java/yewjunction/control/CallDecision.java
@@ -3,9 +3,16 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * What a look at the state says to an operator's call. Beside: to be worked out off the owner's
- * thread before the next look. Command: to be agreed on first; then that is done, and this is the
- * answer. Fact: see there.
+ * What a look at the state decides about an operator's call: one of the four that the factory
+ * methods make.
+ *
+ * @param response what to answer, null while work is still to be done
+ * @param needsConfirmation the response tells of this node's state, so a majority must confirm the
+ *     leadership first
+ * @param backgroundWork to be run off the agent's thread before the state is looked at again, else
+ *     null
+ * @param command to be committed before the response is sent, else null
+ * @param onApplied called once the command is applied here
  */
 record CallDecision(
     OperatorApi.Response response,
--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -8,7 +8,13 @@
 import yewjunction.raft.RaftNode;
 import yewjunction.raft.TaskExecutor;
 
-/** The operator's changes, one at a time, so that each is checked against the one before. */
+/**
+ * The operator's changes, one at a time, so that each is checked against the outcome of the one
+ * before. A change is parsed off the agent's thread, decided on it, and proposed to the log; the
+ * next one begins once it is applied.
+ *
+ * <p>Owned by {@link OperatorApi}; all calls on the agent's thread.
+ */
 final class ChangeQueue {
   private final AgentContext context;
   private final RaftNode raftNode;
@@ -16,9 +22,9 @@
   private final ArrayDeque<PendingCall> queue = new ArrayDeque<>();
   private boolean processing;
   private TaskExecutor executor =
-      (blocking, afterwards) -> {
+      (blocking, continuation) -> {
         blocking.run();
-        afterwards.run();
+        continuation.run();
       };
 
   private record PendingCall(
@@ -164,8 +170,8 @@
   }
 
   /** Comes as a command of its own: the log drops questions before it has let go of its lead. */
-  private void onLeadershipConfirmed(final PendingCall call, final boolean held) {
-    if (held) {
+  private void onLeadershipConfirmed(final PendingCall call, final boolean confirmed) {
+    if (confirmed) {
       enqueue(
           new PendingCall(call.preparation, call.decider, call.responder, call.deadlineMs, true));
     } else {
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -8,7 +8,11 @@
 import java.util.Set;
 import yewjunction.raft.RaftNode;
 
-/** What the control group has decided besides the configuration. */
+/**
+ * What the control group has decided besides the configuration: replica ids, the first stores,
+ * retirements. Changed by {@link ControlCommand}s only, the same at every node that has applied the
+ * same ones. Encoded by position.
+ */
 public final class ClusterState {
   long version;
   long newestReplicaId;
@@ -23,6 +27,7 @@
   List<Retirement> retirements = new ArrayList<>();
   private transient Map<String, Replica> byAddress;
 
+  /** A process that takes part in the subscription set, under an id that no other one gets. */
   static final class Replica {
     long id;
     String address = "";
@@ -43,6 +48,7 @@
     ControlCommand command = new ControlCommand();
   }
 
+  /** Index of the entry that changed it last. */
   public long version() {
     return version;
   }
@@ -104,10 +110,12 @@
     return true;
   }
 
+  /** The largest id given so far; ids are given in rising order. */
   public long newestReplicaId() {
     return newestReplicaId;
   }
 
+  /** Ids that are in use. */
   public Set<Long> liveReplicaIds() {
     final Set<Long> live = new HashSet<>();
     replicas.forEach(replica -> live.add(replica.id));
@@ -125,6 +133,7 @@
     return replica != null && replica.life == life ? replica.id : 0;
   }
 
+  /** Address of the process with that replica id, null when the id is not in use. */
   public String addressOf(final long name) {
     for (final Replica replica : replicas) {
       if (replica.id == name) {
@@ -134,6 +143,7 @@
     return null;
   }
 
+  /** Identities of the first voters of the stores' group, empty before they are chosen. */
   public List<String> stores() {
     return stores;
   }
--- a/src/main/java/yewjunction/control/ClusterStatus.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -11,8 +11,8 @@
 import yewjunction.raft.RaftNode;
 
 /**
- * How the system looks from one control node, for operators and the doctor. Answered by any control
- * node, from its own tables.
+ * How the system looks from one control node, as JSON for operators and the doctor: built from the
+ * node's own tables, so any node answers. The names of its fields never change.
  */
 final class ClusterStatus {
   private final ControlStateMachine stateMachine;
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -29,7 +29,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One version of the operator's configuration, checked; all fields are kept as they were sent. */
+/**
+ * One version of the operator's configuration, checked. Immutable; all fields are kept as they were
+ * sent, also those that this release does not know.
+ */
 public final class Configuration {
   private final Config source;
   private final long version;
@@ -68,9 +71,9 @@
       long borrowMax,
       long repayPpm) {}
 
-  private Configuration(final Config whole) {
-    this.source = whole;
-    version = number(whole, "Ver", "Ver");
+  private Configuration(final Config source) {
+    this.source = source;
+    version = number(source, "Ver", "Ver");
     // A version is a whole number above 0: 0 stands for no configuration at all.
     if (version <= 0) {
       throw new ConfigurationException(CONFIG_FIELD, "Ver: must be above 0");
@@ -82,6 +85,11 @@
     return of(parse(json));
   }
 
+  /**
+   * Reads JSON without checking what it says.
+   *
+   * @throws ConfigurationException when it is no JSON object
+   */
   public static Config parse(final String json) {
     try {
       return ConfigFactory.parseString(
@@ -91,13 +99,18 @@
     }
   }
 
-  public static Configuration of(final Config whole) {
+  /**
+   * Checks all of a configuration that was parsed.
+   *
+   * @throws ConfigurationException with the path of the first fault
+   */
+  public static Configuration of(final Config source) {
     try {
-      final Configuration configuration = new Configuration(whole);
+      final Configuration configuration = new Configuration(source);
       configuration.readRoutes();
       configuration.readTenants();
-      if (whole.hasPath("Lims.Subs")) {
-        configuration.maxSubscriptions = whole.getInt("Lims.Subs");
+      if (source.hasPath("Lims.Subs")) {
+        configuration.maxSubscriptions = source.getInt("Lims.Subs");
       }
       return configuration;
     } catch (final ConfigException failure) {
@@ -207,10 +220,12 @@
         Math.round(repayShare * 1e6));
   }
 
+  /** Its number; above 0. */
   public long version() {
     return version;
   }
 
+  /** The route with the longest prefix of the topic, null when there is none. */
   public Route routeOf(final String topic) {
     for (final Route route : routes) {
       if (route.host.isEmpty() && topic.startsWith(route.prefix)) {
@@ -220,26 +235,32 @@
     return null;
   }
 
+  /** Whose key that is, null when nobody's. */
   public Tenant tenantOfKey(final String key) {
     return tenantsByKey.get(key);
   }
 
+  /** The tenant of that name, null when there is none. */
   public Tenant tenant(final String name) {
     return tenantsByName.get(name);
   }
 
+  /** All tenants; read-only. */
   public Collection<Tenant> tenants() {
     return Collections.unmodifiableCollection(tenantsByName.values());
   }
 
+  /** All routes, the longest prefix first; read-only. */
   public Collection<Route> routes() {
     return Collections.unmodifiableCollection(routes);
   }
 
+  /** How many topics a client may subscribe to on one connection. */
   public int maxSubscriptions() {
     return maxSubscriptions;
   }
 
+  /** The whole text, with all fields as they were sent. */
   public String json() {
     return toJson(source);
   }
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -13,11 +13,13 @@
 
 /**
  * A change of the configuration as it was sent, and what can be said of it whatever version is
- * current. It is read by one thread at a time and handed on through queues; between two looks at it
+ * current.
+ *
+ * <p>Threads: used by one thread at a time and handed on through queues. Between two looks at it
  * only its text is kept.
  */
 final class ConfigurationChange {
-  private final String callName;
+  private final OperatorCall call;
   private final byte[] body;
   final long baseVersion;
 
@@ -37,8 +39,8 @@
   private ControlCommand command;
   private Configuration result;
 
-  ConfigurationChange(final String shape, final String base, final byte[] body) {
-    this.callName = shape;
+  ConfigurationChange(final OperatorCall call, final String base, final byte[] body) {
+    this.call = call;
     this.baseVersion = Long.parseLong(base.trim());
     this.body = body;
   }
@@ -58,7 +60,7 @@
     try {
       sent = Configuration.parse(new String(body, StandardCharsets.UTF_8));
       version = sent.hasPath("Ver") ? sent.getLong("Ver") : 0;
-      digest = digest(callName + " " + baseVersion + " " + Configuration.toJson(sent));
+      digest = digest(digestPrefix() + " " + baseVersion + " " + Configuration.toJson(sent));
       check();
     } catch (final ConfigurationException found) {
       failure = found;
@@ -71,6 +73,11 @@
     }
   }
 
+  /** Part of a digest that is kept in the log: these texts never change. */
+  private String digestPrefix() {
+    return call == OperatorCall.REPLACE_CONFIGURATION ? "config replace" : "config update";
+  }
+
   /** What was read goes, the text stays: many that wait must not fill the memory. */
   void discardParsed() {
     sent = null;
@@ -90,7 +97,7 @@
   }
 
   private void check() {
-    if (callName.equals("config replace")) {
+    if (call == OperatorCall.REPLACE_CONFIGURATION) {
       replacement = Configuration.of(sent);
     } else if (!sent.hasPath("Ver")) {
       throw new ConfigurationException(CONFIG_FIELD, "Ver: is missing");
@@ -146,7 +153,7 @@
   }
 
   /** Null until it is prepared, or where it has a failure. */
-  ControlCommand deed() {
+  ControlCommand command() {
     return command;
   }
 
--- a/src/main/java/yewjunction/control/ConfigurationPatches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -17,7 +17,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What an update makes of a configuration, and which update makes one of another. */
+/**
+ * What an update makes of a configuration, and which update leads from one configuration to
+ * another. An update replaces, adds and removes items of lists by their {@code Name}.
+ */
 final class ConfigurationPatches {
   private ConfigurationPatches() {}
 
@@ -88,27 +91,27 @@
   }
 
   /** What an update makes of a configuration: named items replaced, added or removed. */
-  static Config apply(final Config whole, final Config update) {
+  static Config apply(final Config source, final Config update) {
     final Config upserts =
         update.hasPath("Upsert") ? update.getConfig("Upsert") : ConfigFactory.empty();
     final Config removals = update.hasPath("Del") ? update.getConfig("Del") : ConfigFactory.empty();
     final Set<String> lists = new HashSet<>(upserts.root().keySet());
     lists.addAll(removals.root().keySet());
-    Config changed = whole.withValue("Ver", update.getValue("Ver"));
+    Config changed = source.withValue("Ver", update.getValue("Ver"));
     for (final String list : lists) {
-      changed = changed.withValue(list, mergeList(whole, list, upserts, removals));
+      changed = changed.withValue(list, mergeList(source, list, upserts, removals));
     }
     return changed;
   }
 
   private static ConfigValue mergeList(
-      final Config whole, final String list, final Config upserts, final Config removals) {
+      final Config source, final String list, final Config upserts, final Config removals) {
     // Lims is no list of named items: an Upsert of it stands for the whole of it.
     if (upserts.hasPath(list) && upserts.getValue(list).valueType() == ConfigValueType.OBJECT) {
       return upserts.getValue(list);
     }
     final Map<String, ConfigValue> byName = new LinkedHashMap<>();
-    for (final Config item : items(whole, list)) {
+    for (final Config item : items(source, list)) {
       byName.put(text(item, "Name", list, true), item.root());
     }
     for (final String name :
--- a/src/main/java/yewjunction/control/ControlCommand.java
+++ b/src/main/java/yewjunction/control/ControlCommand.java
@@ -3,7 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One entry of the control group's log. */
+/**
+ * One command in the log of the control group. Which fields count depends on the kind. Fields are
+ * encoded by position: one may be added at the end, and none may be moved, removed or given another
+ * type.
+ */
 final class ControlCommand {
   static final int SET_CONFIGURATION = 1;
   static final int ASSIGN_REPLICA = 2;
--- a/src/main/java/yewjunction/control/ControlService.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -13,7 +13,10 @@
 import yewjunction.raft.VoterPlacement;
 import yewjunction.settings.Settings;
 
-/** One member of the control group: its log, leases, registrations and the operator's desk. */
+/**
+ * One member of the control group on a node: its log, the leases it grants, the registrations it
+ * takes, and the operator's calls. All calls on the agent's thread.
+ */
 public final class ControlService implements ControlStateMachine.Listener {
   /** Group number of the control group's log. */
   public static final int GROUP = 0;
@@ -28,6 +31,7 @@
   /** Without a disk of its own it only serves: what it promised would end with its process. */
   private final boolean canVote;
 
+  /** Opens the group's log and puts the service together; nothing is sent before {@link #start}. */
   public ControlService(
       final AgentContext context,
       final PeerTransport transport,
@@ -95,10 +99,12 @@
         .toList();
   }
 
+  /** The operator's calls. */
   public OperatorApi operatorApi() {
     return operatorApi;
   }
 
+  /** This node's member of the control group. */
   public RaftNode raftNode() {
     return raftNode;
   }
--- a/src/main/java/yewjunction/control/ControlStateMachine.java
+++ b/src/main/java/yewjunction/control/ControlStateMachine.java
@@ -11,7 +11,10 @@
 import yewjunction.common.LogEvent;
 import yewjunction.raft.StateMachine;
 
-/** The state that the control group's log drives; the same on every control node. */
+/**
+ * The state that the control group's log drives, the same at every control node: the configuration,
+ * the changes accepted lately, and the {@link ClusterState}. All calls on the agent's thread.
+ */
 final class ControlStateMachine implements StateMachine {
   private static final Schema<ControlCommand> COMMAND_SCHEMA =
       RuntimeSchema.getSchema(ControlCommand.class);
@@ -46,8 +49,8 @@
     void onLeaderChange(String identity, boolean self);
   }
 
-  ControlStateMachine(final Listener watcher) {
-    this.listener = watcher;
+  ControlStateMachine(final Listener listener) {
+    this.listener = listener;
   }
 
   static byte[] encode(final ControlCommand command) {
--- a/src/main/java/yewjunction/control/FieldReader.java
+++ b/src/main/java/yewjunction/control/FieldReader.java
@@ -6,7 +6,10 @@
 import com.typesafe.config.ConfigValueType;
 import java.util.List;
 
-/** Reads single fields of a configuration; what is wrong is named by its path. */
+/**
+ * Reads fields of a configuration and says which is wrong. Each method throws {@link
+ * ConfigurationException} with CONFIG_FIELD and the path of the field.
+ */
 final class FieldReader {
   private FieldReader() {}
 
--- a/src/main/java/yewjunction/control/LeaseClient.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -20,8 +20,12 @@
 import yewjunction.membership.NodeRole;
 
 /**
- * A process's hold on the configuration: renewed from a control node control node, lapsed when no
- * majority stands behind it.
+ * An edge's or store's hold on the configuration: a lease that is renewed from a control node and
+ * expires when no majority stands behind it, so that a node that is cut off stops using what may
+ * have been taken away.
+ *
+ * <p>Invariants: the version never falls in one life of a process; a response counts only for a
+ * request of this life, from the node that was asked. All calls on the agent's thread.
  */
 public final class LeaseClient {
   private final AgentContext context;
@@ -46,8 +50,10 @@
 
   /** Told of what changed. */
   public interface Listener {
+    /** Another version is in force. */
     void onConfigurationChanged(Configuration configuration);
 
+    /** Replica ids, stores or retirements changed. */
     void onClusterStateChanged(ClusterState clusterState);
   }
 
@@ -55,15 +61,20 @@
   public LeaseClient(
       final AgentContext context,
       final PeerTransport transport,
-      final Supplier<List<String>> homes,
-      final Listener watcher) {
+      final Supplier<List<String>> controlNodes,
+      final Listener listener) {
     this.context = context;
     this.transport = transport;
-    this.controlNodes = homes;
-    this.listener = watcher;
+    this.controlNodes = controlNodes;
+    this.listener = listener;
     transport.onMessage(LeaseResponse.class, this::onLeaseResponse);
   }
 
+  /**
+   * Who asks; said with each renewal.
+   *
+   * @param life drawn at this start of the process
+   */
   public LeaseClient identifiedAs(
       final String address,
       final String node,
@@ -128,6 +139,7 @@
     process.emptiedNodes = new ArrayList<>(nodes);
   }
 
+  /** Asks for a lease now, and renews it from then on. */
   public void start() {
     renew();
   }
@@ -226,6 +238,7 @@
     }
   }
 
+  /** Version of the configuration in force, 0 before the first. */
   public long version() {
     return configuration == null ? 0 : configuration.version();
   }
@@ -235,6 +248,7 @@
     return configuration;
   }
 
+  /** What is known of replicas, stores and retirements. */
   public ClusterState clusterState() {
     return clusterState;
   }
--- a/src/main/java/yewjunction/control/LeaseMessages.java
+++ b/src/main/java/yewjunction/control/LeaseMessages.java
@@ -4,10 +4,15 @@
 import java.util.List;
 import yewjunction.common.MessageCodec;
 
-/** What edges, stores and control nodes say to one another about configuration and leases. */
+/**
+ * The messages between control nodes and the processes that hold leases from them. Fields are
+ * encoded by position: one may be added at the end, and none may be moved, removed or given another
+ * type.
+ */
 public final class LeaseMessages {
   private LeaseMessages() {}
 
+  /** Registers all messages under their numbers. */
   public static void register(final MessageCodec codec) {
     codec
         .register(50, LeaseRequest.class)
@@ -91,6 +96,10 @@
     long requestId;
   }
 
+  /**
+   * Whether a majority confirmed the leadership after the request came, and what was committed
+   * then.
+   */
   static final class ConfirmLeadershipResponse {
     long requestId;
     boolean confirmed;
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -23,7 +23,14 @@
 import yewjunction.raft.RaftNode;
 
 /**
- * Home for the edges and stores of a zone: leases on the leader's confirmed word, and news at once.
+ * Grants leases to the edges and stores that ask this control node, and tells them of changes at
+ * once. A lease counts from when it was asked for, and is granted only after a majority has
+ * confirmed the leader since then.
+ *
+ * <p>Invariant: nothing is granted before this node has applied all that was committed when the
+ * leader was confirmed.
+ *
+ * <p>Owned by {@link ControlService}; all calls on the agent's thread.
  */
 final class LeaseServer {
   private final AgentContext context;
--- a/src/main/java/yewjunction/control/LeasedProcesses.java
+++ b/src/main/java/yewjunction/control/LeasedProcesses.java
@@ -11,8 +11,8 @@
 import yewjunction.control.LeaseMessages.ProcessReport;
 
 /**
- * What the edges and stores that ask this control node for leases say of themselves: for operators
- * and the doctor only.
+ * What the edges and stores that ask this control node for leases report of themselves, for
+ * operators and the doctor only; nothing is decided by it. All calls on the agent's thread.
  */
 final class LeasedProcesses {
   private final AgentContext context;
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -21,7 +21,13 @@
 import yewjunction.membership.NodeRole;
 import yewjunction.raft.RaftNode;
 
-/** The leader's decisions about processes: replica names, the first store voters, retirements. */
+/**
+ * The leader's decisions about processes: replica ids of edges, the first voters among the stores,
+ * and retirements. A leader knows the stores by their reports alone, so a new one decides nothing
+ * against an operator before all had time to report.
+ *
+ * <p>Owned by {@link ControlService}; all calls on the agent's thread.
+ */
 final class NodeRegistry {
   private final AgentContext context;
   private final PeerTransport transport;
@@ -56,11 +62,11 @@
   }
 
   void onReport(final ProcessReport process) {
-    final boolean vault = NodeRole.STORE.is(process.role);
+    final boolean isStore = NodeRole.STORE.is(process.role);
     if (!raftNode.isReadyLeader()) {
       // Only the leader decides; stores are told of each time, edges until they have their name.
       final boolean news =
-          vault || stateMachine.clusterState().replicaId(process.address, process.life) == 0;
+          isStore || stateMachine.clusterState().replicaId(process.address, process.life) == 0;
       if (news && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
         final RegisterRequest request = new RegisterRequest();
         request.process = process;
@@ -72,7 +78,7 @@
       }
       return;
     }
-    if (vault) {
+    if (isStore) {
       storeReports.put(process.address, new StoreReport(process, context.nowMs()));
       chooseFirstStores();
       process.emptiedNodes.forEach(this::onNodeEmptied);
@@ -220,7 +226,7 @@
     return rows;
   }
 
-  boolean knows(final String node) {
+  boolean isKnown(final String node) {
     return recentReportOf(node) != null || stateMachine.clusterState().retirementOf(node) != null;
   }
 
@@ -235,7 +241,7 @@
    * Not of the system as far as this leader can know; one that called once and is silent now is of
    * it.
    */
-  boolean isUnknown(final String node) {
+  boolean isCertainlyUnknown(final String node) {
     return allStoresHaveReported()
         && storeReports.values().stream()
             .noneMatch(
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -18,7 +18,16 @@
 import yewjunction.raft.RaftNode;
 import yewjunction.raft.TaskExecutor;
 
-/** The operator's calls: one dispatch on method and path segments. All on the owner's thread. */
+/**
+ * The operator's calls, described in docs/operating.md. Any node answers what it knows itself; all
+ * else is answered by the leader, and by its state only after a majority has confirmed, since the
+ * call came, that it still leads.
+ *
+ * <p>Errors are JSON with {@code Err} (a code that never changes) and {@code Text}. 307 names the
+ * leader; 503 means that the same call may be sent again, here or elsewhere.
+ *
+ * <p>All calls and responses on the agent's thread.
+ */
 public final class OperatorApi {
   private final ControlStateMachine stateMachine;
   private final RaftNode raftNode;
@@ -81,71 +90,66 @@
     return com.typesafe.config.ConfigUtil.quoteString(String.valueOf(text));
   }
 
-  /** Answers once, maybe later. */
+  /** Handles one call. The responder is called once, now or on a later turn of the agent. */
   public void handle(final Request request, final Consumer<Response> responder) {
-    final String[] segments = request.path.split("/", -1);
-    final String shape = callName(segments);
-    final String wanted = shape == null ? null : shape.endsWith("show") ? "GET" : "POST";
-    if (wanted == null) {
-      responder.accept(Response.error(404, "PATH_UNKNOWN", request.path));
-    } else if (!wanted.equals(request.method)) {
-      responder.accept(Response.error(405, "METHOD_WRONG", "use " + wanted));
-    } else if (request.body.length > MAX_CONFIGURATION_BYTES) {
-      responder.accept(
-          Response.error(413, "BODY_TOOBIG", "at most " + MAX_CONFIGURATION_BYTES + " bytes"));
-    } else if (shape.equals("outlook show")) {
-      responder.accept(Response.of(200, status.statusJson()));
-    } else if (shape.equals("order show")) {
-      responder.accept(Response.of(200, status.orderViolationsJson()));
-    } else if (shape.startsWith("config")
-        && !wanted.equals("GET")
-        && !ConfigurationChange.isBaseVersion(request.baseVersion)) {
-      responder.accept(
-          Response.error(400, CONFIG_FIELD.name(), "Base-Version: must be one whole number"));
-    } else if (!raftNode.isReadyLeader()) {
-      responder.accept(notLeader());
-    } else {
-      switch (shape) {
-        case "config show" -> respondWhenConfirmed(this::showConfiguration, responder);
-        case "config replace", "config update" -> submitChange(request, shape, responder);
-        case "quota show" -> respondWhenConfirmed(() -> showQuota(segments[3]), responder);
-        // In turn with all changes: two that begin at once must not both count on the same spare.
-        case "retire begin" ->
-            changeQueue.submit(
-                request.callerTimeoutMs(), null, () -> decideRetirement(segments[3]), responder);
-        default -> respondWhenConfirmed(() -> showRetirement(segments[3]), responder);
-      }
+    final OperatorCall call = OperatorCall.of(request.path);
+    final Response refusal = refusal(call, request);
+    if (refusal != null) {
+      responder.accept(refusal);
+      return;
+    }
+    switch (call) {
+      case SHOW_STATUS -> responder.accept(Response.of(200, status.statusJson()));
+      case SHOW_ORDER_VIOLATIONS ->
+          responder.accept(Response.of(200, status.orderViolationsJson()));
+      default -> handleAtLeader(call, request, responder);
     }
   }
 
-  private static String callName(final String[] segments) {
-    if (segments.length == 4 && segments[1].equals("-") && segments[2].equals("config")) {
-      return switch (segments[3]) {
-        case "replace", "update", "show" -> "config " + segments[3];
-        default -> null;
-      };
+  /** What is wrong with a call whatever the state is, null when nothing is. */
+  private static Response refusal(final OperatorCall call, final Request request) {
+    if (call == null) {
+      return Response.error(404, "PATH_UNKNOWN", request.path);
     }
-    if (segments.length == 4
-        && segments[1].equals("-")
-        && segments[3].equals("show")
-        && (segments[2].equals("outlook") || segments[2].equals("order"))) {
-      return segments[2] + " show";
+    if (!call.method().equals(request.method)) {
+      return Response.error(405, "METHOD_WRONG", "use " + call.method());
     }
-    if (segments.length == 5
-        && segments[1].equals("-")
-        && segments[2].equals("quota")
-        && segments[4].equals("show")) {
-      return "quota show";
+    if (request.body.length > MAX_CONFIGURATION_BYTES) {
+      return Response.error(413, "BODY_TOOBIG", "at most " + MAX_CONFIGURATION_BYTES + " bytes");
     }
-    if (segments.length == 5 && segments[1].equals("-") && segments[2].equals("retire")) {
-      return switch (segments[4]) {
-        case "begin", "show" -> "retire " + segments[4];
-        default -> null;
-      };
+    if (call.changesConfiguration() && !ConfigurationChange.isBaseVersion(request.baseVersion)) {
+      return Response.error(400, CONFIG_FIELD.name(), "Base-Version: must be one whole number");
     }
     return null;
   }
 
+  private void handleAtLeader(
+      final OperatorCall call, final Request request, final Consumer<Response> responder) {
+    if (!raftNode.isReadyLeader()) {
+      responder.accept(notLeader());
+      return;
+    }
+    switch (call) {
+      case SHOW_CONFIGURATION -> respondWhenConfirmed(this::showConfiguration, responder);
+      case REPLACE_CONFIGURATION, UPDATE_CONFIGURATION -> submitChange(call, request, responder);
+      case SHOW_QUOTA -> {
+        final String tenant = OperatorCall.nameIn(request.path);
+        respondWhenConfirmed(() -> showQuota(tenant), responder);
+      }
+      case BEGIN_RETIREMENT -> {
+        final String node = OperatorCall.nameIn(request.path);
+        // In turn with all changes: two that begin at once must not both count on the same spare.
+        changeQueue.submit(
+            request.callerTimeoutMs(), null, () -> decideRetirement(node), responder);
+      }
+      case SHOW_RETIREMENT -> {
+        final String node = OperatorCall.nameIn(request.path);
+        respondWhenConfirmed(() -> showRetirement(node), responder);
+      }
+      default -> throw new IllegalStateException("no handler for " + call);
+    }
+  }
+
   private Response notLeader() {
     final String leader = raftNode.leader();
     if (leader == null || leader.equals(raftNode.identity())) {
@@ -170,7 +174,7 @@
   }
 
   private void submitChange(
-      final Request request, final String shape, final Consumer<Response> responder) {
+      final OperatorCall call, final Request request, final Consumer<Response> responder) {
     final Consumer<Response> noting =
         response -> {
           if (response.status >= 400 && response.status < 500) {
@@ -179,7 +183,7 @@
           responder.accept(response);
         };
     final ConfigurationChange change =
-        new ConfigurationChange(shape, request.baseVersion, request.body);
+        new ConfigurationChange(call, request.baseVersion, request.body);
     changeQueue.submit(request.callerTimeoutMs(), change::read, () -> decide(change), noting);
   }
 
@@ -188,10 +192,10 @@
   }
 
   private CallDecision decide(final ConfigurationChange change) {
-    final Response taken = Response.of(200, "{\"Ver\":" + change.version() + "}");
+    final Response accepted = Response.of(200, "{\"Ver\":" + change.version() + "}");
     // First of all: what was taken is never refused, for whatever reason.
     if (stateMachine.wasAccepted(change.version(), change.digest())) {
-      return CallDecision.finalResponse(taken);
+      return CallDecision.finalResponse(accepted);
     }
     if (change.failure() != null) {
       return CallDecision.finalResponse(invalid(change.failure()));
@@ -216,7 +220,7 @@
     // Looked at anew after that: another leader may have gone on meanwhile, and what builds on an
     // old base must not be proposed.
     return CallDecision.propose(
-        change.deed(), taken, () -> stateMachine.cacheParsed(change.result()));
+        change.command(), accepted, () -> stateMachine.cacheParsed(change.result()));
   }
 
   private CallDecision decideRetirement(final String node) {
@@ -224,8 +228,8 @@
     if (stateMachine.clusterState().retirementOf(node) != null) {
       return CallDecision.finalResponse(Response.of(200, "{}"));
     }
-    if (!registry.knows(node)) {
-      return registry.isUnknown(node)
+    if (!registry.isKnown(node)) {
+      return registry.isCertainlyUnknown(node)
           ? CallDecision.needsConfirmation(nodeUnknown(node))
           : CallDecision.finalResponse(storesNotReported());
     }
@@ -277,8 +281,8 @@
 
   private Response showRetirement(final String node) {
     final ClusterState.Retirement retiring = stateMachine.clusterState().retirementOf(node);
-    if (retiring == null && !registry.knows(node)) {
-      return registry.isUnknown(node) ? nodeUnknown(node) : storesNotReported();
+    if (retiring == null && !registry.isKnown(node)) {
+      return registry.isCertainlyUnknown(node) ? nodeUnknown(node) : storesNotReported();
     }
     return Response.of(
         200, retiring != null && retiring.finished ? "{\"St\":\"finished\"}" : "{\"St\":\"up\"}");
--- a/src/main/java/yewjunction/control/OrderViolations.java
+++ b/src/main/java/yewjunction/control/OrderViolations.java
@@ -3,7 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** How often an edge met a break of a channel's declared order, for operators. */
+/**
+ * How often an edge met a violation of a channel's declared order, for operators. Encoded by
+ * position.
+ */
 public final class OrderViolations {
   public String topic = "";
 
--- a/src/main/java/yewjunction/control/RecentChanges.java
+++ b/src/main/java/yewjunction/control/RecentChanges.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * What changed lately at a control node. Whoever knows an earlier state is told of the changes
+ * The newest changes at a control node. Whoever knows an earlier state is told of the changes
  * alone: the whole grows with the number of nodes and tenants, and every node would hear all of it
  * at every change.
  */
--- a/src/main/java/yewjunction/doctor/BorrowingCheck.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -16,9 +16,9 @@
     final List<Finding> findings = new ArrayList<>();
     final Map<String, String> told = new TreeMap<>();
     final Map<String, Config> newest = new TreeMap<>();
-    for (final Config vault : stores) {
+    for (final Config store : stores) {
       for (final Config account :
-          vault.hasPath("Accounts") ? vault.getConfigList("Accounts") : List.<Config>of()) {
+          store.hasPath("Accounts") ? store.getConfigList("Accounts") : List.<Config>of()) {
         final String tenant = account.getString("Tenant");
         final String place = tenant + " at entry " + account.getLong("Index");
         final String held =
@@ -38,7 +38,7 @@
                   Code.ACCOUNTS_DIFFER,
                   place
                       + ": "
-                      + vault.getString("Nodename")
+                      + store.getString("Nodename")
                       + " holds "
                       + held
                       + ", another vault "
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -59,6 +59,7 @@
         planned == null ? new Finding(code, seen, todo) : new Finding(code, seen, todo, planned));
   }
 
+  /** Looks once; empty when nothing is wrong. */
   public List<Finding> examine() {
     settings.seeds().stream().distinct().forEach(this::examineSeed);
     if (!statuses.isEmpty()) {
@@ -213,9 +214,10 @@
   /** What processes say of themselves to the control node they ask for leases. */
   private void examineProcesses() {
     for (final Config status : statuses.values()) {
-      for (final Config ward :
+      for (final Config process :
           status.hasPath("Wards") ? status.getConfigList("Wards") : List.<Config>of()) {
-        examineProcess(ward, ward.getString("Nodename") + " (" + ward.getString("Duty") + ")");
+        examineProcess(
+            process, process.getString("Nodename") + " (" + process.getString("Duty") + ")");
       }
       for (final Config channel :
           status.hasPath("Channels") ? status.getConfigList("Channels") : List.<Config>of()) {
@@ -234,10 +236,10 @@
     }
   }
 
-  private void examineProcess(final Config ward, final String name) {
-    final String node = ward.getString("Nodename");
-    final String zone = ward.getString("Az");
-    if (!ward.getBoolean("Held")) {
+  private void examineProcess(final Config process, final String name) {
+    final String node = process.getString("Nodename");
+    final String zone = process.getString("Az");
+    if (!process.getBoolean("Held")) {
       found(
           Code.LEASE_LAPSED,
           name + " asks and holds no lease",
@@ -245,7 +247,7 @@
           node,
           zone);
     }
-    if (ward.getBoolean("Dark")) {
+    if (process.getBoolean("Dark")) {
       found(
           Code.EDGE_DARK,
           name + " reaches no leader of the vaults",
@@ -253,26 +255,26 @@
           node,
           zone);
     }
-    if (ward.getLong("Waiting") > MAX_WAITING_PUBLISHES) {
+    if (process.getLong("Waiting") > MAX_WAITING_PUBLISHES) {
       found(
           Code.INTAKE_FILLS,
-          name + " has " + ward.getLong("Waiting") + " messages waiting",
+          name + " has " + process.getLong("Waiting") + " messages waiting",
           "see the vaults' leader: its machine, disk and links",
           node,
           zone);
     }
-    if (ward.getLong("DiskOwedMs") > SLOW_DISK_MS) {
+    if (process.getLong("DiskOwedMs") > SLOW_DISK_MS) {
       found(
           Code.DISK_SLOW,
-          name + ": its disk owes a write since " + ward.getLong("DiskOwedMs") + " ms",
+          name + ": its disk owes a write since " + process.getLong("DiskOwedMs") + " ms",
           "make room, or replace the disk; see events 410 to 412",
           node,
           zone);
     }
-    if (ward.getInt("MemoryPct") > FULL_MEMORY_PERCENT) {
+    if (process.getInt("MemoryPct") > FULL_MEMORY_PERCENT) {
       found(
           Code.MEMORY_NEAR_FULL,
-          name + " uses " + ward.getInt("MemoryPct") + " % of its memory",
+          name + " uses " + process.getInt("MemoryPct") + " % of its memory",
           "give it more, or spread its clients over more edges",
           node,
           zone);
--- a/src/main/java/yewjunction/fanout/FanoutMessages.java
+++ b/src/main/java/yewjunction/fanout/FanoutMessages.java
@@ -5,10 +5,15 @@
 import yewjunction.common.MessageCodec;
 import yewjunction.store.StoredMessage;
 
-/** What a serving store and its edges say to one another. */
+/**
+ * The messages between a store and the edges it serves, and between stores about the subscription
+ * set. Fields are encoded by position: one may be added at the end, and none may be moved, removed
+ * or given another type.
+ */
 public final class FanoutMessages {
   private FanoutMessages() {}
 
+  /** Registers all messages under their numbers. */
   public static void register(final MessageCodec codec) {
     codec
         .register(90, AttachRequest.class)
@@ -38,6 +43,7 @@
     long digest;
   }
 
+  /** Whether the store serves the edge, and where its stream starts. */
   static final class AttachResponse {
     boolean accepted;
 
@@ -66,6 +72,10 @@
     long position;
   }
 
+  /**
+   * The response to {@link SubscribeRequest} and {@link ReplayRequest}: older messages of one
+   * topic.
+   */
   static final class ReplayResponse {
     long requestId;
     boolean expired;
@@ -125,6 +135,7 @@
     String topic = "";
   }
 
+  /** How many clients subscribe, as far as the store knows. */
   static final class CountResponse {
     long requestId;
     int count;
--- a/src/main/java/yewjunction/fanout/StreamClient.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -19,8 +19,10 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * An edge's side of its serving store: attaches, follows the stream without gap, moves on when the
- * serving store is lost.
+ * An edge's side of its stream: attaches to a store, follows the stream without a gap, and goes on
+ * to another store when it ends, from the index it has reached.
+ *
+ * <p>All calls and callbacks on the agent's thread.
  */
 public final class StreamClient {
   private final AgentContext context;
@@ -43,11 +45,14 @@
 
   /** Told of what comes from the serving store. */
   public interface Listener {
+    /** A message, in the order of the log. */
     void onMessage(StoredMessage message);
 
+    /** Older messages of one subscription, or that the position is no longer kept. */
     void onReplay(
         long request, boolean expired, long position, List<StoredMessage> behind, boolean more);
 
+    /** Who leads the stores now. */
     void onLeaderChange(String address);
 
     /** The serving store hears a leader right now. */
@@ -69,14 +74,14 @@
       final AddWinsSet subscriptions,
       final String node,
       final Supplier<List<String>> stores,
-      final Listener watcher,
+      final Listener listener,
       final Runnable changed) {
     this.context = context;
     this.transport = transport;
     this.subscriptions = subscriptions;
     this.node = node;
     this.stores = stores;
-    this.listener = watcher;
+    this.listener = listener;
     sync =
         new SubscriptionSync(
             context, transport, subscriptions, () -> List.of(subscriptions.self()), changed);
@@ -111,6 +116,7 @@
     return attached ? 0 : context.nowMs() - detachedMs;
   }
 
+  /** Address of the leading store as far as is known, else empty. */
   public String leader() {
     return leader;
   }
@@ -141,6 +147,7 @@
     }
   }
 
+  /** Attaches to the next store in turn, unless it is attached already. */
   public void attach() {
     final List<String> known = stores.get();
     if (subscriptions.self() == 0 || known.isEmpty() || server != null) {
--- a/src/main/java/yewjunction/fanout/StreamServer.java
+++ b/src/main/java/yewjunction/fanout/StreamServer.java
@@ -27,7 +27,13 @@
 import yewjunction.store.StoredMessage;
 import yewjunction.subscription.AddWinsSet;
 
-/** A store as the serving store of edges: sends each what its part of the set asks for. */
+/**
+ * A store as the server of edges: streams each attached edge the messages whose topics it
+ * subscribes to, in the order of the log. Each batch names the index that the one before ended
+ * with, so an edge sees a gap.
+ *
+ * <p>All calls on the agent's thread.
+ */
 public final class StreamServer {
   private final AgentContext context;
   private final RaftNode raftNode;
@@ -52,6 +58,7 @@
     final Map<String, Long> announcedInstances = new HashMap<>();
   }
 
+  /** Registers the handlers and begins the heartbeats. */
   public StreamServer(
       final AgentContext context,
       final PeerTransport transport,
@@ -187,6 +194,7 @@
     return true;
   }
 
+  /** More messages are applied here: streams them. */
   public void onCommitted() {
     attachedEdges.forEach((connection, edge) -> streamTo(connection, edge, false));
   }
--- a/src/main/java/yewjunction/fanout/SubscriptionSync.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSync.java
@@ -14,8 +14,10 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * Carries the set between replicas. What belongs to one replica travels as a whole state, and only
- * where the two sides differ: digests go first.
+ * Exchange of replica states of the subscription set between two processes. Digests go first, and
+ * then the whole states of the replicas that differ.
+ *
+ * <p>All calls on the agent's thread.
  */
 final class SubscriptionSync {
   private final AgentContext context;
@@ -34,7 +36,7 @@
     this.ownReplicas = own;
     this.context = context;
     this.subscriptions = subscriptions;
-    transport.onMessage(DigestRequest.class, this::gauge);
+    transport.onMessage(DigestRequest.class, this::onDigestRequest);
     transport.onMessage(
         DigestResponse.class,
         (connection, response) -> {
@@ -57,17 +59,17 @@
   /** Asks for what differs there; with mutual set, what differs here is given too. */
   void requestDifferences(
       final PeerConnection connection, final int mostCells, final boolean mutual) {
-    connection.send(gauge(mostCells, mutual));
+    connection.send(digestRequest(mostCells, mutual));
   }
 
   /** Asks for the parts of that serving store's own edges, where they differ. */
   void requestOwnEdges(final PeerConnection connection) {
-    final DigestRequest request = gauge(MAX_SYNC_CELLS, false);
+    final DigestRequest request = digestRequest(MAX_SYNC_CELLS, false);
     request.ownEdgesOnly = true;
     connection.send(request);
   }
 
-  private DigestRequest gauge(final int mostCells, final boolean mutual) {
+  private DigestRequest digestRequest(final int mostCells, final boolean mutual) {
     final DigestRequest request = new DigestRequest();
     request.digests = subscriptions.encodeDigests();
     request.maxCells = mostCells;
@@ -75,7 +77,7 @@
     return request;
   }
 
-  private void gauge(final PeerConnection connection, final DigestRequest request) {
+  private void onDigestRequest(final PeerConnection connection, final DigestRequest request) {
     final DigestResponse response = new DigestResponse();
     final int mostCells = Math.min(request.maxCells, MAX_SYNC_CELLS);
     response.states =
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
@@ -22,9 +22,11 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * An edge's side of the exchange of the set: what it changed goes to its serving store at once, and
- * what others changed comes from there at a pace that its connection bears. Counts and older
- * messages are asked of the serving store, which holds them.
+ * An edge's side of the exchange of the subscription set: what it changed goes to its store at
+ * once, and what others changed comes from there at a pace that its connection bears. Counts and
+ * older messages are asked of the store.
+ *
+ * <p>Owned by {@link StreamClient}; all calls on the agent's thread.
  */
 public final class SubscriptionSyncClient {
   private final AgentContext context;
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -23,8 +23,10 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * A serving store's side of the exchange of the set: gathers the parts of its edges, compares with
- * the serving stores of other edges, and tells an edge what others changed in its own part.
+ * A store's side of the exchange of the subscription set: gathers the states of its edges, compares
+ * with the stores of other edges, and tells an edge what others changed in its own state.
+ *
+ * <p>All calls on the agent's thread.
  */
 public final class SubscriptionSyncServer {
   private final AgentContext context;
@@ -41,6 +43,7 @@
   private long rounds;
   private long lastCountMs = Long.MIN_VALUE / 2;
 
+  /** Registers the handlers and begins the rounds. */
   public SubscriptionSyncServer(
       final AgentContext context,
       final PeerTransport transport,
--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -21,7 +21,10 @@
 import yewjunction.subscription.AddWinsSet;
 import yewjunction.transport.ClientConnection;
 
-/** All clients of one edge. */
+/**
+ * All clients of one edge: which session owns which client, and what reaches them. Nothing is
+ * delivered under an expired lease. All calls on the agent's thread.
+ */
 public final class ClientRegistry implements StreamClient.Listener {
   /** turns; more than this held back under a lapsed lease is given up. */
   private static final int MAX_STALLED_DELIVERIES = 20_000;
@@ -42,6 +45,7 @@
   private long leaseHeldMs;
   private StreamClient streamClient;
 
+  /** Creates the registry of an edge; {@link #setStreamClient} completes it. */
   public ClientRegistry(
       final AgentContext context,
       final PeerTransport transport,
@@ -59,6 +63,7 @@
     context.scheduleAtFixedRate(SESSION_CHECK_INTERVAL_MS, this::check);
   }
 
+  /** Where subscriptions are announced and messages come from. */
   public void setStreamClient(final StreamClient chosenStreamClient) {
     streamClient = chosenStreamClient;
     subscriptionManager.setStreamClient(chosenStreamClient);
@@ -69,6 +74,7 @@
     liveReplicas = chosenLive;
   }
 
+  /** The session of a new connection; it has no client before HELLO. */
   public ClientConnection.Handler newSession(final ClientConnection connection) {
     return new ClientSession(this, connection, context.nowMs());
   }
@@ -90,6 +96,7 @@
     return violations;
   }
 
+  /** Messages on their way to the leader. */
   public PublishForwarder publishForwarder() {
     return publishForwarder;
   }
@@ -142,6 +149,7 @@
     }
   }
 
+  /** From now on clients that come are moved on. */
   public void setDrainer(final ConnectionDrainer chosenDrainer) {
     drainer = chosenDrainer;
   }
@@ -212,6 +220,7 @@
     publishForwarder.onLeaderReachable();
   }
 
+  /** Ends subscriptions that the new configuration no longer allows. */
   public void onConfigurationChanged(final Configuration configuration) {
     subscriptionManager.setConfiguration(configuration);
     for (final ClientSession session : sessions()) {
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -14,7 +14,8 @@
 import yewjunction.transport.WriteBuffer;
 
 /**
- * One client's connection: what it has said, what it subscribes, and how answers are written to it.
+ * One client's connection: what it has said, what it subscribes to, and how responses are written
+ * to it. The protocol is that of docs/design.md; all calls on the agent's thread.
  */
 final class ClientSession implements ClientConnection.Handler {
   private static final byte[] LINE_END = {'\r', '\n'};
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -9,7 +9,10 @@
 import yewjunction.control.LeaseClient;
 import yewjunction.subscription.AddWinsSet;
 
-/** What each word of a client asks for, checked against the configuration in force. */
+/**
+ * What each command of a client does, checked against the configuration in force. All calls on the
+ * agent's thread.
+ */
 final class CommandHandler {
   /** bytes; a cursor of this system is a number and never longer. */
   private static final int MAX_CURSOR_CHARS = 18;
--- a/src/main/java/yewjunction/gateway/CommandParser.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -8,7 +8,10 @@
 import java.nio.charset.StandardCharsets;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** Flyweight over one client message: a head line of words, and for PUB a body. */
+/**
+ * A flyweight parser of client commands over a receive buffer: pieces of any size, several commands
+ * in one read. It copies nothing but a complete body.
+ */
 final class CommandParser {
   static final int INCOMPLETE = 0;
   static final int COMPLETE = 1;
--- a/src/main/java/yewjunction/gateway/ConnectionDrainer.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -12,7 +12,7 @@
 import yewjunction.membership.MembershipList;
 import yewjunction.membership.NodeRole;
 
-/** Moves an edge's clients to the other edges, paced and spread evenly, before it stops. */
+/** Moves an edge's clients to the other edges, paced and spread evenly, before the edge stops. */
 public final class ConnectionDrainer {
   private final AgentContext context;
   private final ClientRegistry clientRegistry;
@@ -22,6 +22,7 @@
   private int nextTarget;
   private boolean finished;
 
+  /** Creates a drainer that calls back once no client is left or the time is over. */
   public ConnectionDrainer(
       final AgentContext context,
       final ClientRegistry clientRegistry,
@@ -35,6 +36,7 @@
     nextTarget = context.random().nextInt(1_000);
   }
 
+  /** Begins to move clients, some at each step. */
   public void start() {
     LogEvent.DRAIN_STARTED.info(clientRegistry.sessions().size() + " links");
     clientRegistry.setDrainer(this);
--- a/src/main/java/yewjunction/gateway/DisconnectedClients.java
+++ b/src/main/java/yewjunction/gateway/DisconnectedClients.java
@@ -7,7 +7,7 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * Clients of this edge that have no connection now; one that stays away long enough is taken out of
+ * Clients of this edge that have no connection now; one that stays away for long is taken out of
  * the set.
  */
 final class DisconnectedClients {
--- a/src/main/java/yewjunction/gateway/OrderViolationCounters.java
+++ b/src/main/java/yewjunction/gateway/OrderViolationCounters.java
@@ -42,6 +42,7 @@
         topic + " to " + client + ": nothing kept reaches back to " + position);
   }
 
+  /** One row a channel that had any. */
   public List<OrderViolations> all() {
     return new ArrayList<>(byTopic.values());
   }
--- a/src/main/java/yewjunction/gateway/OrderingConstraints.java
+++ b/src/main/java/yewjunction/gateway/OrderingConstraints.java
@@ -7,7 +7,8 @@
 import yewjunction.control.Configuration;
 
 /**
- * Which messages of a connection must wait for earlier ones of the channels that theirs follows.
+ * Which messages of a connection must wait for earlier ones of the channels that theirs follows
+ * (docs/order.md).
  */
 final class OrderingConstraints {
   /** Some channel follows another: where none does, nothing here costs anything. */
--- a/src/main/java/yewjunction/gateway/OrderingGuard.java
+++ b/src/main/java/yewjunction/gateway/OrderingGuard.java
@@ -10,9 +10,9 @@
 import yewjunction.store.StoredMessage;
 
 /**
- * The last look before a message is written to a connection. It knows what was written there and
- * what the channels declare, and nothing of how messages get there, so it finds what the mechanisms
- * miss.
+ * The last check before a message is written to a connection (docs/order.md). It knows what was
+ * written there and what the channels declare, and nothing of how messages get there, so it finds
+ * what the mechanisms miss.
  */
 final class OrderingGuard {
   private final Map<String, WrittenMessages> writtenByTopic = new HashMap<>();
--- a/src/main/java/yewjunction/gateway/PublishDependencies.java
+++ b/src/main/java/yewjunction/gateway/PublishDependencies.java
@@ -10,8 +10,8 @@
 import yewjunction.gateway.PublishQueue.PendingPublish;
 
 /**
- * Messages that stay at the edge until their sender's lower numbers on the channels theirs follows
- * are settled: only so do they get a later place in the log.
+ * Messages that stay at the edge until lower numbers of their sender on the channels theirs follows
+ * are settled: only so do they get a later place in the log (docs/order.md).
  */
 final class PublishDependencies {
   private final Map<PendingPublish, Set<PendingPublish>> predecessors = new LinkedHashMap<>();
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -23,9 +23,13 @@
 import yewjunction.store.StoredMessage;
 
 /**
- * Messages on their way from this edge's clients to the leading store. There is one history, and
- * only the leader adds to it: while none is in reach messages wait in the publish queue, and are
- * folded in when one is.
+ * Messages on their way from this edge's clients to the leading store. Only the leader adds to the
+ * log: while none is in reach messages wait in the {@link PublishQueue}.
+ *
+ * <p>Invariant: RETRY is answered only when the message never left this edge, or on the leader's
+ * promise that it never will be accepted; else the answer is UNKNOWN.
+ *
+ * <p>All calls on the agent's thread.
  */
 public final class PublishForwarder {
   private final AgentContext context;
--- a/src/main/java/yewjunction/gateway/PublishQueue.java
+++ b/src/main/java/yewjunction/gateway/PublishQueue.java
@@ -14,8 +14,8 @@
 import yewjunction.store.StoredMessage;
 
 /**
- * Messages that wait to be offered to a leader: a lane for each tenant, in the order of arrival,
- * and lanes take turns.
+ * Messages that wait to be sent to the leader: a queue a tenant, in the order of arrival, and the
+ * queues take turns.
  */
 final class PublishQueue {
   private final Map<String, ArrayDeque<PendingPublish>> queueByTenant = new LinkedHashMap<>();
--- a/src/main/java/yewjunction/gateway/ReplayScheduler.java
+++ b/src/main/java/yewjunction/gateway/ReplayScheduler.java
@@ -18,8 +18,8 @@
 
 /**
  * Subscriptions that catch up with older messages. Tenants take turns, each with the same number of
- * bytes, so that one with much to catch up holds up nobody else; what is new goes to everyone
- * else's clients at once, beside all this.
+ * bytes, so that one with much to catch up holds up nobody else; new messages go to all other
+ * clients at once, beside this.
  */
 final class ReplayScheduler {
   private final AgentContext context;
--- a/src/main/java/yewjunction/gateway/SlowReaderLimit.java
+++ b/src/main/java/yewjunction/gateway/SlowReaderLimit.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import yewjunction.common.LogEvent;
 
-/** What waits for all clients of an edge together stays inside its memory. */
+/** Keeps what waits for all clients of an edge together inside its memory. */
 final class SlowReaderLimit {
   private SlowReaderLimit() {}
 
@@ -15,10 +15,10 @@
    * Readers that stall in numbers would fill the memory together: those that are furthest behind
    * are cut.
    */
-  static void closeSlowest(final Collection<ClientSession> berths) {
+  static void closeSlowest(final Collection<ClientSession> sessions) {
     final List<ClientSession> slow = new ArrayList<>();
     long waiting = 0;
-    for (final ClientSession session : berths) {
+    for (final ClientSession session : sessions) {
       if (session.connection.queuedBytes() > 0) {
         slow.add(session);
         waiting += session.connection.queuedBytes();
--- a/src/main/java/yewjunction/gateway/Subscription.java
+++ b/src/main/java/yewjunction/gateway/Subscription.java
@@ -4,7 +4,10 @@
 import yewjunction.control.Configuration.Route;
 import yewjunction.store.StoredMessage;
 
-/** One topic on one client's connection. */
+/**
+ * One topic on one session, from SUB to UNSUB or the end of the connection. Invariant: each index
+ * is judged once, in order, by the filter in force at that moment.
+ */
 final class Subscription {
   final ClientSession session;
   final String topic;
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -18,8 +18,8 @@
 import yewjunction.subscription.AddWinsSet;
 
 /**
- * Subscriptions of this edge's clients, from SUB to the serving store's word, while they catch up,
- * and to their end.
+ * The subscriptions of this edge's clients: from SUB to the store's response, while they catch up
+ * with older messages, and to their end. All calls on the agent's thread.
  */
 final class SubscriptionManager {
   private final ClientRegistry clientRegistry;
--- a/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
+++ b/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
@@ -89,6 +89,7 @@
             event, assigned == null ? TimeZone.getDefault() : assigned.getTimeZone(), length));
   }
 
+  /** Files and events that were left out, and why. */
   public List<String> unreadable() {
     return unreadable;
   }
--- a/src/main/java/yewjunction/membership/FailureDetector.java
+++ b/src/main/java/yewjunction/membership/FailureDetector.java
@@ -16,7 +16,13 @@
 import yewjunction.membership.MembershipMessages.Ping;
 import yewjunction.membership.MembershipMessages.PingRequest;
 
-/** Probes a member a period, asks others for a second opinion, and answers for others. */
+/**
+ * Pings one member each interval, asks others to ping it when it does not answer in time, and
+ * answers pings. A member that neither answers itself nor through others until the interval ends is
+ * suspected.
+ *
+ * <p>Owned by {@link MembershipList}; all calls on the agent's thread.
+ */
 final class FailureDetector {
   private final AgentContext context;
   private final MembershipList membership;
@@ -106,7 +112,7 @@
 
   private String nextTarget() {
     final boolean across = pingsSent % CROSS_ZONE_PING_EVERY == CROSS_ZONE_PING_EVERY - 1;
-    String target = nextFrom(across ? otherZonesQueue : ownZoneQueue, across);
+    final String target = nextFrom(across ? otherZonesQueue : ownZoneQueue, across);
     // A zone with nobody else in it looks across every time.
     return target != null ? target : nextFrom(across ? ownZoneQueue : otherZonesQueue, !across);
   }
--- a/src/main/java/yewjunction/membership/Member.java
+++ b/src/main/java/yewjunction/membership/Member.java
@@ -1,6 +1,10 @@
 package yewjunction.membership;
 
-/** One process of the system as the membership list knows it. */
+/**
+ * One process as the members know it. Encoded by position: a field may be added at the end, and
+ * none may be moved, removed or given another type. Of two versions the one with the higher
+ * incarnation wins, then the worse state.
+ */
 public final class Member {
   static final int UP = 0;
   static final int SUSPECT = 1;
@@ -56,10 +60,12 @@
     return mixed ^ mixed >>> 32;
   }
 
+  /** Whether it is thought to run; a suspected member still is. */
   public boolean isUp() {
     return state <= SUSPECT;
   }
 
+  /** Whether it has not answered, and may still refute that. */
   public boolean isSuspect() {
     return state == SUSPECT;
   }
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -23,8 +23,13 @@
 import yewjunction.membership.MembershipMessages.SyncResponse;
 
 /**
- * Membership by probing, second opinions and suspicion (SWIM). Its removals change no voters and no
- * data.
+ * All processes of the system as this one knows them, by the SWIM protocol (Das, Gupta, Motivala,
+ * 2002): pings with indirect pings behind them, suspicion before removal, and updates that ride on
+ * the messages. A member refutes a suspicion by a higher incarnation.
+ *
+ * <p>Nothing here changes voters or data: a removal only says that a process does not answer.
+ *
+ * <p>All calls on the agent's thread.
  */
 public final class MembershipList {
   private final AgentContext context;
@@ -38,6 +43,11 @@
   private final SeedJoiner seedJoiner;
   private boolean left;
 
+  /**
+   * Creates the list of a process.
+   *
+   * @param sender sends a message to an address; it may be lost
+   */
   public MembershipList(
       final AgentContext context, final Member self, final BiConsumer<String, Object> sender) {
     this.context = context;
@@ -54,6 +64,7 @@
     failureDetector.start();
   }
 
+  /** Addresses of control nodes that may know the others, in place of those known before. */
   public void setSeeds(final List<String> newSeeds) {
     seedJoiner.setSeeds(newSeeds);
   }
@@ -62,10 +73,12 @@
     return left;
   }
 
+  /** This process, as it tells others of itself. */
   public Member self() {
     return self;
   }
 
+  /** All others that are known, also those that are gone for a short while; read-only. */
   public Collection<Member> all() {
     return Collections.unmodifiableCollection(members.values());
   }
@@ -84,6 +97,7 @@
     return chosen;
   }
 
+  /** The member at an address, null when none is known there. */
   public Member memberAt(final String address) {
     return members.get(address);
   }
@@ -94,6 +108,7 @@
     return member == null ? "" : member.zone;
   }
 
+  /** Tells the others whether this process takes requests. */
   public void setReady(final boolean ready) {
     if (self.ready != ready) {
       self.ready = ready;
@@ -199,6 +214,7 @@
     sender.accept(address, message);
   }
 
+  /** Takes a datagram; what is no membership message is dropped. */
   public void onMessage(final String from, final Object taken) {
     if (!(taken instanceof MembershipMessage message) || message.sender == null) {
       return;
--- a/src/main/java/yewjunction/membership/SeedJoiner.java
+++ b/src/main/java/yewjunction/membership/SeedJoiner.java
@@ -12,7 +12,13 @@
 import yewjunction.membership.MembershipMessages.SyncRequest;
 import yewjunction.membership.MembershipMessages.SyncResponse;
 
-/** Asks seeds who is there, and tells others who ask. */
+/**
+ * Asks seeds, and later members of the own zone, for the whole list, at intervals that grow; and
+ * answers others that ask. So a new process learns of the others at once, and a list that has split
+ * heals.
+ *
+ * <p>Owned by {@link MembershipList}; all calls on the agent's thread.
+ */
 final class SeedJoiner {
   private final AgentContext context;
   private final MembershipList membership;
--- a/src/main/java/yewjunction/membership/package-info.java
+++ b/src/main/java/yewjunction/membership/package-info.java
@@ -1,2 +1,5 @@
-/** Who is there: pings to a few peers in turn, second opinions, suspicion before removal. */
+/**
+ * Which processes there are: failure detection and dissemination by SWIM, over datagrams. {@link
+ * yewjunction.membership.MembershipList} is where to start.
+ */
 package yewjunction.membership;
--- a/src/main/java/yewjunction/node/ControlNode.java
+++ b/src/main/java/yewjunction/node/ControlNode.java
@@ -17,6 +17,7 @@
   private final Settings settings;
   private final long life;
 
+  /** Puts the node together; nothing runs before {@link #start}. */
   public ControlNode(
       final AgentContext context,
       final PeerTransport transport,
@@ -46,6 +47,7 @@
     membership.setReady(true);
   }
 
+  /** The operator's calls, to be served on the agent's thread. */
   public OperatorApi operatorApi() {
     return controlService.operatorApi();
   }
--- a/src/main/java/yewjunction/node/EdgeNode.java
+++ b/src/main/java/yewjunction/node/EdgeNode.java
@@ -39,6 +39,7 @@
   private volatile boolean ready;
   private boolean draining;
 
+  /** Puts the node together; nothing runs before {@link #start}. */
   public EdgeNode(
       final AgentContext context,
       final PeerTransport transport,
@@ -121,6 +122,7 @@
     }
   }
 
+  /** The handler of a client's new connection. */
   public ClientConnection.Handler newHandler(final ClientConnection connection) {
     return clientRegistry.newSession(connection);
   }
--- a/src/main/java/yewjunction/node/Node.java
+++ b/src/main/java/yewjunction/node/Node.java
@@ -10,6 +10,7 @@
 
 /** One process's duty. All calls on the owner's thread. */
 public interface Node {
+  /** Takes up the node's duties. */
   void start();
 
   /** Gives up its duties, then calls back when nothing is owed any more. */
--- a/src/main/java/yewjunction/node/StoreNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -45,6 +45,7 @@
   private final String address;
   private final long life;
 
+  /** Puts the node together; nothing runs before {@link #start}. */
   public StoreNode(
       final AgentContext context,
       final PeerTransport transport,
@@ -101,6 +102,7 @@
     context.scheduleAtFixedRate(REGISTRATION_INTERVAL_MS, this::reportAndRetire);
   }
 
+  /** Whether this store leads the group of the stores and may admit messages. */
   public boolean isLeader() {
     return raftNode.isReadyLeader();
   }
--- a/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
+++ b/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
@@ -4,8 +4,8 @@
 import static yewjunction.limits.StorageLimits.MIN_CHUNK_BYTES;
 
 /**
- * How much a member far behind is sent at a time: more while its connection takes it well within a
- * heartbeat, less where heartbeats would wait.
+ * How many bytes a member that is far behind is sent at a time: more while its connection carries
+ * them well within a heartbeat interval, fewer where heartbeats would have to wait.
  */
 final class AdaptiveChunkSize {
   private final int maxBytes;
--- a/src/main/java/yewjunction/raft/AppendOnlyFile.java
+++ b/src/main/java/yewjunction/raft/AppendOnlyFile.java
@@ -7,7 +7,14 @@
 import java.util.List;
 import yewjunction.common.LogEvent;
 
-/** An append-only file of records that is synced in groups and rewritten when it gets long. */
+/**
+ * An append-only file of checksummed records. Records that wait while the disk works are written
+ * and synced together. A long file is replaced by a shorter one: the new content stands for all
+ * that was appended before it.
+ *
+ * <p>Calls and callbacks on the agent's thread, disk work on the {@link TaskExecutor}; nothing is
+ * shared but the bytes handed over.
+ */
 final class AppendOnlyFile {
   private final Disk disk;
   private final TaskExecutor executor;
--- a/src/main/java/yewjunction/raft/CommitTracker.java
+++ b/src/main/java/yewjunction/raft/CommitTracker.java
@@ -13,7 +13,15 @@
 import java.util.function.Consumer;
 import yewjunction.common.LogEvent;
 
-/** How far the log is synced, committed and applied here, and who waits for that. */
+/**
+ * How far the log is on disk, committed and applied here, and who waits for that. Appends go to
+ * disk in order; committed entries are applied to the {@link StateMachine} in order; the log file
+ * is compacted once it has grown.
+ *
+ * <p>Invariants: applied is never above committed, and what is committed is never truncated.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
+ */
 public final class CommitTracker {
   private final RaftNode raftNode;
   private final StateMachine stateMachine;
@@ -36,14 +44,14 @@
   CommitTracker(final RaftNode raftNode, final StateMachine stateMachine) {
     this.raftNode = raftNode;
     this.stateMachine = stateMachine;
-    final RaftStorage storage = raftNode.storage;
+    final RaftStorage storage = raftNode.storage();
     final byte[] state = storage.takeSnapshotState();
     if (state != null) {
       stateMachine.restore(storage.snapshotIndex(), state);
       appliedIndex = storage.snapshotIndex();
       commitIndex = appliedIndex;
     }
-    syncedIndex = raftNode.log.lastIndex();
+    syncedIndex = raftNode.log().lastIndex();
   }
 
   long commitIndex() {
@@ -60,7 +68,9 @@
 
   /** For how long the disk has owed its oldest write. */
   public long oldestPendingWriteMs() {
-    return pendingWrites.isEmpty() ? 0 : raftNode.context.nowMs() - pendingWrites.peek().startedMs;
+    return pendingWrites.isEmpty()
+        ? 0
+        : raftNode.context().nowMs() - pendingWrites.peek().startedMs;
   }
 
   void onceApplied(final long index, final long term, final Consumer<Boolean> done) {
@@ -79,16 +89,18 @@
     }
     final PendingWrite pendingWrite = new PendingWrite();
     pendingWrite.lastIndex = entries.get(entries.size() - 1).index;
-    pendingWrite.startedMs = raftNode.context.nowMs();
+    pendingWrite.startedMs = raftNode.context().nowMs();
     pendingWrites.add(pendingWrite);
-    raftNode.storage.append(
-        entries,
-        () -> {
-          pendingWrites.remove(pendingWrite);
-          syncedIndex = Math.max(syncedIndex, pendingWrite.lastIndex);
-          raftNode.followerState.onSynced();
-          raftNode.leaderState.onSynced();
-        });
+    raftNode
+        .storage()
+        .append(
+            entries,
+            () -> {
+              pendingWrites.remove(pendingWrite);
+              syncedIndex = Math.max(syncedIndex, pendingWrite.lastIndex);
+              raftNode.followerState().onSynced();
+              raftNode.leaderState().onSynced();
+            });
   }
 
   void truncateFrom(final long index) {
@@ -97,7 +109,7 @@
       throw new IllegalStateException("cut at " + index + " below commit " + commitIndex);
     }
     discardSyncedFrom(index);
-    raftNode.storage.truncateFrom(index);
+    raftNode.storage().truncateFrom(index);
   }
 
   /**
@@ -122,15 +134,17 @@
     stateMachine.restore(index, state);
     appliedIndex = index;
     commitIndex = index;
-    raftNode.storage.installSnapshot(
-        index,
-        term,
-        voters,
-        state,
-        () -> {
-          syncedIndex = Math.max(syncedIndex, index);
-          after.run();
-        });
+    raftNode
+        .storage()
+        .installSnapshot(
+            index,
+            term,
+            voters,
+            state,
+            () -> {
+              syncedIndex = Math.max(syncedIndex, index);
+              after.run();
+            });
     stateMachine.onCommitted(commitIndex);
   }
 
@@ -138,15 +152,15 @@
     if (newCommitIndex <= commitIndex) {
       return;
     }
-    commitIndex = Math.min(newCommitIndex, raftNode.log.lastIndex());
+    commitIndex = Math.min(newCommitIndex, raftNode.log().lastIndex());
     while (appliedIndex < commitIndex) {
-      final LogEntry entry = raftNode.log.get(appliedIndex + 1);
+      final LogEntry entry = raftNode.log().get(appliedIndex + 1);
       appliedIndex = entry.index;
       if (entry.kind == LogEntry.DATA) {
         stateMachine.apply(entry.index, entry.data);
       } else if (entry.kind == LogEntry.VOTERS) {
         LogEvent.VOTERS_CHANGED.info(
-            "group " + raftNode.group + " " + RaftStorage.decodeVoters(entry.data));
+            "group " + raftNode.group() + " " + RaftStorage.decodeVoters(entry.data));
       }
       final Proposal proposal = proposals.remove(entry.index);
       if (proposal != null) {
@@ -154,10 +168,10 @@
       }
     }
     if (raftNode.isLeader()) {
-      raftNode.leaderState.onCommitIndexAdvanced();
+      raftNode.leaderState().onCommitIndexAdvanced();
     }
-    raftNode.relay.onCommitted();
-    raftNode.leaderState.snapshotTransfer.onCommitted(commitIndex);
+    raftNode.relay().onCommitted();
+    raftNode.leaderState().snapshotTransfer().onCommitted(commitIndex);
     stateMachine.onCommitted(commitIndex);
     compactIfLarge();
   }
@@ -166,20 +180,22 @@
     // A state that is large by itself is not rewritten with every entry: only once the file has
     // doubled.
     if (compacting
-        || raftNode.storage.fileBytes() < Math.max(MIN_COMPACTION_BYTES, 2 * compactedBytes)) {
+        || raftNode.storage().fileBytes() < Math.max(MIN_COMPACTION_BYTES, 2 * compactedBytes)) {
       return;
     }
     compacting = true;
-    raftNode.log.discardThrough(retainedTailStart());
-    raftNode.leaderState.snapshotTransfer.abandonStale(raftNode.context.nowMs());
-    raftNode.storage.rewrite(
-        appliedIndex,
-        stateMachine.snapshot(),
-        () -> {
-          compacting = false;
-          compactedBytes = raftNode.storage.fileBytes();
-          LogEvent.LOG_COMPACTED.info("group " + raftNode.group + " bytes " + compactedBytes);
-        });
+    raftNode.log().discardThrough(retainedTailStart());
+    raftNode.leaderState().snapshotTransfer().abandonStale(raftNode.context().nowMs());
+    raftNode
+        .storage()
+        .rewrite(
+            appliedIndex,
+            stateMachine.snapshot(),
+            () -> {
+              compacting = false;
+              compactedBytes = raftNode.storage().fileBytes();
+              LogEvent.LOG_COMPACTED.info("group " + raftNode.group() + " bytes " + compactedBytes);
+            });
   }
 
   /**
@@ -189,11 +205,13 @@
   private long retainedTailStart() {
     final long start =
         Math.min(
-            raftNode.log.startOfTail(appliedIndex, RETAINED_TAIL_ENTRIES, RETAINED_TAIL_BYTES),
-            raftNode.leaderState.snapshotTransfer.unneededThrough(raftNode.context.nowMs()));
+            raftNode.log().startOfTail(appliedIndex, RETAINED_TAIL_ENTRIES, RETAINED_TAIL_BYTES),
+            raftNode.leaderState().snapshotTransfer().unneededThrough(raftNode.context().nowMs()));
     return Math.max(
         start,
-        raftNode.log.startOfTail(appliedIndex, MAX_CATCH_UP_TAIL_ENTRIES, MAX_CATCH_UP_TAIL_BYTES));
+        raftNode
+            .log()
+            .startOfTail(appliedIndex, MAX_CATCH_UP_TAIL_ENTRIES, MAX_CATCH_UP_TAIL_BYTES));
   }
 
   byte[] snapshot() {
--- a/src/main/java/yewjunction/raft/ConnectionHandshakes.java
+++ b/src/main/java/yewjunction/raft/ConnectionHandshakes.java
@@ -8,6 +8,8 @@
  * Who speaks on a connection, and to whom: said with its first message and left out of the later
  * ones, since most messages cross zones and are hardly longer than two identities. A connection
  * loses nothing and ends with either process.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
  */
 final class ConnectionHandshakes {
   private final RaftNode raftNode;
--- a/src/main/java/yewjunction/raft/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -14,7 +14,17 @@
 import yewjunction.raft.RaftMessages.VoteRequest;
 import yewjunction.raft.RaftMessages.VoteResponse;
 
-/** When and how a member stands for the lead. */
+/**
+ * When and how a member stands for election. A pre-vote asks first whether votes would be given, so
+ * that a member that is cut off raises no terms; only a majority of such answers starts an election
+ * proper.
+ *
+ * <p>The time-out is drawn anew from {@code MIN_ELECTION_TIMEOUT_MS} to {@code
+ * MAX_ELECTION_TIMEOUT_MS} each time the leader is heard of. It is shorter right after a start and
+ * after the leader's connection broke.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
+ */
 final class Election {
   private final RaftNode raftNode;
   private final Set<String> grantedBy = new HashSet<>();
@@ -33,9 +43,9 @@
 
   private void resetTimeout(final long leastMs, final long mostMs) {
     electionDueMs =
-        raftNode.context.nowMs()
+        raftNode.context().nowMs()
             + leastMs
-            + raftNode.context.random().nextInt((int) (mostMs - leastMs));
+            + raftNode.context().random().nextInt((int) (mostMs - leastMs));
   }
 
   /** After a loss of power all members start together and nobody leads: the first wait is short. */
@@ -50,13 +60,13 @@
    */
   void onLeaderDisconnected() {
     resetTimeout(MIN_DISCONNECT_ELECTION_TIMEOUT_MS, MAX_DISCONNECT_ELECTION_TIMEOUT_MS);
-    raftNode.context.schedule(electionDueMs - raftNode.context.nowMs(), this::campaignIfDue);
+    raftNode.context().schedule(electionDueMs - raftNode.context().nowMs(), this::campaignIfDue);
   }
 
   private void campaignIfDue() {
     if (!raftNode.isLeader()
         && !raftNode.isStopped()
-        && raftNode.context.nowMs() >= electionDueMs) {
+        && raftNode.context().nowMs() >= electionDueMs) {
       campaign(false);
     }
   }
@@ -69,13 +79,15 @@
       campaignIfDue();
     } finally {
       // A turn that fails must not be the last look.
-      raftNode.context.schedule(
-          Math.max(
-              10,
-              raftNode.isLeader()
-                  ? MIN_ELECTION_TIMEOUT_MS
-                  : electionDueMs - raftNode.context.nowMs()),
-          this::checkTimeout);
+      raftNode
+          .context()
+          .schedule(
+              Math.max(
+                  10,
+                  raftNode.isLeader()
+                      ? MIN_ELECTION_TIMEOUT_MS
+                      : electionDueMs - raftNode.context().nowMs()),
+              this::checkTimeout);
     }
   }
 
@@ -85,8 +97,8 @@
    */
   void campaign(final boolean handedOver) {
     resetTimeout();
-    if (!raftNode.groupMembership.isVoter()) {
-      raftNode.groupMembership.onElectionTimeoutAsLearner();
+    if (!raftNode.groupMembership().isVoter()) {
+      raftNode.groupMembership().onElectionTimeoutAsLearner();
       return;
     }
     if (handedOver) {
@@ -103,18 +115,20 @@
     raftNode.becomeCandidate();
     requestingVotes = true;
     grantedBy.clear();
-    final long newTerm = raftNode.storage.term + 1;
-    raftNode.storage.saveVote(
-        newTerm,
-        raftNode.identity(),
-        () -> {
-          // Asked only once the own vote is on disk.
-          if (raftNode.storage.term == newTerm && requestingVotes) {
-            grantedBy.add(raftNode.identity());
-            sendVoteRequests(false, handedOver);
-            countVotes(false);
-          }
-        });
+    final long newTerm = raftNode.currentTerm() + 1;
+    raftNode
+        .storage()
+        .saveVote(
+            newTerm,
+            raftNode.identity(),
+            () -> {
+              // Asked only once the own vote is on disk.
+              if (raftNode.currentTerm() == newTerm && requestingVotes) {
+                grantedBy.add(raftNode.identity());
+                sendVoteRequests(false, handedOver);
+                countVotes(false);
+              }
+            });
   }
 
   private void sendVoteRequests(final boolean pre, final boolean handedOver) {
@@ -123,18 +137,20 @@
         final VoteRequest request = new VoteRequest();
         request.preVote = pre;
         request.leadershipTransfer = handedOver;
-        request.lastIndex = raftNode.log.lastIndex();
-        request.lastTerm = raftNode.log.lastTerm();
-        raftNode.handshakes.send(
-            raftNode.transport.connect(RaftNode.addressOf(voter)),
-            RaftMessages.withTerm(
-                raftNode.withHeader(request, voter), raftNode.storage.term + (pre ? 1 : 0)));
+        request.lastIndex = raftNode.log().lastIndex();
+        request.lastTerm = raftNode.log().lastTerm();
+        raftNode
+            .handshakes()
+            .send(
+                raftNode.transport().connect(RaftNode.addressOf(voter)),
+                RaftMessages.withTerm(
+                    raftNode.withHeader(request, voter), raftNode.currentTerm() + (pre ? 1 : 0)));
       }
     }
   }
 
   void onVoteResponse(final VoteResponse response) {
-    final long term = raftNode.storage.term;
+    final long term = raftNode.currentTerm();
     if (response.term > term && !response.granted) {
       raftNode.observeTerm(response.term);
     } else if (response.granted
@@ -155,7 +171,8 @@
       requestVotes(false);
     } else {
       end();
-      LogEvent.LEADERSHIP_GAINED.info("group " + raftNode.group + " term " + raftNode.storage.term);
+      LogEvent.LEADERSHIP_GAINED.info(
+          "group " + raftNode.group() + " term " + raftNode.currentTerm());
       raftNode.becomeLeader();
     }
   }
--- a/src/main/java/yewjunction/raft/FollowerState.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -10,7 +10,13 @@
 import yewjunction.raft.RaftMessages.VoteRequest;
 import yewjunction.raft.RaftMessages.VoteResponse;
 
-/** What a member does for a candidate or a leader. */
+/**
+ * What a member does for candidates and leaders: grants votes, takes entries and snapshots, and
+ * responds once they are on disk. It does so in any role; a message of a newer term makes the
+ * member a follower first.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
+ */
 final class FollowerState {
   private final RaftNode raftNode;
   private final List<PendingResponse> pendingResponses = new ArrayList<>();
@@ -23,37 +29,39 @@
     this.raftNode = raftNode;
   }
 
+  /** Tells a member, which may lead or know who does, that this one is there, or leaves. */
   void sendJoinRequest(final String peerAddress, final boolean wantsVote, final boolean leaves) {
     final JoinRequest request = raftNode.withHeader(new JoinRequest(), null);
     request.wantsVote = wantsVote;
     request.leaving = leaves ? true : null;
-    raftNode.handshakes.send(raftNode.transport.connect(peerAddress), request);
+    raftNode.handshakes().send(raftNode.transport().connect(peerAddress), request);
   }
 
+  /** Grants or denies a vote; a vote is told only once it is on disk. */
   void onVoteRequest(final PeerConnection connection, final VoteRequest request) {
-    final RaftStorage storage = raftNode.storage;
+    final RaftStorage storage = raftNode.storage();
     final boolean logUpToDate =
-        request.lastTerm > raftNode.log.lastTerm()
-            || request.lastTerm == raftNode.log.lastTerm()
-                && request.lastIndex >= raftNode.log.lastIndex();
+        request.lastTerm > raftNode.log().lastTerm()
+            || request.lastTerm == raftNode.log().lastTerm()
+                && request.lastIndex >= raftNode.log().lastIndex();
     // Whoever hears a leader keeps to it: a member with a bad connection must not unseat a good
     // leader.
     if (raftNode.hasRecentLeader() && !request.leadershipTransfer) {
-      respond(connection, request, false, storage.term);
+      respond(connection, request, false, storage.term());
       return;
     }
     if (request.preVote) {
-      final boolean granted = request.term > storage.term && logUpToDate;
-      respond(connection, request, granted, granted ? request.term : storage.term);
+      final boolean granted = request.term > storage.term() && logUpToDate;
+      respond(connection, request, granted, granted ? request.term : storage.term());
       return;
     }
     raftNode.observeTerm(request.term);
     final boolean granted =
-        request.term == storage.term
+        request.term == storage.term()
             && logUpToDate
-            && (storage.votedFor.isEmpty() || storage.votedFor.equals(request.from));
+            && (storage.votedFor().isEmpty() || storage.votedFor().equals(request.from));
     if (!granted) {
-      respond(connection, request, false, storage.term);
+      respond(connection, request, false, storage.term());
       return;
     }
     raftNode.resetElectionTimeout();
@@ -70,13 +78,13 @@
         RaftMessages.withTerm(raftNode.withHeader(new VoteResponse(), request.from), term);
     response.preVote = request.preVote;
     response.granted = granted;
-    raftNode.handshakes.send(connection, response);
+    raftNode.handshakes().send(connection, response);
   }
 
   /** True when the message comes from the leader of the current term. */
   private boolean acceptLeader(final RaftMessages.RaftMessage message) {
     raftNode.observeTerm(message.term);
-    if (message.term < raftNode.storage.term) {
+    if (message.term < raftNode.currentTerm()) {
       return false;
     }
     // Invariant: one leader a term.
@@ -87,22 +95,35 @@
     return true;
   }
 
+  /** Takes entries, or a mere heartbeat, of the leader of the current term. */
   void onAppendEntries(final PeerConnection connection, final AppendEntriesRequest request) {
-    final RaftLog log = raftNode.log;
+    final RaftLog log = raftNode.log();
     if (!acceptLeader(request)) {
       respond(connection, request, false, 0);
       return;
     }
     raftNode.onLeaderContact(connection);
-    raftNode.relay.setSource(request.relayAddress);
-    raftNode.groupMembership.onLeaderCommitIndex(request.commitIndex);
-    final boolean behindBase = request.prevIndex < log.snapshotIndex();
-    if (!behindBase && log.termAt(request.prevIndex) != request.prevTerm) {
+    raftNode.relay().setSource(request.relayAddress);
+    raftNode.groupMembership().onLeaderCommitIndex(request.commitIndex);
+    final boolean coveredBySnapshot = request.prevIndex < log.snapshotIndex();
+    if (!coveredBySnapshot && log.termAt(request.prevIndex) != request.prevTerm) {
       respond(connection, request, false, Math.min(log.lastIndex(), request.prevIndex - 1));
       return;
     }
+    appendNewEntries(request.entries);
+    final long matchIndex =
+        Math.max(request.prevIndex + request.entries.size(), log.snapshotIndex());
+    raftNode.commitTracker().advanceCommitIndex(Math.min(request.commitIndex, matchIndex));
+    if (!request.responseOptional || !request.entries.isEmpty()) {
+      respondOnceSynced(connection, request, matchIndex);
+    }
+  }
+
+  /** Appends what is not there yet; a tail that an earlier leader left goes first. */
+  private void appendNewEntries(final List<LogEntry> entries) {
+    final RaftLog log = raftNode.log();
     final List<LogEntry> newEntries = new ArrayList<>();
-    for (final LogEntry entry : request.entries) {
+    for (final LogEntry entry : entries) {
       // What the snapshot covers was committed and is the same everywhere.
       if (entry.index <= log.snapshotIndex()) {
         continue;
@@ -111,28 +132,29 @@
         continue;
       }
       if (newEntries.isEmpty() && entry.index <= log.lastIndex()) {
-        raftNode.commitTracker.truncateFrom(entry.index);
+        raftNode.commitTracker().truncateFrom(entry.index);
       }
       newEntries.add(entry);
     }
-    raftNode.commitTracker.append(newEntries);
-    long matchIndex = Math.max(request.prevIndex + request.entries.size(), log.snapshotIndex());
-    raftNode.commitTracker.advanceCommitIndex(Math.min(request.commitIndex, matchIndex));
+    raftNode.commitTracker().append(newEntries);
+  }
+
+  /** Responds at once when the disk holds what the request speaks of, else as soon as it does. */
+  private void respondOnceSynced(
+      final PeerConnection connection, final AppendEntriesRequest request, final long matchIndex) {
     // What was committed here on another's word the leader has, too: so it hears how far a relayed
     // member is.
-    matchIndex =
+    final long heldIndex =
         request.relayAddress == null ? matchIndex : Math.max(matchIndex, raftNode.commitIndex());
-    if (request.responseOptional && request.entries.isEmpty()) {
-      return;
-    }
-    if (matchIndex <= raftNode.commitTracker.syncedIndex() || request.entries.isEmpty()) {
-      respond(
-          connection, request, true, Math.min(matchIndex, raftNode.commitTracker.syncedIndex()));
+    final long syncedIndex = raftNode.commitTracker().syncedIndex();
+    if (heldIndex <= syncedIndex || request.entries.isEmpty()) {
+      respond(connection, request, true, Math.min(heldIndex, syncedIndex));
     } else {
-      pendingResponses.add(new PendingResponse(connection, request, matchIndex));
+      pendingResponses.add(new PendingResponse(connection, request, heldIndex));
     }
   }
 
+  /** More entries are on disk: sends the responses that waited for them. */
   void onSynced() {
     if (pendingResponses.isEmpty()) {
       return;
@@ -140,10 +162,10 @@
     final List<PendingResponse> owed = new ArrayList<>(pendingResponses);
     pendingResponses.clear();
     for (final PendingResponse one : owed) {
-      if (one.request.term != raftNode.storage.term) {
+      if (one.request.term != raftNode.currentTerm()) {
         continue;
       }
-      if (one.match <= raftNode.commitTracker.syncedIndex()) {
+      if (one.match <= raftNode.commitTracker().syncedIndex()) {
         respond(one.connection, one.request, true, one.match);
       } else {
         pendingResponses.add(one);
@@ -162,9 +184,10 @@
     response.matchIndex = match;
     // The answer bears this member's term: a round counts in it only if it was asked in it.
     response.round = request.term == response.term ? request.round : 0;
-    raftNode.handshakes.send(connection, response);
+    raftNode.handshakes().send(connection, response);
   }
 
+  /** Takes one chunk of a snapshot; the last one replaces the log and the state machine's state. */
   void onInstallSnapshot(final PeerConnection connection, final InstallSnapshotRequest request) {
     if (!acceptLeader(request)) {
       return;
@@ -173,8 +196,8 @@
     asked.from = request.from;
     // The entry that a snapshot ends with is here: so is all before it, and what is behind it must
     // stay.
-    if (raftNode.log.termAt(request.lastIndex) == request.lastTerm) {
-      raftNode.commitTracker.advanceCommitIndex(request.lastIndex);
+    if (raftNode.log().termAt(request.lastIndex) == request.lastTerm) {
+      raftNode.commitTracker().advanceCommitIndex(request.lastIndex);
     }
     // What is committed here the leader has too: said so, or it would send the same again and
     // again.
@@ -183,19 +206,21 @@
           connection,
           asked,
           true,
-          Math.min(raftNode.commitIndex(), raftNode.commitTracker.syncedIndex()));
+          Math.min(raftNode.commitIndex(), raftNode.commitTracker().syncedIndex()));
       return;
     }
-    final byte[] state = raftNode.leaderState.snapshotTransfer.onChunk(request);
+    final byte[] state = raftNode.leaderState().snapshotTransfer().onChunk(request);
     if (state == null) {
       return;
     }
     pendingResponses.clear();
-    raftNode.commitTracker.installSnapshot(
-        request.lastIndex,
-        request.lastTerm,
-        request.voters,
-        state,
-        () -> respond(connection, asked, true, request.lastIndex));
+    raftNode
+        .commitTracker()
+        .installSnapshot(
+            request.lastIndex,
+            request.lastTerm,
+            request.voters,
+            state,
+            () -> respond(connection, asked, true, request.lastIndex));
   }
 }
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -9,9 +9,11 @@
 import java.util.function.Supplier;
 
 /**
- * A member's own side of its membership: whoever has no vote, or hears no leader, makes itself
- * known to whoever leads, by whatever way the lead passed. A new leader knows the voters from its
- * log, and all others only by their own word.
+ * A member's own side of its membership. One that has no vote, or hears no leader, makes itself
+ * known to whoever leads, by whatever way the leadership went: a new leader knows the voters from
+ * its log, and all others only by their own word.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
  */
 public final class GroupMembership {
   private final RaftNode raftNode;
@@ -39,7 +41,7 @@
       final Supplier<List<String>> chosenPeers, final BooleanSupplier chosenWantsVote) {
     peers = chosenPeers;
     wantsVote = chosenWantsVote;
-    raftNode.context.scheduleAtFixedRate(REGISTRATION_INTERVAL_MS, this::requestToJoin);
+    raftNode.context().scheduleAtFixedRate(REGISTRATION_INTERVAL_MS, this::requestToJoin);
   }
 
   /** Whether this member votes, as far as its own log says. */
@@ -58,8 +60,9 @@
     final List<String> asked = leader == null ? peers.get() : List.of(RaftNode.addressOf(leader));
     asked.forEach(
         peer ->
-            raftNode.followerState.sendJoinRequest(
-                peer, !leaving && wantsVote.getAsBoolean(), leaving));
+            raftNode
+                .followerState()
+                .sendJoinRequest(peer, !leaving && wantsVote.getAsBoolean(), leaving));
   }
 
   /** This member's process ends soon. */
@@ -74,21 +77,21 @@
    */
   public void leaveGroup(final Runnable ended) {
     leaving = true;
-    awaitReplacement(raftNode.context.nowMs(), ended);
+    awaitReplacement(raftNode.context().nowMs(), ended);
   }
 
   private void awaitReplacement(final long startMs, final Runnable ended) {
     final boolean owed = isVoter() || raftNode.reconfiguration().changeInProgress();
     // Nobody without a vote is known: what remains to be handed on is the lead.
     final boolean taker = peers.get().size() >= raftNode.reconfiguration().voterCount();
-    if (!owed || !taker || raftNode.context.nowMs() - startMs > LEAVE_TIMEOUT_MS) {
+    if (!owed || !taker || raftNode.context().nowMs() - startMs > LEAVE_TIMEOUT_MS) {
       raftNode.reconfiguration().transferLeadership(ended);
       return;
     }
     if (!raftNode.isLeader()) {
       requestToJoin();
     }
-    raftNode.context.schedule(LEAVE_CHECK_INTERVAL_MS, () -> awaitReplacement(startMs, ended));
+    raftNode.context().schedule(LEAVE_CHECK_INTERVAL_MS, () -> awaitReplacement(startMs, ended));
   }
 
   /**
@@ -113,7 +116,7 @@
   void onLeaderCommitIndex(final long leaderCommit) {
     if (raftNode.appliedIndex() >= leaderCommitIndex) {
       leaderCommitIndex = leaderCommit;
-      behindSinceMs = raftNode.context.nowMs();
+      behindSinceMs = raftNode.context().nowMs();
     }
   }
 
@@ -121,6 +124,6 @@
   public long lagMs() {
     return raftNode.isLeader() || raftNode.appliedIndex() >= leaderCommitIndex
         ? 0
-        : raftNode.context.nowMs() - behindSinceMs;
+        : raftNode.context().nowMs() - behindSinceMs;
   }
 }
--- a/src/main/java/yewjunction/raft/InMemoryDisk.java
+++ b/src/main/java/yewjunction/raft/InMemoryDisk.java
@@ -5,8 +5,7 @@
 import java.util.Map;
 
 /**
- * Memory in the place of a disk, for a member on a machine that has none: it follows and never
- * votes.
+ * Memory in place of a disk, for a member on a machine that has none: it learns and never votes.
  */
 public final class InMemoryDisk implements Disk {
   private final Map<String, byte[]> files = new HashMap<>();
--- a/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
+++ b/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Whether this leader's own connections or machine hold everybody up: when all peers answer late,
- * it is the one to go.
+ * Whether this leader's own connections or machine hold everybody up: when all other voters answer
+ * late, the leader is the one to go. Owned by {@link LeaderState}; all calls on the agent's thread.
  */
 final class LeaderLatencyMonitor {
   private final RaftNode raftNode;
@@ -23,13 +23,13 @@
   }
 
   void reset() {
-    leadingSinceMs = raftNode.context.nowMs();
+    leadingSinceMs = raftNode.context().nowMs();
     lastHeartbeatRound = 0;
   }
 
   /** At each heartbeat: who has not answered the one before. */
   void onHeartbeat(final long newRound) {
-    for (final PeerProgress progress : leaderState.progressByMember.values()) {
+    for (final PeerProgress progress : leaderState.progressByMember().values()) {
       final boolean late = progress.confirmedRound < lastHeartbeatRound;
       progress.lateShare += LATE_HEARTBEAT_WEIGHT * ((late ? 1 : 0) - progress.lateShare);
     }
@@ -38,7 +38,7 @@
 
   /** Another would lead better: all others are there, and all of them are late. */
   boolean isSlow() {
-    final long nowMs = raftNode.context.nowMs();
+    final long nowMs = raftNode.context().nowMs();
     final List<String> voters = raftNode.voters();
     if (voters.size() < 3 || nowMs - leadingSinceMs < MIN_LEADERSHIP_MS) {
       return false;
--- a/src/main/java/yewjunction/raft/LeaderState.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -13,14 +13,23 @@
 import yewjunction.raft.RaftMessages.AppendEntriesRequest;
 import yewjunction.raft.RaftMessages.AppendEntriesResponse;
 
-/** What a leader does: replicates, commits, confirms its leadership. */
+/**
+ * What a member does while it leads: appends and replicates entries, advances the commit index,
+ * sends heartbeats, and confirms its leadership. Each leadership has a number, so that a timer of
+ * an earlier one does nothing.
+ *
+ * <p>Owns the {@link PeerProgress} of every other member. A leader steps down when a majority has
+ * been silent, and transfers its leadership when its own connections or disk hold the others up.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
+ */
 final class LeaderState {
   private final RaftNode raftNode;
-  final VoterReconfiguration reconfiguration;
-  final Map<String, PeerProgress> progressByMember = new HashMap<>();
+  private final VoterReconfiguration reconfiguration;
+  private final Map<String, PeerProgress> progressByMember = new HashMap<>();
   private final ReadIndexRequests readIndexRequests;
   private final LeaderLatencyMonitor latencyMonitor;
-  final SnapshotTransfer snapshotTransfer;
+  private final SnapshotTransfer snapshotTransfer;
   private long firstIndexOfTerm;
   private long leadershipNumber;
   private boolean sendScheduled;
@@ -52,7 +61,7 @@
     latencyMonitor.reset();
     leadershipAnnounced = false;
     raftNode.voters().forEach(this::progressOf);
-    firstIndexOfTerm = raftNode.log.lastIndex() + 1;
+    firstIndexOfTerm = raftNode.log().lastIndex() + 1;
     append(LogEntry.NO_OP, new byte[0]);
     heartbeat(leadershipNumber);
   }
@@ -68,14 +77,28 @@
     return firstIndexOfTerm;
   }
 
+  VoterReconfiguration reconfiguration() {
+    return reconfiguration;
+  }
+
+  SnapshotTransfer snapshotTransfer() {
+    return snapshotTransfer;
+  }
+
+  /** By identity: every member that is known, with a vote or without. */
+  Map<String, PeerProgress> progressByMember() {
+    return progressByMember;
+  }
+
+  /** A member's progress; one that was not known is assumed to hold the whole log. */
   PeerProgress progressOf(final String identity) {
     return progressByMember.computeIfAbsent(
         identity,
         key -> {
-          final PeerProgress fresh = new PeerProgress();
-          fresh.nextIndex = raftNode.log.lastIndex() + 1;
-          fresh.lastContactMs = raftNode.context.nowMs();
-          return fresh;
+          final PeerProgress newProgress = new PeerProgress();
+          newProgress.nextIndex = raftNode.log().lastIndex() + 1;
+          newProgress.lastContactMs = raftNode.context().nowMs();
+          return newProgress;
         });
   }
 
@@ -88,18 +111,10 @@
       return;
     }
     // Armed first: a turn that fails must not be the last heartbeat.
-    raftNode.context.schedule(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
-    final long nowMs = raftNode.context.nowMs();
-    // A leader that a majority no longer answers steps down, so that others are not led astray.
-    final List<String> voters = raftNode.voters();
-    final long heard =
-        voters.stream()
-            .filter(
-                voter ->
-                    isSelf(voter)
-                        || nowMs - progressOf(voter).lastContactMs < 2 * MAX_ELECTION_TIMEOUT_MS)
-            .count();
-    if (heard * 2 <= voters.size()) {
+    raftNode.context().schedule(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
+    final long nowMs = raftNode.context().nowMs();
+    if (!hasContactWithMajority(nowMs)) {
+      // Steps down, so that nobody goes on following a leader that can commit nothing.
       raftNode.becomeFollower(null);
       raftNode.resetElectionTimeout();
       return;
@@ -110,18 +125,36 @@
     responseWanted = true;
     replicateToAll();
     reconfiguration.adjustVoters();
-    if (raftNode.isReadyLeader()
-        && !reconfiguration.isTransferring()
-        && (latencyMonitor.isSlow() && !snapshotTransfer.keepsLeadership(nowMs)
-            || raftNode.commitTracker.oldestPendingWriteMs() > SLOW_DISK_TRANSFER_MS)) {
+    if (shouldTransferLeadership(nowMs)) {
       reconfiguration.transferLeadership(latencyMonitor::reset);
     }
   }
 
+  private boolean hasContactWithMajority(final long nowMs) {
+    final List<String> voters = raftNode.voters();
+    final long inContact =
+        voters.stream()
+            .filter(
+                voter ->
+                    isSelf(voter)
+                        || nowMs - progressOf(voter).lastContactMs < 2 * MAX_ELECTION_TIMEOUT_MS)
+            .count();
+    return inContact * 2 > voters.size();
+  }
+
+  /** Whether this leader's own connections or disk hold the whole group up. */
+  private boolean shouldTransferLeadership(final long nowMs) {
+    if (!raftNode.isReadyLeader() || reconfiguration.isTransferring()) {
+      return false;
+    }
+    return latencyMonitor.isSlow() && !snapshotTransfer.keepsLeadership(nowMs)
+        || raftNode.commitTracker().oldestPendingWriteMs() > SLOW_DISK_TRANSFER_MS;
+  }
+
   long append(final int kind, final byte[] data) {
     final LogEntry entry =
-        new LogEntry(raftNode.log.lastIndex() + 1, raftNode.storage.term, kind, data);
-    raftNode.commitTracker.append(List.of(entry));
+        new LogEntry(raftNode.log().lastIndex() + 1, raftNode.currentTerm(), kind, data);
+    raftNode.commitTracker().append(List.of(entry));
     scheduleSend();
     return entry.index;
   }
@@ -130,11 +163,13 @@
   private void scheduleSend() {
     if (!sendScheduled) {
       sendScheduled = true;
-      raftNode.context.execute(
-          () -> {
-            sendScheduled = false;
-            replicateToAll();
-          });
+      raftNode
+          .context()
+          .execute(
+              () -> {
+                sendScheduled = false;
+                replicateToAll();
+              });
     }
   }
 
@@ -145,14 +180,16 @@
   private void scheduleCommitNotice() {
     if (!commitNoticeScheduled) {
       commitNoticeScheduled = true;
-      raftNode.context.schedule(
-          COMMIT_NOTICE_DELAY_MS,
-          () -> {
-            commitNoticeScheduled = false;
-            if (announcedCommitIndex < raftNode.commitIndex()) {
-              replicateToAll();
-            }
-          });
+      raftNode
+          .context()
+          .schedule(
+              COMMIT_NOTICE_DELAY_MS,
+              () -> {
+                commitNoticeScheduled = false;
+                if (announcedCommitIndex < raftNode.commitIndex()) {
+                  replicateToAll();
+                }
+              });
     }
   }
 
@@ -173,10 +210,10 @@
    * lacks, and is denied.
    */
   private void replicateTo(final String identity, final PeerProgress progress) {
-    final long nowMs = raftNode.context.nowMs();
-    final RaftLog log = raftNode.log;
+    final long nowMs = raftNode.context().nowMs();
+    final RaftLog log = raftNode.log();
     if (progress.relayAddress != null) {
-      raftNode.relay.sendHeartbeat(identity, progress, readIndexRequests.newestRound());
+      raftNode.relay().sendHeartbeat(identity, progress, readIndexRequests.newestRound());
       return;
     }
     final boolean silent = nowMs - progress.lastContactMs > APPEND_RETRY_MS;
@@ -206,11 +243,11 @@
   void onAppendEntriesResponse(final AppendEntriesResponse response) {
     raftNode.observeTerm(response.term);
     final PeerProgress progress = progressByMember.get(response.from);
-    if (!raftNode.isLeader() || response.term != raftNode.storage.term || progress == null) {
+    if (!raftNode.isLeader() || response.term != raftNode.currentTerm() || progress == null) {
       return;
     }
-    final boolean wasSilent = raftNode.context.nowMs() - progress.lastContactMs > APPEND_RETRY_MS;
-    progress.lastContactMs = raftNode.context.nowMs();
+    final boolean wasSilent = raftNode.context().nowMs() - progress.lastContactMs > APPEND_RETRY_MS;
+    progress.lastContactMs = raftNode.context().nowMs();
     progress.confirmedRound = Math.max(progress.confirmedRound, response.round);
     if (response.accepted) {
       progress.onAccepted(response.matchIndex, progress.lastContactMs);
@@ -218,7 +255,7 @@
       progress.nextIndex =
           Math.max(progress.matchIndex, Math.min(progress.nextIndex - 2, response.matchIndex)) + 1;
     }
-    if (progress.nextIndex <= raftNode.log.lastIndex()
+    if (progress.nextIndex <= raftNode.log().lastIndex()
         && (!response.accepted || wasSilent || progress.matchIndex == progress.nextIndex - 1)) {
       replicateTo(response.from, progress);
     }
@@ -239,15 +276,15 @@
     for (int i = 0; i < matchIndexes.length; i++) {
       matchIndexes[i] =
           isSelf(voters.get(i))
-              ? raftNode.commitTracker.syncedIndex()
+              ? raftNode.commitTracker().syncedIndex()
               : progressOf(voters.get(i)).matchIndex;
     }
     java.util.Arrays.sort(matchIndexes);
     final long majorityIndex = matchIndexes[(matchIndexes.length - 1) / 2];
     // Only entries of the own term are counted; older ones are committed along with them.
     if (majorityIndex > raftNode.commitIndex()
-        && raftNode.log.termAt(majorityIndex) == raftNode.storage.term) {
-      raftNode.commitTracker.advanceCommitIndex(majorityIndex);
+        && raftNode.log().termAt(majorityIndex) == raftNode.currentTerm()) {
+      raftNode.commitTracker().advanceCommitIndex(majorityIndex);
       scheduleCommitNotice();
     }
   }
@@ -258,7 +295,7 @@
       raftNode.announceLeadership();
     }
     // A leader that voted itself out goes once that is committed.
-    if (raftNode.log.lastVoterChangeIndex() <= raftNode.commitIndex()
+    if (raftNode.log().lastVoterChangeIndex() <= raftNode.commitIndex()
         && !raftNode.voters().contains(raftNode.identity())) {
       raftNode.becomeFollower(null);
     }
@@ -276,7 +313,7 @@
 
   void onJoinRequest(final RaftMessages.JoinRequest request) {
     if (raftNode.isLeader()) {
-      progressOf(request.from).onJoinRequest(request, raftNode.context.nowMs());
+      progressOf(request.from).onJoinRequest(request, raftNode.context().nowMs());
     }
   }
 }
--- a/src/main/java/yewjunction/raft/LocalDisk.java
+++ b/src/main/java/yewjunction/raft/LocalDisk.java
@@ -16,11 +16,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The real disk: files in one folder. Used by one thread at a time. */
+/**
+ * Files of one folder on the machine's disk, each kept open once it was used; the process ends with
+ * them open. Used by one thread at a time.
+ *
+ * <p>Every failure is a {@link StorageException}: STORAGE_FULL when what was written in part could
+ * be taken back, so that the same write may be tried again, else STORAGE_FAILED.
+ */
 public final class LocalDisk implements Disk {
   private final Path folder;
   private final Map<String, FileChannel> openFiles = new HashMap<>();
 
+  /** Makes the folder when there is none. */
   public LocalDisk(final Path folder) {
     this.folder = folder;
     try {
--- a/src/main/java/yewjunction/raft/LogEntry.java
+++ b/src/main/java/yewjunction/raft/LogEntry.java
@@ -1,6 +1,9 @@
 package yewjunction.raft;
 
-/** One entry of the log. */
+/**
+ * One entry of the log. Its fields are encoded by position: neither their order nor their types may
+ * change.
+ */
 public final class LogEntry {
   static final int NO_OP = 0;
   static final int DATA = 1;
@@ -11,6 +14,7 @@
   public int kind;
   public byte[] data = new byte[0];
 
+  /** For the codec. */
   public LogEntry() {}
 
   LogEntry(final long index, final long term, final int kind, final byte[] data) {
--- a/src/main/java/yewjunction/raft/LogRecord.java
+++ b/src/main/java/yewjunction/raft/LogRecord.java
@@ -8,7 +8,12 @@
 import org.agrona.concurrent.UnsafeBuffer;
 
 /**
- * Flyweight over a checksummed record: length, sum, how far the file was synced then, kind, body.
+ * A flyweight over one record of a file: 4 bytes length of the body, 4 bytes CRC-32C of all that
+ * follows, 8 bytes length to which the file was synced when the record was written, 1 byte kind,
+ * body. All numbers are big-endian.
+ *
+ * <p>A record that is not valid ends the file: it is a torn tail, unless a later valid record says
+ * that this place had been synced, in which case the file is damaged.
  */
 final class LogRecord {
   static final int HEADER_BYTES = 4 + 4 + 8 + 1;
--- a/src/main/java/yewjunction/raft/MessageRouter.java
+++ b/src/main/java/yewjunction/raft/MessageRouter.java
@@ -13,7 +13,10 @@
 import yewjunction.raft.RaftMessages.VoteRequest;
 import yewjunction.raft.RaftMessages.VoteResponse;
 
-/** Brings a member the messages that are for it. */
+/**
+ * Registers the handlers of all messages of a group, and drops those that are for another group,
+ * for an identity whose disk is gone, or for a member that has stopped.
+ */
 final class MessageRouter {
   private final RaftNode raftNode;
   private final FollowerState followerState;
@@ -32,9 +35,10 @@
   }
 
   void registerHandlers() {
-    raftNode.transport.onClose(raftNode::onClose);
-    handle(FetchRequest.class, raftNode.relay::onFetchRequest);
-    handle(FetchResponse.class, (connection, response) -> raftNode.relay.onFetchResponse(response));
+    raftNode.transport().onClose(raftNode::onClose);
+    handle(FetchRequest.class, raftNode.relay()::onFetchRequest);
+    handle(
+        FetchResponse.class, (connection, response) -> raftNode.relay().onFetchResponse(response));
     handle(VoteRequest.class, followerState::onVoteRequest);
     handle(VoteResponse.class, (connection, response) -> election.onVoteResponse(response));
     handle(AppendEntriesRequest.class, followerState::onAppendEntries);
@@ -44,7 +48,8 @@
     handle(InstallSnapshotRequest.class, followerState::onInstallSnapshot);
     handle(
         InstallSnapshotResponse.class,
-        (connection, response) -> leaderState.snapshotTransfer.onInstallSnapshotResponse(response));
+        (connection, response) ->
+            leaderState.snapshotTransfer().onInstallSnapshotResponse(response));
     handle(
         JoinRequest.class,
         (connection, request) -> {
@@ -54,14 +59,14 @@
             // The new member may not know the leader's machine yet; passed on once, so that it
             // never runs in circles.
             request.forwarded = true;
-            raftNode.transport.connect(RaftNode.addressOf(raftNode.leader())).send(request);
+            raftNode.transport().connect(RaftNode.addressOf(raftNode.leader())).send(request);
           }
         });
     handle(
         TimeoutNowRequest.class,
         (connection, request) -> {
           // Only the leader of this very term may name its follower.
-          if (request.term == raftNode.storage.term) {
+          if (request.term == raftNode.currentTerm()) {
             election.campaign(true);
           }
         });
@@ -69,17 +74,19 @@
 
   private <T extends RaftMessages.RaftMessage> void handle(
       final Class<T> kind, final BiConsumer<PeerConnection, T> handler) {
-    raftNode.transport.onMessage(
-        kind,
-        (connection, letter) -> {
-          // Another group, or an identity whose disk is gone: not for this member.
-          final boolean forThis =
-              letter.group == raftNode.group
-                  && raftNode.identity() != null
-                  && raftNode.handshakes.accept(connection, letter);
-          if (forThis && !raftNode.isStopped()) {
-            handler.accept(connection, letter);
-          }
-        });
+    raftNode
+        .transport()
+        .onMessage(
+            kind,
+            (connection, message) -> {
+              // Another group, or an identity whose disk is gone: not for this member.
+              final boolean forThis =
+                  message.group == raftNode.group()
+                      && raftNode.identity() != null
+                      && raftNode.handshakes().accept(connection, message);
+              if (forThis && !raftNode.isStopped()) {
+                handler.accept(connection, message);
+              }
+            });
   }
 }
--- a/src/main/java/yewjunction/raft/PeerProgress.java
+++ b/src/main/java/yewjunction/raft/PeerProgress.java
@@ -8,7 +8,11 @@
 
 import java.util.List;
 
-/** How far a member is. */
+/**
+ * How far another member is, as the leader knows it: {@code nextIndex} and {@code matchIndex} of
+ * the Raft paper, the newest round it has answered, and when it was last heard of. Fields are read
+ * and written by {@link LeaderState} and the classes it owns; all on the agent's thread.
+ */
 final class PeerProgress {
   long nextIndex;
   long matchIndex;
--- a/src/main/java/yewjunction/raft/RaftLog.java
+++ b/src/main/java/yewjunction/raft/RaftLog.java
@@ -3,7 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The entries in memory, behind the last snapshot. */
+/**
+ * The entries in memory behind the newest snapshot, and which voters are in force at each index.
+ *
+ * <p>Invariants: indices follow without gap and terms never fall.
+ */
 final class RaftLog {
   private final ArrayList<LogEntry> entries = new ArrayList<>();
 
--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -4,10 +4,15 @@
 import java.util.List;
 import yewjunction.common.MessageCodec;
 
-/** What Raft groups of one group say to one another. */
+/**
+ * The messages between members of one group, encoded as docs/control/calls.md lists them. Fields
+ * are encoded by position: a field may be added at the end, and none may be moved, removed or given
+ * another type.
+ */
 public final class RaftMessages {
   private RaftMessages() {}
 
+  /** Registers all messages under their numbers. */
   public static void register(final MessageCodec codec) {
     codec
         .register(10, VoteRequest.class)
@@ -38,12 +43,13 @@
     long term;
   }
 
-  static <T extends RaftMessage> T withTerm(final T letter, final long term) {
-    letter.term = term;
-    return letter;
+  /** Sets another term than the sender's current one. */
+  static <T extends RaftMessage> T withTerm(final T message, final long term) {
+    message.term = term;
+    return message;
   }
 
-  /** 0 stands for anyone. */
+  /** A hash that names a receiver in 8 bytes; never 0, which stands for anyone. */
   static long identityHash(final String identity) {
     long hash = 0xcbf29ce484222325L;
     for (int at = 0; at < identity.length(); at++) {
@@ -52,7 +58,10 @@
     return hash >>> 1 | 1;
   }
 
-  /** For a vote, or, when pre is set, whether a vote would be given. */
+  /**
+   * Asks for a vote, or with preVote set whether one would be given. Response: {@link
+   * VoteResponse}.
+   */
   static final class VoteRequest extends RaftMessage {
     boolean preVote;
     boolean leadershipTransfer;
@@ -60,11 +69,13 @@
     long lastTerm;
   }
 
+  /** Grants or denies; with preVote set it promises nothing. */
   static final class VoteResponse extends RaftMessage {
     boolean preVote;
     boolean granted;
   }
 
+  /** Entries of the leader, or a heartbeat without any. Response: {@link AppendEntriesResponse}. */
   static final class AppendEntriesRequest extends RaftMessage {
     long prevIndex;
     long prevTerm;
@@ -80,25 +91,36 @@
     String relayAddress;
   }
 
-  /** A member without a vote asks one of its zone for what is committed behind its own end. */
+  /**
+   * A member without a vote asks one of its zone for what is committed behind its own end.
+   * Response: {@link FetchResponse}, as soon as there is something.
+   */
   static final class FetchRequest extends RaftMessage {
     long nextIndex;
     long lastTerm;
   }
 
+  /** Committed entries behind the requester's end. */
   static final class FetchResponse extends RaftMessage {
     long prevIndex;
     long prevTerm;
     List<LogEntry> entries = new ArrayList<>();
   }
 
+  /**
+   * How far the sender holds the leader's log on disk, or that the entry before the request's is
+   * not the leader's.
+   */
   static final class AppendEntriesResponse extends RaftMessage {
     boolean accepted;
     long matchIndex;
     long round;
   }
 
-  /** A piece of a snapshot, for a member too far behind; the next one follows its answer. */
+  /**
+   * A chunk of a snapshot, for a member too far behind; the next one follows the {@link
+   * InstallSnapshotResponse}.
+   */
   static final class InstallSnapshotRequest extends RaftMessage {
     long lastIndex;
     long lastTerm;
@@ -130,7 +152,9 @@
     int attempt;
   }
 
-  /** The leader stops: stand for election now. */
+  /**
+   * The leader stops: the receiver is to stand for election now, without a pre-vote. No response.
+   */
   static final class TimeoutNowRequest extends RaftMessage {}
 
   /**
--- a/src/main/java/yewjunction/raft/RaftNode.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -11,7 +11,30 @@
 import yewjunction.common.PeerConnection;
 import yewjunction.common.PeerTransport;
 
-/** One member of a replicated log. All calls on the owner's thread. */
+/**
+ * One member of a Raft group: a replicated log and the state machine that it drives. The protocol
+ * is that of "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014) and
+ * of Ongaro's dissertation, with pre-vote, leadership transfer, changes of one voter at a time, and
+ * snapshots in chunks.
+ *
+ * <p>Message types: see {@link RaftMessages}. State changes: {@link #observeTerm}, {@link
+ * #becomeFollower}, {@link #becomeCandidate} and {@link #becomeLeader}, and nowhere else.
+ *
+ * <p>Invariants, checked where they could break:
+ *
+ * <ul>
+ *   <li>A term never falls, and a vote once given in a term stays ({@link RaftStorage#saveVote}).
+ *   <li>There is one leader a term ({@link FollowerState}).
+ *   <li>What is committed is never truncated ({@link CommitTracker#truncateFrom}).
+ *   <li>A response that promises something is sent only after the disk has synced it.
+ * </ul>
+ *
+ * <p>Beyond the paper: members without a vote fetch committed entries from a voter of their zone
+ * ({@link ZoneRelay}), and a leader decides who votes by {@link VoterPlacement}.
+ *
+ * <p>Threads: all calls on the agent's thread. Disk work runs on a {@link TaskExecutor} and returns
+ * to that thread.
+ */
 public final class RaftNode {
   /** What a member is in its current term. */
   enum Role {
@@ -20,25 +43,30 @@
     LEADER
   }
 
-  final int group;
-  final AgentContext context;
-  final PeerTransport transport;
-  final RaftStorage storage;
-  final RaftLog log;
+  private final int group;
+  private final AgentContext context;
+  private final PeerTransport transport;
+  private final RaftStorage storage;
+  private final RaftLog log;
   private final StateMachine stateMachine;
-  final LeaderState leaderState;
-  final FollowerState followerState;
+  private final LeaderState leaderState;
+  private final FollowerState followerState;
   private final Election election;
-  final CommitTracker commitTracker;
-  final ConnectionHandshakes handshakes;
-  final ZoneRelay relay;
-  final GroupMembership groupMembership;
+  private final CommitTracker commitTracker;
+  private final ConnectionHandshakes handshakes;
+  private final ZoneRelay relay;
+  private final GroupMembership groupMembership;
   private Role role = Role.FOLLOWER;
   private String leaderIdentity;
   private PeerConnection leaderConnection;
   private long leaderContactMs;
   private boolean stopped;
 
+  /**
+   * Opens the log and restores the state machine from it; nothing is sent before {@link #start}.
+   *
+   * @throws StorageException when the file is damaged or cannot be read
+   */
   public RaftNode(
       final int group,
       final AgentContext context,
@@ -52,7 +80,7 @@
     this.transport = transport;
     this.stateMachine = stateMachine;
     storage = new RaftStorage(new AppendOnlyFile(disk, executor, name));
-    log = storage.log;
+    log = storage.log();
     handshakes = new ConnectionHandshakes(this);
     relay = new ZoneRelay(this);
     groupMembership = new GroupMembership(this);
@@ -65,9 +93,9 @@
         "group "
             + group
             + " identity "
-            + storage.identity
+            + storage.identity()
             + " term "
-            + storage.term
+            + storage.term()
             + " last "
             + log.lastIndex()
             + " voters "
@@ -88,16 +116,22 @@
     }
   }
 
+  /** Begins to take part in elections. */
   public void start() {
     election.start();
   }
 
+  /** From now on this member answers nothing and stands for nothing. */
   public void stop() {
     stopped = true;
   }
 
+  /**
+   * Address, {@code #} and a name drawn when the disk was empty; null before {@link
+   * #assignIdentity}.
+   */
   public String identity() {
-    return storage.identity;
+    return storage.identity();
   }
 
   /**
@@ -108,22 +142,27 @@
     return whole.substring(Math.max(0, whole.length() - 7));
   }
 
+  /** The address in an identity. */
   public static String addressOf(final String identity) {
     return identity.substring(0, identity.indexOf('#'));
   }
 
+  /** Identities of the voters by the newest entry of the log, committed or not. */
   public List<String> voters() {
     return log.votersAt(log.lastIndex());
   }
 
+  /** Identity of the leader, null while none is known. */
   public String leader() {
     return leaderIdentity;
   }
 
+  /** Index of the newest entry known to be committed. */
   public long commitIndex() {
     return commitTracker.commitIndex();
   }
 
+  /** Index of the newest entry that the state machine has applied. */
   public long appliedIndex() {
     return commitTracker.appliedIndex();
   }
@@ -135,6 +174,56 @@
         && !stopped;
   }
 
+  /** The number of the group; it stands in every message and file. */
+  int group() {
+    return group;
+  }
+
+  /** Clock, timers and random numbers. */
+  AgentContext context() {
+    return context;
+  }
+
+  /** Connections to the other members. */
+  PeerTransport transport() {
+    return transport;
+  }
+
+  /** Term, vote and log on disk. */
+  RaftStorage storage() {
+    return storage;
+  }
+
+  /** The entries behind the newest snapshot. */
+  RaftLog log() {
+    return log;
+  }
+
+  /** What this member does while it leads. */
+  LeaderState leaderState() {
+    return leaderState;
+  }
+
+  /** What this member does for candidates and leaders. */
+  FollowerState followerState() {
+    return followerState;
+  }
+
+  /** Who speaks on which connection. */
+  ConnectionHandshakes handshakes() {
+    return handshakes;
+  }
+
+  /** Fetching of committed entries inside a zone. */
+  ZoneRelay relay() {
+    return relay;
+  }
+
+  /** The newest term this member has seen. */
+  long currentTerm() {
+    return storage.term();
+  }
+
   boolean isStopped() {
     return stopped;
   }
@@ -148,11 +237,11 @@
    * first.
    */
   public boolean propose(final byte[] data, final Consumer<Boolean> done) {
-    if (!isReadyLeader() || leaderState.reconfiguration.isTransferring()) {
+    if (!isReadyLeader() || leaderState.reconfiguration().isTransferring()) {
       return false;
     }
     final long index = leaderState.append(LogEntry.DATA, data);
-    commitTracker.onceApplied(index, storage.term, done);
+    commitTracker.onceApplied(index, storage.term(), done);
     return true;
   }
 
@@ -172,7 +261,7 @@
 
   /** Who votes, decided by the leader. */
   public VoterReconfiguration reconfiguration() {
-    return leaderState.reconfiguration;
+    return leaderState.reconfiguration();
   }
 
   /** This member's own side of its membership. */
@@ -185,12 +274,12 @@
     new MessageRouter(this, followerState, leaderState, election).registerHandlers();
   }
 
-  <T extends RaftMessages.RaftMessage> T withHeader(final T letter, final String to) {
-    letter.group = group;
-    letter.from = storage.identity;
-    letter.to = to == null ? 0 : RaftMessages.identityHash(to);
-    letter.term = storage.term;
-    return letter;
+  <T extends RaftMessages.RaftMessage> T withHeader(final T message, final String to) {
+    message.group = group;
+    message.from = storage.identity();
+    message.to = to == null ? 0 : RaftMessages.identityHash(to);
+    message.term = storage.term();
+    return message;
   }
 
   void sendTo(final String identity, final RaftMessages.RaftMessage message) {
@@ -231,13 +320,13 @@
 
   void becomeLeader() {
     role = Role.LEADER;
-    leaderIdentity = storage.identity;
+    leaderIdentity = storage.identity();
     leaderState.start();
   }
 
   /** A later term was seen: whatever this member was, it follows now. */
   void observeTerm(final long newTerm) {
-    if (newTerm > storage.term) {
+    if (newTerm > storage.term()) {
       storage.saveVote(newTerm, "", () -> {});
       becomeFollower(null);
     }
@@ -249,7 +338,7 @@
     if (led) {
       // Whoever is told no here must not find a leader any more: it would propose in a term that is
       // another's.
-      LogEvent.LEADERSHIP_LOST.info("group " + group + " term " + storage.term);
+      LogEvent.LEADERSHIP_LOST.info("group " + group + " term " + storage.term());
       leaderState.stop();
     }
     election.end();
@@ -270,6 +359,6 @@
   }
 
   void announceLeadership() {
-    stateMachine.onLeaderChange(storage.identity, true);
+    stateMachine.onLeaderChange(storage.identity(), true);
   }
 }
--- a/src/main/java/yewjunction/raft/RaftStorage.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -7,7 +7,16 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A log's records: identity, votes, entries, cuts, snapshots. */
+/**
+ * Term, vote, identity and log of a member in one append-only file. A record is one of: identity,
+ * vote, entry, truncation, snapshot; its bytes are described in docs/control/snapshots.md and
+ * pinned by RaftWireFormatTest.
+ *
+ * <p>State in memory changes at once; the callback of a write runs on the agent's thread after the
+ * disk has synced it.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
+ */
 final class RaftStorage {
   private static final int IDENTITY = 1;
   private static final int VOTE = 2;
@@ -16,9 +25,9 @@
   private static final int SNAPSHOT = 5;
   private final AppendOnlyFile file;
 
-  long term;
-  String votedFor = "";
-  String identity;
+  private long term;
+  private String votedFor = "";
+  private String identity;
 
   /**
    * As it was read at the start, until it is taken: whoever owns the state needs no second one in
@@ -27,7 +36,7 @@
   private byte[] snapshotState;
 
   private long snapshotIndex;
-  final RaftLog log = new RaftLog();
+  private final RaftLog log = new RaftLog();
 
   RaftStorage(final AppendOnlyFile file) {
     this.file = file;
@@ -83,6 +92,26 @@
     return data.length == 0 ? List.of() : Arrays.asList(new String(data, UTF_8).split("\n"));
   }
 
+  /** The newest term this member has seen; 0 before the first. */
+  long term() {
+    return term;
+  }
+
+  /** Whom this member voted for in that term, empty for nobody. */
+  String votedFor() {
+    return votedFor;
+  }
+
+  /** Who this member is; null while its disk is new. */
+  String identity() {
+    return identity;
+  }
+
+  /** The entries behind the newest snapshot. */
+  RaftLog log() {
+    return log;
+  }
+
   long snapshotIndex() {
     return snapshotIndex;
   }
--- a/src/main/java/yewjunction/raft/ReadIndexRequests.java
+++ b/src/main/java/yewjunction/raft/ReadIndexRequests.java
@@ -6,8 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * Questions whether this member still leads, each answered by a majority's answers to later
- * appends.
+ * Requests to confirm that this member still leads: the ReadIndex of the Raft dissertation. Each
+ * belongs to a round, and is answered once a majority has responded to an append of that round or a
+ * later one.
+ *
+ * <p>Owned by {@link LeaderState}; all calls on the agent's thread.
  */
 final class ReadIndexRequests {
   private final RaftNode raftNode;
--- a/src/main/java/yewjunction/raft/SnapshotTransfer.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -19,9 +19,13 @@
 import yewjunction.raft.RaftMessages.InstallSnapshotResponse;
 
 /**
- * Snapshots on their way: from a leader in pieces, each after the answer to the one before. One
- * that was begun is finished: it ends when the receiver has installed it or is elsewhere, is gone
- * for long, or the leadership ends.
+ * Snapshots on their way. A leader sends one in chunks, each after the response to the one before;
+ * a chunk that is not answered is asked after, and never sent from the first byte again. One that
+ * was begun is finished: it ends when the receiver has installed it or is served from elsewhere,
+ * has been gone for long, or the leadership ends.
+ *
+ * <p>Owned by {@link LeaderState}, though a follower's half stands here, too; all calls on the
+ * agent's thread.
  */
 final class SnapshotTransfer {
   private final RaftNode raftNode;
@@ -113,7 +117,7 @@
         .anyMatch(
             one -> {
               final OutgoingSnapshot transfer = one.getValue();
-              final PeerProgress progress = leaderState.progressByMember.get(one.getKey());
+              final PeerProgress progress = leaderState.progressByMember().get(one.getKey());
               // What is there in full needs this leader no more, and a receiver may be gone while a
               // broken connection shows.
               return progress != null
@@ -138,17 +142,19 @@
     final long applied = raftNode.appliedIndex();
     if (!under.isEmpty()
         && (under.size() >= MAX_CONCURRENT_SNAPSHOTS
-            || raftNode.log.startOfTail(
-                    applied, MAX_CATCH_UP_TAIL_ENTRIES / 2, MAX_CATCH_UP_TAIL_BYTES / 2)
+            || raftNode
+                    .log()
+                    .startOfTail(
+                        applied, MAX_CATCH_UP_TAIL_ENTRIES / 2, MAX_CATCH_UP_TAIL_BYTES / 2)
                 <= under.get(0).lastIndex)) {
       return under.get(0);
     }
     return new Snapshot(
         ++snapshotCount,
         applied,
-        raftNode.log.termAt(applied),
-        raftNode.log.votersAt(applied),
-        raftNode.commitTracker.snapshot());
+        raftNode.log().termAt(applied),
+        raftNode.log().votersAt(applied),
+        raftNode.commitTracker().snapshot());
   }
 
   private void sendChunk(
@@ -173,10 +179,10 @@
 
   void onInstallSnapshotResponse(final InstallSnapshotResponse response) {
     raftNode.observeTerm(response.term);
-    final PeerProgress progress = leaderState.progressByMember.get(response.from);
+    final PeerProgress progress = leaderState.progressByMember().get(response.from);
     final OutgoingSnapshot transfer = transfers.get(response.from);
     if (!raftNode.isLeader()
-        || response.term != raftNode.storage.term
+        || response.term != raftNode.currentTerm()
         || progress == null
         || transfer == null
         || transfer.snapshot.number != response.snapshotNumber
@@ -184,7 +190,7 @@
         || response.receivedBytes > transfer.snapshot.state.length) {
       return;
     }
-    final long nowMs = raftNode.context.nowMs();
+    final long nowMs = raftNode.context().nowMs();
     progress.lastContactMs = nowMs;
     // Messages keep their order: an answer to one before the last piece does not say whether that
     // piece came.
@@ -219,12 +225,12 @@
         .entrySet()
         .removeIf(
             one -> {
-              final PeerProgress progress = leaderState.progressByMember.get(one.getKey());
+              final PeerProgress progress = leaderState.progressByMember().get(one.getKey());
               final long lastIndex = one.getValue().snapshot.lastIndex;
               return progress == null
                   || progress.matchIndex >= lastIndex
                   || nowMs - progress.lastContactMs > SNAPSHOT_RECEIVER_TIMEOUT_MS
-                  || lastIndex < raftNode.log.snapshotIndex();
+                  || lastIndex < raftNode.log().snapshotIndex();
             });
   }
 
@@ -235,12 +241,12 @@
   long unneededThrough(final long nowMs) {
     long unneeded = Long.MAX_VALUE;
     if (raftNode.isLeader()) {
-      for (final Map.Entry<String, PeerProgress> one : leaderState.progressByMember.entrySet()) {
+      for (final Map.Entry<String, PeerProgress> one : leaderState.progressByMember().entrySet()) {
         final OutgoingSnapshot transfer = transfers.get(one.getKey());
         final long held =
             transfer == null ? one.getValue().matchIndex : transfer.snapshot.lastIndex;
         if (!one.getKey().equals(raftNode.identity())
-            && held >= raftNode.log.snapshotIndex()
+            && held >= raftNode.log().snapshotIndex()
             && nowMs - one.getValue().lastContactMs <= SNAPSHOT_RECEIVER_TIMEOUT_MS) {
           unneeded = Math.min(unneeded, held);
         }
--- a/src/main/java/yewjunction/raft/StorageInspection.java
+++ b/src/main/java/yewjunction/raft/StorageInspection.java
@@ -7,7 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A log file as the daemons would read it; only read. */
+/**
+ * What a log file looks like to the code that opens it, for tools: nothing is changed.
+ *
+ * @param file path of the file
+ * @param bytes its length
+ * @param validBytes length of the part before the first record that is not valid
+ * @param damaged whether valid records lie behind that place
+ */
 public record StorageInspection(String file, long bytes, long validBytes, boolean damaged) {
   /** All log files of a folder. */
   public static List<StorageInspection> inspect(final Path folder) {
--- a/src/main/java/yewjunction/raft/TaskExecutor.java
+++ b/src/main/java/yewjunction/raft/TaskExecutor.java
@@ -1,6 +1,11 @@
 package yewjunction.raft;
 
-/** Does blocking work elsewhere, in the order given, and comes back on the owner's thread. */
+/**
+ * Runs blocking work off the agent's thread, in the order given, and then a continuation on the
+ * agent's thread. If the work fails, the continuation never runs: the implementation ends the
+ * process, or tries again where the disk is full.
+ */
 public interface TaskExecutor {
-  void execute(Runnable blocking, Runnable afterwards);
+  /** Runs the work elsewhere and the continuation on the agent's thread. */
+  void execute(Runnable blocking, Runnable continuation);
 }
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -17,8 +17,14 @@
 import yewjunction.raft.RaftMessages.TimeoutNowRequest;
 
 /**
- * Who votes, and who leads next: a leader changes voters one at a time and transfers the leadership
- * before it stops.
+ * Who votes, and who leads next: the leader changes the voters by one at a time, and transfers its
+ * leadership before it stops.
+ *
+ * <p>Invariants: a change is proposed only by a leader that has committed an entry of its own term,
+ * only while no other change is under way, and only if a majority of the new voters is in contact
+ * and caught up.
+ *
+ * <p>Owned by {@link LeaderState}; all calls on the agent's thread.
  */
 public final class VoterReconfiguration {
   private final RaftNode raftNode;
@@ -32,8 +38,9 @@
     this.leaderState = leaderState;
   }
 
-  public void setPlacement(final VoterPlacement chosenSeating) {
-    placement = chosenSeating;
+  /** How many are to vote, and where; asked at each heartbeat of a leader. */
+  public void setPlacement(final VoterPlacement chosenPlacement) {
+    placement = chosenPlacement;
   }
 
   void reset() {
@@ -47,15 +54,17 @@
 
   /** Whether a member is within a few entries of this leader's end. */
   public boolean isCaughtUp(final String identity) {
-    final PeerProgress progress = leaderState.progressByMember.get(identity);
-    return progress != null && progress.matchIndex + CAUGHT_UP_ENTRIES >= raftNode.log.lastIndex();
+    final PeerProgress progress = leaderState.progressByMember().get(identity);
+    return progress != null
+        && progress.matchIndex + CAUGHT_UP_ENTRIES >= raftNode.log().lastIndex();
   }
 
   /** Whether a change of the voters is under way: what it decides may still not come to be. */
   public boolean changeInProgress() {
-    return raftNode.log.lastVoterChangeIndex() > raftNode.commitIndex();
+    return raftNode.log().lastVoterChangeIndex() > raftNode.commitIndex();
   }
 
+  /** Proposes new voters; nothing happens where a change is not allowed right now. */
   public void proposeVoters(final List<String> newVoters) {
     // One change at a time, and only by a leader that has committed in its own term.
     if (raftNode.isReadyLeader() && !changeInProgress() && !newVoters.equals(raftNode.voters())) {
@@ -75,33 +84,19 @@
       return;
     }
     final List<String> voters = raftNode.voters();
-    final long nowMs = raftNode.context.nowMs();
+    final long nowMs = raftNode.context().nowMs();
+    forgetSilentLearners(voters, nowMs);
     leaderState
-        .progressByMember
-        .entrySet()
-        .removeIf(
-            one ->
-                !voters.contains(one.getKey())
-                    && nowMs - one.getValue().lastContactMs > 20 * MAX_ELECTION_TIMEOUT_MS);
-    leaderState.progressByMember.forEach(
-        (identity, progress) -> progress.updateTarget(raftNode.commitIndex(), nowMs));
-    final List<String> newVoters = new ArrayList<>(voters);
+        .progressByMember()
+        .forEach((identity, progress) -> progress.updateTarget(raftNode.commitIndex(), nowMs));
     final String surplus = surplusVoter(voters, nowMs);
     if (raftNode.identity().equals(surplus)) {
       // A leader that is to go transfers the leadership before.
       transferLeadership(() -> {});
       return;
     }
-    final String newcomer = surplus == null ? newVoter(voters, nowMs) : null;
-    if (surplus != null) {
-      newVoters.remove(surplus);
-    } else if (newcomer != null
-        && !newVoters.removeIf(
-            voter -> RaftNode.addressOf(voter).equals(RaftNode.addressOf(newcomer)))
-        && (voters.size() < placement.voterCount()
-            || voters.stream().anyMatch(voter -> shouldBeReplaced(voter, nowMs)))) {
-      newVoters.add(newcomer);
-    }
+    final List<String> newVoters =
+        surplus == null ? withNewVoter(voters, nowMs) : without(voters, surplus);
     // A change that a majority of the new voters cannot take would hold up all others, and may
     // never be undone.
     if (newVoters.stream().filter(voter -> isResponsive(voter, nowMs)).count() * 2
@@ -110,6 +105,41 @@
     }
   }
 
+  private void forgetSilentLearners(final List<String> voters, final long nowMs) {
+    leaderState
+        .progressByMember()
+        .entrySet()
+        .removeIf(
+            one ->
+                !voters.contains(one.getKey())
+                    && nowMs - one.getValue().lastContactMs > 20 * MAX_ELECTION_TIMEOUT_MS);
+  }
+
+  private static List<String> without(final List<String> voters, final String surplus) {
+    final List<String> rest = new ArrayList<>(voters);
+    rest.remove(surplus);
+    return rest;
+  }
+
+  /** The voters and the best learner that wants a vote, as far as there is a place for it. */
+  private List<String> withNewVoter(final List<String> voters, final long nowMs) {
+    final String newVoter = newVoter(voters, nowMs);
+    if (newVoter == null) {
+      return voters;
+    }
+    final List<String> newVoters = new ArrayList<>(voters);
+    final String address = RaftNode.addressOf(newVoter);
+    if (newVoters.removeIf(voter -> RaftNode.addressOf(voter).equals(address))) {
+      // One change at a time: the identity whose disk is gone goes first.
+      return newVoters;
+    }
+    if (voters.size() < placement.voterCount()
+        || voters.stream().anyMatch(voter -> shouldBeReplaced(voter, nowMs))) {
+      newVoters.add(newVoter);
+    }
+    return newVoters;
+  }
+
   private boolean isResponsive(final String voter, final long nowMs) {
     return voter.equals(raftNode.identity())
         || isCaughtUp(voter)
@@ -145,12 +175,12 @@
 
   /** Its machine is to be emptied, or its process said a moment ago that it ends. */
   private boolean isLeaving(final String identity) {
-    final PeerProgress progress = leaderState.progressByMember.get(identity);
+    final PeerProgress progress = leaderState.progressByMember().get(identity);
     return placement.leavingAddresses().get().contains(RaftNode.addressOf(identity))
-        || identity.equals(raftNode.identity()) && raftNode.groupMembership.isLeaving()
+        || identity.equals(raftNode.identity()) && raftNode.groupMembership().isLeaving()
         || progress != null
             && progress.leavingSinceMs > 0
-            && raftNode.context.nowMs() - progress.leavingSinceMs < LEAVE_NOTICE_VALID_MS;
+            && raftNode.context().nowMs() - progress.leavingSinceMs < LEAVE_NOTICE_VALID_MS;
   }
 
   int voterCount() {
@@ -162,7 +192,7 @@
    * fewest voters.
    */
   private String newVoter(final List<String> voters, final long nowMs) {
-    return leaderState.progressByMember.entrySet().stream()
+    return leaderState.progressByMember().entrySet().stream()
         // Only one that answers right now: an identity whose disk is gone again stays out.
         .filter(
             one ->
@@ -194,16 +224,19 @@
                         voter.equals(raftNode.identity())
                             || nowMs - leaderState.progressOf(voter).lastContactMs < APPEND_RETRY_MS
                                 && !leaderState.progressOf(voter).isLagging(nowMs));
-    leaderState.progressByMember.forEach(
-        (identity, progress) ->
-            progress.relayAddress =
-                seated
-                        && !voters.contains(identity)
-                        && progress.matchIndex + MAX_RELAYED_LAG_ENTRIES >= raftNode.commitIndex()
-                        && raftNode.log.termAt(progress.matchIndex) >= 0
-                        && !progress.isLagging(nowMs)
-                    ? relayFor(RaftNode.addressOf(identity), voters, nowMs)
-                    : null);
+    leaderState
+        .progressByMember()
+        .forEach(
+            (identity, progress) ->
+                progress.relayAddress =
+                    seated
+                            && !voters.contains(identity)
+                            && progress.matchIndex + MAX_RELAYED_LAG_ENTRIES
+                                >= raftNode.commitIndex()
+                            && raftNode.log().termAt(progress.matchIndex) >= 0
+                            && !progress.isLagging(nowMs)
+                        ? relayFor(RaftNode.addressOf(identity), voters, nowMs)
+                        : null);
   }
 
   private String relayFor(final String address, final List<String> voters, final long nowMs) {
@@ -216,13 +249,15 @@
     if (near.isEmpty()) {
       // No voter there: the first of the others that answers is served from here and serves the
       // rest.
-      leaderState.progressByMember.forEach(
-          (one, progress) -> {
-            if (placement.zoneOf().apply(RaftNode.addressOf(one)).equals(zone)
-                && nowMs - progress.lastContactMs < 2 * APPEND_RETRY_MS) {
-              near.add(one);
-            }
-          });
+      leaderState
+          .progressByMember()
+          .forEach(
+              (one, progress) -> {
+                if (placement.zoneOf().apply(RaftNode.addressOf(one)).equals(zone)
+                    && nowMs - progress.lastContactMs < 2 * APPEND_RETRY_MS) {
+                  near.add(one);
+                }
+              });
     }
     final String first =
         near.stream().map(RaftNode::addressOf).min(Comparator.naturalOrder()).orElse(address);
@@ -240,6 +275,10 @@
         .count();
   }
 
+  /**
+   * Hands the leadership to a voter that holds the whole log, and calls back when that is done, or
+   * after LEADER_TRANSFER_TIMEOUT_MS.
+   */
   public void transferLeadership(final Runnable done) {
     if (!raftNode.isLeader() || raftNode.voters().size() == 1) {
       done.run();
@@ -247,17 +286,17 @@
     }
     transferring = true;
     transferSent = false;
-    LogEvent.LEADERSHIP_TRANSFERRED.info("group " + raftNode.group);
-    leaderState.progressByMember.forEach(this::continueTransfer);
-    awaitTransfer(raftNode.context.nowMs(), done);
+    LogEvent.LEADERSHIP_TRANSFERRED.info("group " + raftNode.group());
+    leaderState.progressByMember().forEach(this::continueTransfer);
+    awaitTransfer(raftNode.context().nowMs(), done);
   }
 
   private void awaitTransfer(final long startMs, final Runnable done) {
-    if (!raftNode.isLeader() || raftNode.context.nowMs() - startMs > LEADER_TRANSFER_TIMEOUT_MS) {
+    if (!raftNode.isLeader() || raftNode.context().nowMs() - startMs > LEADER_TRANSFER_TIMEOUT_MS) {
       reset();
       done.run();
     } else {
-      raftNode.context.schedule(20, () -> awaitTransfer(startMs, done));
+      raftNode.context().schedule(20, () -> awaitTransfer(startMs, done));
     }
   }
 
@@ -266,9 +305,9 @@
     if (transferring
         && !transferSent
         && !identity.equals(raftNode.identity())
-        && progress.matchIndex == raftNode.log.lastIndex()
+        && progress.matchIndex == raftNode.log().lastIndex()
         && raftNode.voters().contains(identity)
-        && raftNode.context.nowMs() - progress.lastContactMs < 3 * HEARTBEAT_INTERVAL_MS) {
+        && raftNode.context().nowMs() - progress.lastContactMs < 3 * HEARTBEAT_INTERVAL_MS) {
       transferSent = true;
       raftNode.sendTo(identity, new TimeoutNowRequest());
     }
--- a/src/main/java/yewjunction/raft/ZoneRelay.java
+++ b/src/main/java/yewjunction/raft/ZoneRelay.java
@@ -14,9 +14,11 @@
 import yewjunction.raft.RaftMessages.FetchResponse;
 
 /**
- * Committed entries handed on inside a zone: the leader sends them across once, to a voter there,
- * and members without a vote fetch them from it. What is committed is the same everywhere, so it
- * does not matter who hands it on.
+ * Committed entries passed on inside a zone. The leader sends them across zones once, to a voter
+ * there, and members without a vote fetch them from it. What is committed is the same everywhere,
+ * so it does not matter who passes it on.
+ *
+ * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
  */
 final class ZoneRelay {
   private final RaftNode raftNode;
@@ -38,17 +40,17 @@
     final boolean other = address != null && !address.equals(sourceAddress);
     sourceAddress = address;
     if (sourceAddress != null
-        && (other || raftNode.context.nowMs() - lastFetchMs > RELAY_RETRY_MS)) {
+        && (other || raftNode.context().nowMs() - lastFetchMs > RELAY_RETRY_MS)) {
       sendFetchRequest();
     }
   }
 
   private void sendFetchRequest() {
     final FetchRequest request = raftNode.withHeader(new FetchRequest(), null);
-    request.nextIndex = raftNode.log.lastIndex() + 1;
-    request.lastTerm = raftNode.log.lastTerm();
-    lastFetchMs = raftNode.context.nowMs();
-    raftNode.handshakes.send(raftNode.transport.connect(sourceAddress), request);
+    request.nextIndex = raftNode.log().lastIndex() + 1;
+    request.lastTerm = raftNode.log().lastTerm();
+    lastFetchMs = raftNode.context().nowMs();
+    raftNode.handshakes().send(raftNode.transport().connect(sourceAddress), request);
   }
 
   /**
@@ -56,12 +58,12 @@
    * is.
    */
   void sendHeartbeat(final String identity, final PeerProgress progress, final long round) {
-    final long nowMs = raftNode.context.nowMs();
+    final long nowMs = raftNode.context().nowMs();
     if (nowMs - progress.relayAnnouncedMs >= RELAYED_HEARTBEAT_INTERVAL_MS) {
       progress.relayAnnouncedMs = nowMs;
       final AppendEntriesRequest request = new AppendEntriesRequest();
       request.prevIndex = progress.matchIndex;
-      request.prevTerm = raftNode.log.termAt(progress.matchIndex);
+      request.prevTerm = raftNode.log().termAt(progress.matchIndex);
       request.commitIndex = raftNode.commitIndex();
       request.round = round;
       request.relayAddress = progress.relayAddress;
@@ -89,18 +91,20 @@
     pendingFetches.remove(connection);
     // Behind this member's snapshot, or with a tail that was never committed: the leader's matter,
     // which sees it lag.
-    if (raftNode.log.termAt(request.nextIndex - 1) != request.lastTerm) {
+    if (raftNode.log().termAt(request.nextIndex - 1) != request.lastTerm) {
       return;
     }
     final FetchResponse response = raftNode.withHeader(new FetchResponse(), request.from);
     response.prevIndex = request.nextIndex - 1;
     response.prevTerm = request.lastTerm;
     response.entries =
-        raftNode.log.slice(
-            request.nextIndex,
-            (int) Math.min(MAX_APPEND_ENTRIES, commit - request.nextIndex + 1),
-            MAX_APPEND_BYTES);
-    raftNode.handshakes.send(connection, response);
+        raftNode
+            .log()
+            .slice(
+                request.nextIndex,
+                (int) Math.min(MAX_APPEND_ENTRIES, commit - request.nextIndex + 1),
+                MAX_APPEND_BYTES);
+    raftNode.handshakes().send(connection, response);
   }
 
   void onFetchResponse(final FetchResponse response) {
@@ -113,10 +117,10 @@
     final List<LogEntry> entries = response.entries;
     // Only right behind the end: what came from elsewhere meanwhile is not touched.
     if (!entries.isEmpty()
-        && response.prevIndex == raftNode.log.lastIndex()
-        && response.prevTerm == raftNode.log.lastTerm()) {
-      raftNode.commitTracker.append(entries);
-      raftNode.commitTracker.advanceCommitIndex(entries.get(entries.size() - 1).index);
+        && response.prevIndex == raftNode.log().lastIndex()
+        && response.prevTerm == raftNode.log().lastTerm()) {
+      raftNode.commitTracker().append(entries);
+      raftNode.commitTracker().advanceCommitIndex(entries.get(entries.size() - 1).index);
     }
     sendFetchRequest();
   }
--- a/src/main/java/yewjunction/raft/package-info.java
+++ b/src/main/java/yewjunction/raft/package-info.java
@@ -1,2 +1,7 @@
-/** One replicated log: elections, replication, voters, snapshots, and its records on disk. */
+/**
+ * One replicated log by Raft: elections, replication, changes of voters, snapshots, and records on
+ * disk. {@link yewjunction.raft.RaftNode} is where to start; {@link yewjunction.raft.StateMachine}
+ * is what a user implements. The decisions touch neither sockets nor files: those come in as {@link
+ * yewjunction.common.PeerTransport} and {@link yewjunction.raft.Disk}.
+ */
 package yewjunction.raft;
--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -13,8 +13,9 @@
 import yewjunction.raft.TaskExecutor;
 
 /**
- * The pool for blocking work: disk syncs, in order. It shares no table with the owner, so there is
- * no lock to order.
+ * One daemon thread for blocking disk work, in order. It shares no state with the agent. A full
+ * disk is tried again until there is room; after any other failure the process ends with exit code
+ * 5.
  */
 final class BlockingTaskExecutor implements TaskExecutor {
   private final AgentContext context;
@@ -34,12 +35,12 @@
   }
 
   @Override
-  public void execute(final Runnable blocking, final Runnable afterwards) {
+  public void execute(final Runnable blocking, final Runnable continuation) {
     pool.execute(
         () -> {
           try {
             runRetryingFullDisk(blocking);
-            context.execute(afterwards);
+            context.execute(continuation);
           } catch (final Throwable failure) {
             // A disk that fails a sync can no longer be trusted: better down than wrong. An error
             // too, as of memory: the pool would go on with another thread, and the owner would wait
--- a/src/main/java/yewjunction/server/HttpEndpoint.java
+++ b/src/main/java/yewjunction/server/HttpEndpoint.java
@@ -99,13 +99,13 @@
   /** Reads large bodies on a thread of its own, which shares nothing with the owner. */
   static TaskExecutor reader(final AgentContext context) {
     final Executor pool = pool("reader", 1);
-    return (blocking, afterwards) ->
+    return (blocking, continuation) ->
         pool.execute(
             () -> {
               try {
                 blocking.run();
               } finally {
-                context.execute(afterwards);
+                context.execute(continuation);
               }
             });
   }
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -32,8 +32,11 @@
 import yewjunction.transport.UdpTransport;
 
 /**
- * What all processes share: the agent, peer connections, the membership list, signals, the settings
- * file.
+ * One server process: the agent, the transports, the membership list, the node for its role,
+ * signals, and the settings file.
+ *
+ * <p>Threads: {@link #run} blocks its caller; all else happens on the agent's thread, which ends
+ * with the JVM.
  */
 public final class ServerProcess {
   private final Settings settings;
@@ -49,6 +52,12 @@
   /** Written by the owner before it ends, read by whoever awaited that. */
   private RuntimeException startFailure;
 
+  /**
+   * Binds the ports for other nodes and opens the data folder.
+   *
+   * @throws java.io.UncheckedIOException when an address cannot be bound
+   * @throws yewjunction.raft.StorageException when a file is damaged or cannot be read
+   */
   public ServerProcess(final SettingsReloader file, final Settings settings, final NodeRole role) {
     this.file = file;
     this.settings = settings;
--- a/src/main/java/yewjunction/server/SettingsReloader.java
+++ b/src/main/java/yewjunction/server/SettingsReloader.java
@@ -6,7 +6,10 @@
 import java.nio.file.attribute.BasicFileAttributes;
 import yewjunction.settings.Settings;
 
-/** The settings file, which somebody else writes at any moment, with a signal or without. */
+/**
+ * Notices when the settings file changes, by its time and size or on request; somebody else writes
+ * it at any moment.
+ */
 public final class SettingsReloader {
   private final Path file;
 
@@ -19,6 +22,7 @@
    */
   private boolean checkAgain;
 
+  /** Watches a file, which is read by {@link #load} only. */
   public SettingsReloader(final Path file) {
     this.file = file;
   }
--- a/src/main/java/yewjunction/server/SignalHandlers.java
+++ b/src/main/java/yewjunction/server/SignalHandlers.java
@@ -5,9 +5,9 @@
 import sun.misc.Signal;
 
 /**
- * Signals come on threads of the JVM's own, at any moment, also while the process is still being
- * put together. They are listened for before anything else, since a SIGHUP that nobody handles ends
- * the JVM, and kept until the process takes them.
+ * The signals of the JVM. They come on threads of its own, at any moment, also while the process is
+ * still being put together; they are taken before anything else, since a SIGHUP that nobody handles
+ * ends the JVM, and kept until there is a receiver.
  */
 public class SignalHandlers {
   /** What a signal asks for. */
@@ -19,6 +19,7 @@
   private final ArrayDeque<Kind> pendingSignals = new ArrayDeque<>();
   private Consumer<Kind> receiver;
 
+  /** Takes SIGTERM, SIGINT and SIGHUP of this JVM from now on. */
   public static SignalHandlers listen() {
     final SignalHandlers signals = new SignalHandlers();
     Signal.handle(new Signal("TERM"), signal -> signals.onSignal(Kind.STOP));
--- a/src/main/java/yewjunction/server/package-info.java
+++ b/src/main/java/yewjunction/server/package-info.java
@@ -1,2 +1,5 @@
-/** The command line and the processes it starts. */
+/**
+ * A server process around a node: threads, sockets, signals, HTTP. Start at {@link
+ * yewjunction.server.ServerProcess}.
+ */
 package yewjunction.server;
--- a/src/main/java/yewjunction/settings/Settings.java
+++ b/src/main/java/yewjunction/settings/Settings.java
@@ -16,7 +16,11 @@
 import org.yaml.snakeyaml.error.YAMLException;
 import yewjunction.transport.SocketAddresses;
 
-/** What a process is told. Unknown fields are ignored; missing or bad ones are named. */
+/**
+ * What the settings file tells a process; docs/operating.md lists its fields. Immutable. Unknown
+ * fields are ignored; a field that is missing or wrong is named in the text of the {@link
+ * SettingsException}.
+ */
 public record Settings(
     String node,
     String role,
@@ -42,6 +46,11 @@
 
   public static final int CONTROL_PORT_OFFSET = 1;
 
+  /**
+   * Reads and checks a file.
+   *
+   * @throws SettingsException when it cannot be read or a field is missing or wrong
+   */
   public static Settings load(final Path file) {
     final String text;
     try {
@@ -52,6 +61,11 @@
     return read(text);
   }
 
+  /**
+   * Reads and checks the text of a settings file.
+   *
+   * @throws SettingsException when a field is missing or wrong
+   */
   public static Settings read(final String text) {
     final Object tree;
     try {
@@ -186,6 +200,7 @@
     return 2 * Math.max(1, toleratedLosses) + 1;
   }
 
+  /** The address for other nodes of the program with that port offset. */
   public String address(final int offset) {
     return ip + ":" + (firstPort + offset);
   }
--- a/src/main/java/yewjunction/settings/SettingsException.java
+++ b/src/main/java/yewjunction/settings/SettingsException.java
@@ -10,10 +10,12 @@
 public final class SettingsException extends YewjunctionException {
   private static final long serialVersionUID = 1L;
 
+  /** A failure that this layer found itself. */
   public SettingsException(final ErrorCode code, final String text) {
     this(code, text, null);
   }
 
+  /** A failure with another one behind it. */
   public SettingsException(final ErrorCode code, final String text, final Throwable cause) {
     super(code, text, cause);
   }
--- a/src/main/java/yewjunction/settings/package-info.java
+++ b/src/main/java/yewjunction/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings file of a process, read and checked. */
+/** The settings file of a process, read and checked: {@link yewjunction.settings.Settings}. */
 package yewjunction.settings;
--- a/src/main/java/yewjunction/store/AcceptedNumbers.java
+++ b/src/main/java/yewjunction/store/AcceptedNumbers.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which numbers of a client were accepted on a topic. */
+/**
+ * Which sequence numbers of a client were accepted on a topic, and the highest of them. Invariant:
+ * they rise. Part of the store's snapshot.
+ */
 final class AcceptedNumbers {
   private final Map<String, SenderHistory> histories = new HashMap<>();
 
--- a/src/main/java/yewjunction/store/AdmissionController.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -18,7 +18,16 @@
 import yewjunction.store.AdmissionMessages.AdmitRequest;
 import yewjunction.store.AdmissionMessages.AdmitResponse;
 
-/** Admission of new messages, by the stores' leader alone: doubles, order, quota, then the log. */
+/**
+ * Admission of new messages, by the leading store alone: repeats, each sender's order, the tenant's
+ * quota, then the log.
+ *
+ * <p>Invariant: a message whose number was denied is never accepted later; the denial is a promise
+ * to its sender. Without a clear outcome nothing is answered, and the edge asks the next leader
+ * with the same number.
+ *
+ * <p>All calls on the agent's thread.
+ */
 public final class AdmissionController {
   private final AgentContext context;
   private final RaftNode raftNode;
@@ -31,6 +40,7 @@
 
   private record Requester(PeerConnection connection, long requestId) {}
 
+  /** Registers the handler of admit requests. */
   public AdmissionController(
       final AgentContext context,
       final PeerTransport transport,
--- a/src/main/java/yewjunction/store/AdmissionMessages.java
+++ b/src/main/java/yewjunction/store/AdmissionMessages.java
@@ -2,7 +2,10 @@
 
 import yewjunction.common.MessageCodec;
 
-/** What edges and the leading store say to one another about new messages. */
+/**
+ * The messages between edges and the leading store about new messages. Fields are encoded by
+ * position: one may be added at the end, and none may be moved, removed or given another type.
+ */
 public final class AdmissionMessages {
   private AdmissionMessages() {}
 
@@ -14,10 +17,14 @@
   /** Not the leader: nothing was done here. */
   public static final int NOT_LEADER = 3;
 
+  /** Registers all messages under their numbers. */
   public static void register(final MessageCodec codec) {
     codec.register(70, AdmitRequest.class).register(71, AdmitResponse.class);
   }
 
+  /**
+   * A new message, on its way from an edge to the leading store. Response: {@link AdmitResponse}.
+   */
   public static final class AdmitRequest {
     public long requestId;
     public StoredMessage message;
@@ -29,6 +36,7 @@
     public Boolean revoked;
   }
 
+  /** What became of a message; none comes when the leadership ended meanwhile. */
   public static final class AdmitResponse {
     public long requestId;
     public int outcome;
--- a/src/main/java/yewjunction/store/BorrowingAccount.java
+++ b/src/main/java/yewjunction/store/BorrowingAccount.java
@@ -3,8 +3,9 @@
 import yewjunction.control.AccountBalance;
 
 /**
- * What a tenant that borrows ahead may still send, and what it owes. Whole thousandths of a message
- * and log time only, so every store that has applied the same entries holds the same account.
+ * What a tenant that borrows ahead may still send, and what it owes (docs/borrowing.md). Amounts
+ * are whole thousandths of a message and time is log time, so every store that has applied the same
+ * entries holds the same account. Encoded by position.
  */
 final class BorrowingAccount {
   /** Thousandths that make a message. */
--- a/src/main/java/yewjunction/store/BorrowingAccounts.java
+++ b/src/main/java/yewjunction/store/BorrowingAccounts.java
@@ -12,7 +12,7 @@
 
 /**
  * The accounts of all tenants that borrow ahead or still owe: part of the state that the stores'
- * log drives.
+ * log drives. The leader keeps a copy that runs ahead of the log.
  */
 final class BorrowingAccounts {
   private final Map<String, BorrowingAccount> byTenant = new TreeMap<>();
--- a/src/main/java/yewjunction/store/BorrowingTerms.java
+++ b/src/main/java/yewjunction/store/BorrowingTerms.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** On what terms one tenant borrows; in thousandths of a message, the share in millionths. */
+/**
+ * On what terms a tenant borrows, in thousandths of a message and millionths of a share. Encoded by
+ * position.
+ */
 final class BorrowingTerms {
   String tenant = "";
 
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -20,7 +20,13 @@
 import yewjunction.raft.StateMachine;
 import yewjunction.settings.Settings;
 
-/** The kept messages of one store, driven by the stores' log. */
+/**
+ * The stored messages of one store, the state machine that the log of the stores drives. A
+ * message's index in the log is its position in its topic, and the cursor that clients hold.
+ * Messages are dropped once their route's retention is over.
+ *
+ * <p>All calls on the agent's thread.
+ */
 public final class MessageStore implements StateMachine {
   private static final Schema<StoredMessage> MESSAGE_SCHEMA =
       RuntimeSchema.getSchema(StoredMessage.class);
@@ -41,6 +47,7 @@
     long lastDroppedIndex;
   }
 
+  /** The whole state, as a snapshot holds it; encoded by position. */
   static final class Snapshot {
     List<StoredMessage> messages = new ArrayList<>();
     List<AcceptedNumbers.SenderHistory> senderHistories = new ArrayList<>();
@@ -51,6 +58,7 @@
     BorrowingAccounts.Snapshot accounts;
   }
 
+  /** Up to where a topic's messages have been dropped. */
   static final class TopicFloor {
     String topic = "";
     long lastDroppedIndex;
@@ -61,12 +69,16 @@
     /** Whether this store admitted it in its present leadership, so that it is counted already. */
     boolean isAdmittedHere(StoredMessage message);
 
+    /** All entries up to this index are applied. */
     void onCommitted(long commit);
 
+    /** Somebody else leads the group, or nobody (null); self when it is this member. */
     void onLeaderChange(String identity, boolean self);
   }
 
-  public MessageStore(final AgentContext context, final Listener watcher, final Settings settings) {
+  /** An empty store, which drops expired messages from now on. */
+  public MessageStore(
+      final AgentContext context, final Listener listener, final Settings settings) {
     this.context = context;
     rateLimiter =
         new TenantRateLimiter(
@@ -74,13 +86,14 @@
             settings.quotaExcess(),
             settings.quotaSlack(),
             context.nowMs());
-    this.listener = watcher;
+    this.listener = listener;
     accounts =
         new BorrowingAccounts(
             (tenant, tokens) -> rateLimiter.continueFrom(tenant, tokens, context.nowMs()));
     context.scheduleAtFixedRate(RETENTION_CHECK_INTERVAL_MS, this::dropExpired);
   }
 
+  /** How long messages are kept, and how much tenants may send, from now on. */
   public void setConfiguration(final Configuration newConfiguration) {
     configuration = newConfiguration;
     rateLimiter.setConfiguration(newConfiguration);
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -22,6 +22,8 @@
  * The leader's side of borrowing ahead: the accounts as they will be once all that is in flight is
  * applied, whose turn it is to borrow, and when terms and the passing of time enter the log. A
  * borrower gets what others leave.
+ *
+ * <p>Owned by {@link AdmissionController}; all calls on the agent's thread.
  */
 public final class QuotaBorrowing {
   private final AgentContext context;
--- a/src/main/java/yewjunction/store/StoredMessage.java
+++ b/src/main/java/yewjunction/store/StoredMessage.java
@@ -1,6 +1,9 @@
 package yewjunction.store;
 
-/** A kept message; its index in the log is its position. */
+/**
+ * A stored message; its index in the log is its position. Encoded by position: a field may be added
+ * at the end, and none may be moved, removed or given another type.
+ */
 public final class StoredMessage {
   public long index;
   public String topic = "";
@@ -11,6 +14,7 @@
   /** Whose quota it counts against, empty for none. */
   String tenant = "";
 
+  /** Sets whose quota it counts against. */
   public void tenant(final String tenantName) {
     tenant = tenantName;
   }
--- a/src/main/java/yewjunction/store/TenantRateLimiter.java
+++ b/src/main/java/yewjunction/store/TenantRateLimiter.java
@@ -9,7 +9,13 @@
 import yewjunction.control.Configuration;
 import yewjunction.control.Configuration.Tenant;
 
-/** Token buckets of the tenants; one leader admits all messages, so they count over all nodes. */
+/**
+ * Token buckets of the tenants. One leader admits all messages, so a bucket counts over all edges;
+ * the others keep theirs filled as if they led. A tenant that borrows ahead has a {@link
+ * BorrowingAccount} instead.
+ *
+ * <p>Tokens are messages. All calls on the agent's thread.
+ */
 final class TenantRateLimiter {
   private final Map<String, TokenBucket> buckets = new HashMap<>();
   private final double windowS;
@@ -62,15 +68,15 @@
         buckets.computeIfAbsent(
             tenantName,
             key -> {
-              final TokenBucket fresh = new TokenBucket();
+              final TokenBucket newBucket = new TokenBucket();
               // Nothing is known of the time before the start: the bucket has filled from then on.
-              fresh.tokens =
+              newBucket.tokens =
                   Math.min(
                       depth,
                       startupAllowance(tenant)
                           + (nowMs - startMs) * tenant.ratePerSecond() / 1_000);
-              fresh.refilledMs = nowMs;
-              return fresh;
+              newBucket.refilledMs = nowMs;
+              return newBucket;
             });
     bucket.tokens =
         Math.min(
--- a/src/main/java/yewjunction/subscription/AddWinsSet.java
+++ b/src/main/java/yewjunction/subscription/AddWinsSet.java
@@ -13,10 +13,15 @@
 import java.util.function.LongPredicate;
 
 /**
- * Replica r holds (r, v, w): v is the last active instance per element and replica, w the observed
- * instances. Element = (topic, client). The rules are those of docs/paper.md. Kept by replica: the
- * rule for (a, s) looks at v(a, s) and w(s) alone, so what belongs to one s is compared, sent and
- * merged as a whole state of its own.
+ * The optimised add-wins set of the paper (docs/paper.md), with elements (topic, client). A replica
+ * r holds (r, v, w): v is the last active instance of each element made at each replica, w the
+ * instances of each replica that were observed.
+ *
+ * <p>It is kept by replica: the merge rule for an element and a replica looks at that replica's v
+ * and w alone, so the state of one replica is compared, sent and merged by itself. Merging is
+ * commutative, associative and idempotent: loss, reordering and repetition do no harm.
+ *
+ * <p>All calls on the agent's thread.
  */
 public final class AddWinsSet {
   private final Map<Long, ReplicaState> states = new HashMap<>();
@@ -33,6 +38,7 @@
     }
   }
 
+  /** The id of this replica, 0 for one that only reads. */
   public long self() {
     return self;
   }
@@ -118,6 +124,7 @@
     return there.size();
   }
 
+  /** Marks a client of this replica as disconnected, or as back. */
   public void setDisconnected(final String client, final boolean away) {
     final ReplicaState own = self == 0 ? null : stateOf(self);
     if (own != null && own.disconnected.contains(client) != away) {
@@ -177,6 +184,7 @@
     return replicaState == null ? 0 : replicaState.digest();
   }
 
+  /** A digest of each replica's state, to be compared by another process. */
   public byte[] encodeDigests() {
     final Map<Long, Long> marks = new HashMap<>();
     states.forEach((replica, replicaState) -> marks.put(replica, replicaState.digest()));
--- a/src/main/java/yewjunction/subscription/ReplicaState.java
+++ b/src/main/java/yewjunction/subscription/ReplicaState.java
@@ -8,9 +8,8 @@
 import java.util.Set;
 
 /**
- * One replica's part of the set: w(s), and v(., s) for all elements. The merge rule of one part
- * looks at no other part, so each is a whole state by itself. With it goes which of the replica's
- * clients have no connection.
+ * What is known of the instances made at one replica: w(s), and v(., s) of all elements; and which
+ * of the replica's clients are disconnected. The merge rule of docs/paper.md is {@link #merge}.
  */
 final class ReplicaState {
   /** w(s). */
--- a/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
+++ b/src/main/java/yewjunction/subscription/ReplicaStateCodec.java
@@ -17,7 +17,10 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 
-/** Panels on the wire: each client named once, numbers short, all deflated; and their digests. */
+/**
+ * Replica states and their digests as bytes: each client is named once, numbers are short, states
+ * are deflated.
+ */
 final class ReplicaStateCodec {
   private ReplicaStateCodec() {}
 
--- a/src/main/java/yewjunction/subscription/package-info.java
+++ b/src/main/java/yewjunction/subscription/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The optimised add-wins set of subscriptions, one replica on every process that reads or writes
- * it.
+ * The replicated set of subscriptions, a state-based CRDT: {@link
+ * yewjunction.subscription.AddWinsSet}. How states travel is the business of yewjunction.fanout.
  */
 package yewjunction.subscription;
--- a/src/main/java/yewjunction/transport/ClientConnection.java
+++ b/src/main/java/yewjunction/transport/ClientConnection.java
@@ -1,6 +1,6 @@
 package yewjunction.transport;
 
-/** One client's connection, as its owner sees it. */
+/** A client's connection, as its handler sees it. All calls on the agent's thread. */
 public interface ClientConnection {
   /** Where to write; flushed at the end of the turn. */
   WriteBuffer out();
@@ -11,8 +11,10 @@
   /** Closes once what waits is written. */
   void closeAfterFlush();
 
+  /** Closes at once; what waits is lost. */
   void close();
 
+  /** Whether it has not been closed by either side. */
   boolean isOpen();
 
   /** Reads what came. */
@@ -20,11 +22,13 @@
     /** Consumes whole messages from the start; answers how many bytes it took. */
     int onReceived(byte[] bytes, int length);
 
+    /** The connection has ended; called once. */
     void onClosed();
   }
 
   /** Makes an owner for each new line. */
   interface HandlerFactory {
+    /** The handler of a new connection. */
     Handler newHandler(ClientConnection connection);
   }
 }
--- a/src/main/java/yewjunction/transport/CommandQueue.java
+++ b/src/main/java/yewjunction/transport/CommandQueue.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Commands from any thread to the one owner: the only table that threads share with it
- * (docs/control/threads.md). No lock.
+ * Commands from any thread to the one owner, without a lock: the only state that threads share with
+ * it (docs/control/threads.md).
  */
 final class CommandQueue<T> {
   // Not Agrona's many-to-one queue: there a put that is half done hides finished ones behind it
--- a/src/main/java/yewjunction/transport/EventLoopAgent.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -14,7 +14,12 @@
 import yewjunction.common.LogEvent;
 
 /**
- * The one agent of a process: blocks in its selector, then runs what is due. Owner of all tables.
+ * The one agent of a process: it waits in its selector, then runs what is ready, what was handed to
+ * it, and what is due. It owns all state of the process; {@link #execute} is the only call that
+ * other threads may make.
+ *
+ * <p>A task that throws is logged and given up, and the process goes on: state is changed only
+ * after checks. An {@link Error} other than a stack overflow ends the process.
  */
 public final class EventLoopAgent implements Agent, AgentContext {
   private final Selector selector;
@@ -38,6 +43,11 @@
     void ready(SelectionKey key) throws IOException;
   }
 
+  /**
+   * Opens the selector; the agent runs on the thread that calls {@link #doWork}.
+   *
+   * @param seed of the random numbers
+   */
   public EventLoopAgent(final long seed) {
     random = new Random(seed);
     try {
--- a/src/main/java/yewjunction/transport/SocketAddresses.java
+++ b/src/main/java/yewjunction/transport/SocketAddresses.java
@@ -8,6 +8,11 @@
 public final class SocketAddresses {
   private SocketAddresses() {}
 
+  /**
+   * Reads {@code ip:port} without any name look-up.
+   *
+   * @throws IllegalArgumentException for anything else
+   */
   public static InetSocketAddress parse(final String text) {
     final int colon = text.lastIndexOf(':');
     if (colon <= 0) {
@@ -17,6 +22,11 @@
         address(text.substring(0, colon)), Integer.parseInt(text.substring(colon + 1)));
   }
 
+  /**
+   * Reads an IPv4 address without any name look-up.
+   *
+   * @throws IllegalArgumentException for anything else
+   */
   public static InetAddress address(final String ip) {
     // Only four numbers are taken: a name would be looked up, and there is nobody to ask.
     final String[] parts = ip.split("\\.", -1);
@@ -38,10 +48,12 @@
     }
   }
 
+  /** The form {@code ip:port}. */
   public static String text(final InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
+  /** The part before the port. */
   public static String ip(final String address) {
     return address.substring(0, address.lastIndexOf(':'));
   }
--- a/src/main/java/yewjunction/transport/TcpClientConnection.java
+++ b/src/main/java/yewjunction/transport/TcpClientConnection.java
@@ -13,7 +13,10 @@
 import java.nio.channels.SocketChannel;
 import java.util.Arrays;
 
-/** One client's connection: bytes in to its owner, bytes out gathered per turn. */
+/**
+ * A client's connection over TCP. Closes itself when either side fails. All calls on the agent's
+ * thread.
+ */
 public final class TcpClientConnection implements ClientConnection, EventLoopAgent.ReadyHandler {
   private final EventLoopAgent agent;
   private final SocketChannel channel;
@@ -35,6 +38,11 @@
     key = channel.register(agent.selector(), SelectionKey.OP_READ, this);
   }
 
+  /**
+   * Takes clients on an address.
+   *
+   * @throws java.io.UncheckedIOException when it cannot be bound
+   */
   public static void listen(
       final EventLoopAgent agent, final InetSocketAddress own, final HandlerFactory greeter) {
     try {
--- a/src/main/java/yewjunction/transport/TcpPeerConnection.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -20,13 +20,17 @@
 import yewjunction.common.PeerConnection;
 import yewjunction.common.YewjunctionException;
 
-/** One peer connection: frames of four bytes of length and a message; length 0 is a heartbeat. */
+/**
+ * One TCP connection to another node, in frames of 4 bytes length and a message. What one turn of
+ * the agent sends goes out in one write. Owned by {@link TcpPeerTransport}; all calls on the
+ * agent's thread.
+ */
 final class TcpPeerConnection implements PeerConnection, EventLoopAgent.ReadyHandler {
   private final TcpPeerTransport transport;
   private final EventLoopAgent agent;
   private final MessageCodec codec;
   private final SocketChannel channel;
-  private final String dialledAddress;
+  private final String targetAddress;
   private final WriteBuffer outbox = new WriteBuffer(INITIAL_PEER_BUFFER_BYTES);
   private ByteBuffer input = ByteBuffer.allocate(INITIAL_PEER_BUFFER_BYTES);
   private SelectionKey key;
@@ -42,28 +46,28 @@
       final EventLoopAgent agent,
       final MessageCodec codec,
       final SocketChannel channel,
-      final String dialledAddress)
+      final String targetAddress)
       throws IOException {
     this.transport = owner;
     this.agent = agent;
     this.codec = codec;
     this.channel = channel;
-    this.dialledAddress = dialledAddress;
+    this.targetAddress = targetAddress;
     lastReceivedMs = agent.nowMs();
     lastSentMs = lastReceivedMs;
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    if (dialledAddress == null) {
+    if (targetAddress == null) {
       connected = true;
       remote = SocketAddresses.text((InetSocketAddress) channel.getRemoteAddress());
       key = channel.register(agent.selector(), SelectionKey.OP_READ, this);
     } else {
-      remote = dialledAddress;
+      remote = targetAddress;
     }
   }
 
   void connect() throws IOException {
-    connected = channel.connect(SocketAddresses.parse(dialledAddress));
+    connected = channel.connect(SocketAddresses.parse(targetAddress));
     key =
         channel.register(
             agent.selector(), connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
@@ -76,8 +80,8 @@
         });
   }
 
-  String dialledAddress() {
-    return dialledAddress;
+  String targetAddress() {
+    return targetAddress;
   }
 
   @Override
--- a/src/main/java/yewjunction/transport/TcpPeerTransport.java
+++ b/src/main/java/yewjunction/transport/TcpPeerTransport.java
@@ -22,7 +22,10 @@
 import yewjunction.common.PeerConnection;
 import yewjunction.common.PeerTransport;
 
-/** All peer connections of a process over TCP. */
+/**
+ * All connections of a process to other nodes over TCP. Owns them, and closes one that has been
+ * silent for CONNECTION_TIMEOUT_MS. All calls on the agent's thread.
+ */
 public class TcpPeerTransport implements PeerTransport {
   private final EventLoopAgent agent;
   private final MessageCodec codec;
@@ -32,6 +35,11 @@
   private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
   private final List<Consumer<PeerConnection>> closeHandlers = new ArrayList<>();
 
+  /**
+   * Listens for other nodes.
+   *
+   * @throws java.io.UncheckedIOException when the address cannot be bound
+   */
   public TcpPeerTransport(
       final EventLoopAgent agent, final MessageCodec codec, final InetSocketAddress own) {
     this.agent = agent;
@@ -158,8 +166,8 @@
 
   void onClosed(final TcpPeerConnection connection) {
     connections.remove(connection);
-    if (connection.dialledAddress() != null) {
-      connectionByAddress.remove(connection.dialledAddress(), connection);
+    if (connection.targetAddress() != null) {
+      connectionByAddress.remove(connection.targetAddress(), connection);
     }
     // Told on a later turn, so that nobody's table changes while it is being walked.
     agent.execute(() -> closeHandlers.forEach(closer -> closer.accept(connection)));
--- a/src/main/java/yewjunction/transport/TransportException.java
+++ b/src/main/java/yewjunction/transport/TransportException.java
@@ -7,10 +7,12 @@
 public final class TransportException extends YewjunctionException {
   private static final long serialVersionUID = 1L;
 
+  /** A failure that this layer found itself. */
   public TransportException(final ErrorCode code, final String text) {
     this(code, text, null);
   }
 
+  /** A failure with another one behind it. */
   public TransportException(final ErrorCode code, final String text, final Throwable cause) {
     super(code, text, cause);
   }
--- a/src/main/java/yewjunction/transport/UdpTransport.java
+++ b/src/main/java/yewjunction/transport/UdpTransport.java
@@ -10,7 +10,7 @@
 import yewjunction.common.MessageCodec;
 import yewjunction.common.YewjunctionException;
 
-/** Small messages that may be lost. */
+/** Datagrams between nodes, one message each. All calls on the agent's thread. */
 public final class UdpTransport {
   /** bytes; above any datagram the membership list sends. */
   private static final int MAX_DATAGRAM_BYTES = 8 << 10;
@@ -20,6 +20,11 @@
   private final ByteBuffer input = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
   private BiConsumer<String, Object> handler = (from, message) -> {};
 
+  /**
+   * Binds the address.
+   *
+   * @throws java.io.UncheckedIOException when it cannot be bound
+   */
   public UdpTransport(
       final EventLoopAgent agent, final MessageCodec codec, final InetSocketAddress own) {
     this.codec = codec;
@@ -34,10 +39,12 @@
     }
   }
 
+  /** Sets the handler, which gets the sender's address and the message. */
   public void onMessage(final BiConsumer<String, Object> newHandler) {
     handler = newHandler;
   }
 
+  /** Sends a datagram; it may be lost without a sign. */
   public void send(final String address, final Object message) {
     try {
       channel.send(ByteBuffer.wrap(codec.encode(message)), SocketAddresses.parse(address));
--- a/src/main/java/yewjunction/transport/WriteBuffer.java
+++ b/src/main/java/yewjunction/transport/WriteBuffer.java
@@ -17,6 +17,7 @@
   private int start;
   private int end;
 
+  /** An empty buffer; it grows as needed. */
   public WriteBuffer(final int firstBytes) {
     this.firstBytes = firstBytes;
   }
@@ -33,19 +34,23 @@
     end += 4;
   }
 
+  /** Appends a part of an array. */
   public void put(final byte[] bytes, final int offset, final int length) {
     buffer().putBytes(end, bytes, offset, length);
     end += length;
   }
 
+  /** Appends text, one byte a character. */
   public void putAscii(final String text) {
     end += buffer().putStringWithoutLengthAscii(end, text);
   }
 
+  /** Appends a number in decimal digits. */
   public void putNumber(final long value) {
     end += buffer().putLongAscii(end, value);
   }
 
+  /** Bytes that are waiting to be written. */
   public int size() {
     return end - start;
   }
--- a/src/main/java/yewjunction/transport/package-info.java
+++ b/src/main/java/yewjunction/transport/package-info.java
@@ -1,2 +1,5 @@
-/** The agent that owns a process's tables, and its sockets. */
+/**
+ * The agent that owns a process's state, and its sockets: {@link
+ * yewjunction.transport.EventLoopAgent}.
+ */
 package yewjunction.transport;
--- a/src/test/java/yewjunction/capacity/ControlTraffic.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -22,8 +22,8 @@
   final Map<String, Double> figures = new TreeMap<>();
 
   /** False when the fleet did not settle: then there are no figures. */
-  boolean measure(final int edgeCount, final int vaultCount, final int cruxCount) {
-    final HollowFleet fleet = new HollowFleet(edgeCount, edgeCount, vaultCount, cruxCount);
+  boolean measure(final int edgeCount, final int storeCount, final int controlNodeCount) {
+    final HollowFleet fleet = new HollowFleet(edgeCount, edgeCount, storeCount, controlNodeCount);
     fleet.network.runFor(1_500);
     if (!fleet.configure(90, 60)
         || !fleet.network.runUntil(() -> fleet.ready() == edgeCount, 60_000)) {
@@ -37,7 +37,7 @@
     final long cpuBefore = threads.getCurrentThreadCpuTime();
     final long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
     fleet.network.runFor(WATCH_MS);
-    final double nodeSeconds = (edgeCount + vaultCount + cruxCount) * WATCH_MS / 1_000.0;
+    final double nodeSeconds = (edgeCount + storeCount + controlNodeCount) * WATCH_MS / 1_000.0;
     figures.put(
         "all: us of CPU a node and second, simulator and both ends of the codec included",
         (threads.getCurrentThreadCpuTime() - cpuBefore) / 1_000.0 / nodeSeconds);
@@ -58,18 +58,18 @@
         "all: KB of heap a node",
         (runtime.totalMemory() - runtime.freeMemory())
             / 1_024.0
-            / (edgeCount + vaultCount + cruxCount));
+            / (edgeCount + storeCount + controlNodeCount));
     return fleet.ready() == edgeCount;
   }
 
   private void role(final String role, final HollowFleet fleet, final List<String> addresses) {
     for (final String layer : LAYERS) {
-      double letters = 0;
+      double messages = 0;
       double bytes = 0;
       double most = 0;
       for (final String address : addresses) {
         final long[] row = fleet.meter.totalsOf(address, layer);
-        letters += row[0] + row[2];
+        messages += row[0] + row[2];
         bytes += row[1] + row[3];
         most = Math.max(most, row[1] + row[3]);
       }
@@ -77,7 +77,7 @@
       final String name = layer.isEmpty() ? "in all" : layer;
       figures.put(
           role + ": " + name + ", messages/s a node, both ways",
-          letters / addresses.size() / seconds);
+          messages / addresses.size() / seconds);
       figures.put(
           role + ": " + name + ", bytes/s a node, both ways", bytes / addresses.size() / seconds);
       if (layer.isEmpty()) {
