--- a/src/test/java/yewjunction/capacity/HollowFleet.java
+++ b/src/test/java/yewjunction/capacity/HollowFleet.java
@@ -35,18 +35,19 @@
   private long lives;
   private long version;
 
-  HollowFleet(final long seed, final int edgeCount, final int vaultCount, final int cruxCount) {
+  HollowFleet(
+      final long seed, final int edgeCount, final int storeCount, final int controlNodeCount) {
     network = new SimulatedNetwork(seed);
     network.meter = meter;
-    lossesBorne = cruxCount >= 5 && vaultCount >= 5 ? 2 : 1;
-    for (int i = 0; i < cruxCount; i++) {
+    lossesBorne = controlNodeCount >= 5 && storeCount >= 5 ? 2 : 1;
+    for (int i = 0; i < controlNodeCount; i++) {
       controlNodes.add(
           "10." + zone(i) + ".1." + (1 + i / ZONES) + ":" + (PORT + Settings.CONTROL_PORT_OFFSET));
     }
     for (int i = 0; i < 3; i++) {
       seeds.add(controlNodes.get(i).replace(":" + (PORT + Settings.CONTROL_PORT_OFFSET), ":8024"));
     }
-    for (int i = 0; i < vaultCount; i++) {
+    for (int i = 0; i < storeCount; i++) {
       stores.add("10." + zone(i) + ".2." + (1 + i / ZONES) + ":" + PORT);
     }
     for (int i = 0; i < edgeCount; i++) {
@@ -100,7 +101,7 @@
         .count();
   }
 
-  String leadingVault() {
+  String leadingStore() {
     return stores.stream()
         .filter(address -> ((StoreNode) nodes.get(address)).isLeader())
         .findFirst()
--- a/src/test/java/yewjunction/capacity/MessageCost.java
+++ b/src/test/java/yewjunction/capacity/MessageCost.java
@@ -70,7 +70,7 @@
                           + "\r\n"));
     }
     fleet.network.runFor(WATCH_MS);
-    final String leader = fleet.leadingVault();
+    final String leader = fleet.leadingStore();
     final double seconds = WATCH_MS / 1_000.0;
     figures.put(
         "all: ms of CPU a second, simulator included",
--- a/src/test/java/yewjunction/control/ControlStateFixture.java
+++ b/src/test/java/yewjunction/control/ControlStateFixture.java
@@ -58,10 +58,10 @@
     replica.node = "edge-3";
     replica.life = 100;
     commands.add(ControlStateMachine.encode(replica));
-    final ControlCommand vaults = new ControlCommand(ControlCommand.SET_FIRST_STORES);
-    vaults.identities = List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z");
-    vaults.zones = List.of("za", "zb", "zc");
-    commands.add(ControlStateMachine.encode(vaults));
+    final ControlCommand firstStores = new ControlCommand(ControlCommand.SET_FIRST_STORES);
+    firstStores.identities = List.of("10.0.0.4:7000#x", "10.0.0.5:7000#y", "10.0.0.6:7000#z");
+    firstStores.zones = List.of("za", "zb", "zc");
+    commands.add(ControlStateMachine.encode(firstStores));
     final ControlCommand gone = new ControlCommand(ControlCommand.RETIRE_REPLICA);
     gone.replicaId = 1;
     commands.add(ControlStateMachine.encode(gone));
--- a/src/test/java/yewjunction/membership/LateResponsesTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -36,9 +36,9 @@
     return member;
   }
 
-  private static <T extends MembershipMessage> T by(final String address, final T letter) {
-    letter.sender = peer(address);
-    return letter;
+  private static <T extends MembershipMessage> T by(final String address, final T message) {
+    message.sender = peer(address);
+    return message;
   }
 
   private static Ack echo(final String address, final long number) {
--- a/src/test/java/yewjunction/raft/LogReader.java
+++ b/src/test/java/yewjunction/raft/LogReader.java
@@ -16,11 +16,11 @@
   public static void readData(
       final Disk disk, final String name, final long upTo, final Map<Long, byte[]> entries) {
     final RaftStorage storage =
-        new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> {}, name));
-    for (long index = storage.log.snapshotIndex() + 1;
-        index <= Math.min(upTo, storage.log.lastIndex());
+        new RaftStorage(new AppendOnlyFile(disk, (blocking, continuation) -> {}, name));
+    for (long index = storage.log().snapshotIndex() + 1;
+        index <= Math.min(upTo, storage.log().lastIndex());
         index++) {
-      final LogEntry entry = storage.log.get(index);
+      final LogEntry entry = storage.log().get(index);
       if (entry.kind == LogEntry.DATA) {
         final byte[] known = entries.putIfAbsent(index, entry.data);
         if (known != null) {
@@ -33,7 +33,7 @@
   /** The addresses that vote by what that disk holds. */
   public static List<String> voters(final Disk disk, final String name) {
     final RaftLog log =
-        new RaftStorage(new AppendOnlyFile(disk, (blocking, afterwards) -> {}, name)).log;
+        new RaftStorage(new AppendOnlyFile(disk, (blocking, continuation) -> {}, name)).log();
     return log.votersAt(log.lastIndex()).stream().map(RaftNode::addressOf).toList();
   }
 
--- a/src/test/java/yewjunction/raft/LogRecordTest.java
+++ b/src/test/java/yewjunction/raft/LogRecordTest.java
@@ -64,7 +64,7 @@
     disk.replace("x", bytes);
     disk.damage("x", 20);
     final AppendOnlyFile file =
-        new AppendOnlyFile(disk, (blocking, afterwards) -> blocking.run(), "x");
+        new AppendOnlyFile(disk, (blocking, continuation) -> blocking.run(), "x");
     assertEquals(
         ErrorCode.STORAGE_DAMAGED, assertThrows(YewjunctionException.class, file::open).code());
   }
@@ -76,11 +76,11 @@
     final AppendOnlyFile file =
         new AppendOnlyFile(
             disk,
-            (blocking, afterwards) ->
+            (blocking, continuation) ->
                 work.add(
                     () -> {
                       blocking.run();
-                      afterwards.run();
+                      continuation.run();
                     }),
             "x");
     file.open();
@@ -93,7 +93,7 @@
       work.poll().run();
     }
     assertEquals(4, synced[0]);
-    final AppendOnlyFile again = new AppendOnlyFile(disk, (blocking, afterwards) -> {}, "x");
+    final AppendOnlyFile again = new AppendOnlyFile(disk, (blocking, continuation) -> {}, "x");
     assertEquals(
         java.util.List.of(9, 3),
         again.open().stream().map(piece -> (int) piece.body()[0]).toList());
--- a/src/test/java/yewjunction/raft/ModelDigest.java
+++ b/src/test/java/yewjunction/raft/ModelDigest.java
@@ -70,8 +70,8 @@
         mix(
             mix(end.owner.number, end.far().owner.number),
             (end == end.connection.dialler ? 1 : 2) + (end.open ? 0 : 4));
-    for (final byte[] letter : end.inbound) {
-      hash = mix(hash, value(letter));
+    for (final byte[] message : end.inbound) {
+      hash = mix(hash, value(message));
     }
     return hash;
   }
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -40,9 +40,11 @@
   private final ArrayDeque<Runnable> commands = new ArrayDeque<>();
   private long order;
 
+  /** A task that is due at a moment of the member's own clock. */
   record Timer(long atMs, long order, Runnable task) {}
 
-  record Work(Runnable blocking, Runnable afterwards) {}
+  /** Blocking work, and what follows it. */
+  record Work(Runnable blocking, Runnable continuation) {}
 
   /**
    * Always the least: how timers of different members follow one another is the scheduler's choice
@@ -145,12 +147,12 @@
     disk.replace("", kept.toByteArray());
   }
 
-  private void work(final Runnable blocking, final Runnable afterwards) {
-    works.add(new Work(blocking, afterwards));
+  private void work(final Runnable blocking, final Runnable continuation) {
+    works.add(new Work(blocking, continuation));
     if (world.fault == ModelFault.ANSWERED_BEFORE_SYNC) {
       works.removeLast();
       works.add(new Work(blocking, () -> {}));
-      commands.add(afterwards);
+      commands.add(continuation);
     }
   }
 
@@ -158,7 +160,7 @@
   void diskWorks() {
     final Work work = works.poll();
     work.blocking().run();
-    work.afterwards().run();
+    work.continuation().run();
     runCommands();
   }
 
--- a/src/test/java/yewjunction/raft/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -70,21 +70,21 @@
       host.tale.told.forEach((index, value) -> same(host, index, history.get(index), value));
     }
     if (raftNode.isLeader()) {
-      if (raftNode.storage.term >= newestTerm) {
-        newestTerm = raftNode.storage.term;
+      if (raftNode.currentTerm() >= newestTerm) {
+        newestTerm = raftNode.currentTerm();
         newestVoters = raftNode.voters();
       }
     }
     boolean news = false;
-    for (long index = Math.max(last[0], raftNode.log.snapshotIndex()) + 1;
+    for (long index = Math.max(last[0], raftNode.log().snapshotIndex()) + 1;
         index <= raftNode.appliedIndex();
         index++) {
-      news |= applied(host, index, raftNode.log.get(index));
+      news |= applied(host, index, raftNode.log().get(index));
     }
     last[0] = raftNode.appliedIndex();
-    if (raftNode.isLeader() && last[2] != raftNode.storage.term) {
-      last[2] = raftNode.storage.term;
-      final String known = leaders.putIfAbsent(raftNode.storage.term, raftNode.identity());
+    if (raftNode.isLeader() && last[2] != raftNode.currentTerm()) {
+      last[2] = raftNode.currentTerm();
+      final String known = leaders.putIfAbsent(raftNode.currentTerm(), raftNode.identity());
       if (known != null && !known.equals(raftNode.identity())) {
         violated(
             "one leader a term: "
@@ -92,7 +92,7 @@
                 + " and "
                 + raftNode.identity()
                 + " in term "
-                + raftNode.storage.term);
+                + raftNode.currentTerm());
       }
       complete(host);
     }
@@ -105,7 +105,7 @@
 
   private boolean diskGone(final String voter) {
     final ModelHost host = world.at(RaftNode.addressOf(voter));
-    return host.wipes > 0 && !voter.equals(onDisk(host).identity);
+    return host.wipes > 0 && !voter.equals(onDisk(host).identity());
   }
 
   private void same(
@@ -127,7 +127,7 @@
   private boolean applied(final ModelHost host, final long index, final LogEntry entry) {
     final Committed known = history.get(index);
     if (known == null) {
-      final long inTerm = host.raftNode.storage.term;
+      final long inTerm = host.raftNode.currentTerm();
       history.put(index, new Committed(entry.term, entry.kind, valueOf(entry), inTerm));
       durable(host.raftNode, index, entry.term);
       return true;
@@ -153,14 +153,15 @@
     final RaftNode raftNode = host.raftNode;
     history.forEach(
         (index, committed) -> {
-          final boolean held =
-              index <= raftNode.log.snapshotIndex() || raftNode.log.termAt(index) == committed.term;
-          if (committed.inTerm < raftNode.storage.term && !held) {
+          final boolean confirmed =
+              index <= raftNode.log().snapshotIndex()
+                  || raftNode.log().termAt(index) == committed.term;
+          if (committed.inTerm < raftNode.currentTerm() && !confirmed) {
             violated(
                 "nothing committed is lost: "
                     + host.address
                     + " leads term "
-                    + raftNode.storage.term
+                    + raftNode.currentTerm()
                     + " without "
                     + index
                     + " "
@@ -180,7 +181,9 @@
       // A disk that was lost after it had taken the entry counts as one of the losses that are
       // borne.
       held +=
-          diskGone(voter) || voter.equals(storage.identity) && holds(storage, index, term) ? 1 : 0;
+          diskGone(voter) || voter.equals(storage.identity()) && holds(storage, index, term)
+              ? 1
+              : 0;
     }
     if (held * 2 <= voters.size()) {
       violated(
@@ -196,7 +199,7 @@
   }
 
   private static boolean holds(final RaftStorage storage, final long index, final long term) {
-    return storage.log.snapshotIndex() >= index || storage.log.termAt(index) == term;
+    return storage.log().snapshotIndex() >= index || storage.log().termAt(index) == term;
   }
 
   private static RaftStorage onDisk(final ModelHost host) {
@@ -230,7 +233,7 @@
 
   /** A yes is a fact only when no later leader had had anything committed before the question. */
   void confirms(final ModelHost host) {
-    final long term = host.raftNode.storage.term;
+    final long term = host.raftNode.currentTerm();
     final boolean deposed =
         history.values().stream().anyMatch(committed -> committed.inTerm > term);
     host.raftNode.confirmLeadership(
@@ -268,19 +271,19 @@
    */
   private boolean good(final ModelHost host) {
     final RaftStorage storage = onDisk(host);
-    if (storage.identity == null) {
+    if (storage.identity() == null) {
       return false;
     }
-    boolean votes = newestVoters.isEmpty() || newestVoters.contains(storage.identity);
+    boolean votes = newestVoters.isEmpty() || newestVoters.contains(storage.identity());
     for (final ModelHost other : world.hosts) {
-      final RaftLog log = onDisk(other).log;
+      final RaftLog log = onDisk(other).log();
       final List<String> voters = log.votersAt(log.lastIndex());
-      votes &= voters.isEmpty() || voters.contains(storage.identity);
+      votes &= voters.isEmpty() || voters.contains(storage.identity());
       // One that is being voted out is lost already, whatever the disks say yet.
       votes &=
           !other.up()
               || other.raftNode.voters().isEmpty()
-              || other.raftNode.voters().contains(storage.identity);
+              || other.raftNode.voters().contains(storage.identity());
     }
     return votes && whole(storage, host);
   }
@@ -303,11 +306,11 @@
             one ->
                 one.identity()
                     + " term "
-                    + one.storage.term
+                    + one.currentTerm()
                     + " last "
-                    + one.log.lastIndex()
+                    + one.log().lastIndex()
                     + "/"
-                    + one.log.lastTerm()
+                    + one.log().lastTerm()
                     + " commit "
                     + one.commitIndex()
                     + " leads "
--- a/src/test/java/yewjunction/raft/ModelWalks.java
+++ b/src/test/java/yewjunction/raft/ModelWalks.java
@@ -106,11 +106,13 @@
     for (int at = 0; at < sums.length; at++) {
       final char step = enabled.charAt(at);
       final int kind = ModelStep.kind(step);
-      final boolean held =
+      final boolean confirmed =
           (kind == ModelStep.DELIVER || kind == ModelStep.REPLY)
               && (ModelStep.member(step) == away || ModelStep.other(step) == away);
       sum +=
-          held ? 0 : weights[kind] / (kind == ModelStep.CRASH && ModelStep.which(step) > 0 ? 3 : 1);
+          confirmed
+              ? 0
+              : weights[kind] / (kind == ModelStep.CRASH && ModelStep.which(step) > 0 ? 3 : 1);
       sums[at] = sum;
     }
     final int drawn = random.nextInt(Math.max(1, sum));
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -229,7 +229,7 @@
             monitor.acknowledged(index[0], value);
           }
         })) {
-      index[0] = host.raftNode.log.lastIndex();
+      index[0] = host.raftNode.log().lastIndex();
     }
     host.runCommands();
   }
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -146,10 +146,10 @@
           }
           for (final RaftNode one : ledgers.values()) {
             if (one.isLeader() && network.host(RaftNode.addressOf(one.identity())).up()) {
-              final String known = leaders.putIfAbsent(one.storage.term, one.identity());
+              final String known = leaders.putIfAbsent(one.currentTerm(), one.identity());
               assertTrue(
                   known == null || known.equals(one.identity()),
-                  "two leaders in term " + one.storage.term);
+                  "two leaders in term " + one.currentTerm());
             }
           }
         });
@@ -187,11 +187,11 @@
                     one ->
                         one.identity()
                             + " term "
-                            + one.storage.term
+                            + one.currentTerm()
                             + " last "
-                            + one.log.lastIndex()
+                            + one.log().lastIndex()
                             + "/"
-                            + one.log.lastTerm()
+                            + one.log().lastTerm()
                             + " commit "
                             + one.commitIndex()
                             + " leads "
--- a/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
+++ b/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
@@ -67,17 +67,17 @@
     lead("b:1");
     assertEquals(first, lead("a:1"));
     network.runFor(1_000);
-    assertNotEquals(answers.get(0).term, first.storage.term);
+    assertNotEquals(answers.get(0).term, first.currentTerm());
     return first;
   }
 
   private void late(final RaftNode leader, final String from, final long round) {
     final AppendEntriesResponse response = new AppendEntriesResponse();
     response.from = ledgers.get(from).identity();
-    response.term = leader.storage.term;
+    response.term = leader.currentTerm();
     response.accepted = true;
     response.round = round;
-    leader.leaderState.onAppendEntriesResponse(response);
+    leader.leaderState().onAppendEntriesResponse(response);
   }
 
   /**
@@ -129,15 +129,15 @@
     old.to = 0;
     ledgers
         .get("c:1")
-        .followerState
-        .onAppendEntries(ledgers.get("c:1").transport.connect("a:1"), old);
+        .followerState()
+        .onAppendEntries(ledgers.get("c:1").transport().connect("a:1"), old);
     network.runFor(50);
     final List<AppendEntriesResponse> refusals =
         told.stream().filter(response -> !response.accepted).toList();
     assertFalse(refusals.isEmpty());
     refusals.forEach(
         response -> {
-          assertEquals(leader.storage.term, response.term);
+          assertEquals(leader.currentTerm(), response.term);
           assertEquals(0, response.round);
         });
   }
--- a/src/test/java/yewjunction/raft/SnapshotChunksTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotChunksTest.java
@@ -22,7 +22,7 @@
     boot("d:1", false);
     network.runFor(8_000);
     final long numbers = snapshots;
-    leader().leaderState.snapshotTransfer.abandonAll();
+    leader().leaderState().snapshotTransfer().abandonAll();
     final boolean whole = network.runUntil(() -> ledgers.get("d:1").appliedIndex() > 0, 60_000);
     assertEquals(numbers + 1, snapshots);
     return whole;
@@ -59,21 +59,22 @@
     final RaftNode follower =
         ledgers.values().stream().filter(one -> !one.isLeader()).findFirst().orElseThrow();
     assertTrue(
-        network.runUntil(() -> follower.log.lastIndex() > follower.commitIndex() + 1, 10_000));
-    final long last = follower.log.lastIndex();
+        network.runUntil(() -> follower.log().lastIndex() > follower.commitIndex() + 1, 10_000));
+    final long last = follower.log().lastIndex();
     final RaftMessages.InstallSnapshotRequest request = new RaftMessages.InstallSnapshotRequest();
     request.from = leader().identity();
-    request.term = leader().storage.term;
+    request.term = leader().currentTerm();
     request.lastIndex = follower.commitIndex() + 1;
-    request.lastTerm = follower.log.termAt(request.lastIndex);
+    request.lastTerm = follower.log().termAt(request.lastIndex);
     request.snapshotNumber = 1;
     // All of it in one piece: to be installed, were the entries not here.
     request.chunk = tales.get(RaftNode.addressOf(leader().identity())).snapshot();
     request.totalBytes = request.chunk.length;
-    follower.followerState.onInstallSnapshot(
-        follower.transport.connect(RaftNode.addressOf(request.from)), request);
+    follower
+        .followerState()
+        .onInstallSnapshot(follower.transport().connect(RaftNode.addressOf(request.from)), request);
     assertEquals(
-        last, follower.log.lastIndex(), "entries that may have been acknowledged are gone");
+        last, follower.log().lastIndex(), "entries that may have been acknowledged are gone");
     assertEquals(request.lastIndex, follower.commitIndex());
   }
 }
--- a/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
@@ -46,7 +46,7 @@
         () ->
             ledgers
                 .values()
-                .forEach(raftNode -> raftNode.leaderState.snapshotTransfer.abandonAll()));
+                .forEach(raftNode -> raftNode.leaderState().snapshotTransfer().abandonAll()));
     LATE.forEach(address -> boot(address, false));
     assertFalse(all(60_000), "caught up with a sender that begins anew");
   }
@@ -62,20 +62,20 @@
   void theLogKeepsWhatFollowsASnapshotUnderWay() {
     rewrittenMeanwhile(2);
     assertTrue(
-        network.runUntil(() -> leader() != null && leader().log.snapshotIndex() > 0, 60_000),
+        network.runUntil(() -> leader() != null && leader().log().snapshotIndex() > 0, 60_000),
         "never rewritten");
     assertFalse(caughtUp("d:1"), "caught up before the log was cut");
     final RaftNode cutting = leader();
     assertTrue(
-        cutting.appliedIndex() - cutting.log.snapshotIndex() > RETAINED_TAIL_ENTRIES,
+        cutting.appliedIndex() - cutting.log().snapshotIndex() > RETAINED_TAIL_ENTRIES,
         "no more than the usual tail is kept");
     assertTrue(network.runUntil(() -> caughtUp("d:1"), 120_000), "not caught up");
     // What was kept lies in the rewritten file, too.
-    final long base = cutting.log.snapshotIndex();
+    final long base = cutting.log().snapshotIndex();
     final String address = RaftNode.addressOf(cutting.identity());
     network.host(address).powerOff();
     boot(address, false);
-    assertEquals(base, ledgers.get(address).log.snapshotIndex());
+    assertEquals(base, ledgers.get(address).log().snapshotIndex());
   }
 
   @Test
@@ -85,7 +85,7 @@
         500,
         () -> {
           if (leader() != null) {
-            leader().log.discardThrough(leader().appliedIndex() - RETAINED_TAIL_ENTRIES);
+            leader().log().discardThrough(leader().appliedIndex() - RETAINED_TAIL_ENTRIES);
           }
         });
     assertFalse(
@@ -98,7 +98,7 @@
     boot("d:1", false);
     network.runFor(8_000);
     assertTrue(
-        leader().leaderState.snapshotTransfer.isSendingTo(ledgers.get("d:1").identity()),
+        leader().leaderState().snapshotTransfer().isSendingTo(ledgers.get("d:1").identity()),
         "not under way");
     return leader();
   }
@@ -153,15 +153,15 @@
     finishes(built);
     network.runFor(15_000);
     assertFalse(
-        sender.leaderState.snapshotTransfer.isSendingTo(before),
+        sender.leaderState().snapshotTransfer().isSendingTo(before),
         "a snapshot is held for a name that is gone");
-    assertFalse(sender.leaderState.snapshotTransfer.isSendingTo(ledgers.get("d:1").identity()));
+    assertFalse(sender.leaderState().snapshotTransfer().isSendingTo(ledgers.get("d:1").identity()));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 300, 600, 900, 999, 1_001, 1_100, 2_000})
   void aLossOfPowerWhileItIsInstalledLeavesTheOldOrTheNew(final long lateMs) {
-    final long term = halfWay(7).storage.term;
+    final long term = halfWay(7).currentTerm();
     final int built = snapshots;
     // The whole is there, and on its way to a disk that takes a second for it.
     network.host("d:1").syncMicros = 1_000_000;
@@ -175,7 +175,7 @@
     // one, and nobody else.
     final boolean kept = ledgers.get("d:1").appliedIndex() > 0;
     assertTrue(network.runUntil(() -> caughtUp("d:1"), 60_000), "not caught up");
-    finishes(kept ? built : built + (int) (leader().storage.term - term));
+    finishes(kept ? built : built + (int) (leader().currentTerm() - term));
   }
 
   @Test
@@ -184,13 +184,13 @@
     network.host("c:1").powerOff();
     network.every(5, () -> propose(300));
     assertTrue(
-        network.runUntil(() -> leader() != null && leader().log.snapshotIndex() > 0, 60_000),
+        network.runUntil(() -> leader() != null && leader().log().snapshotIndex() > 0, 60_000),
         "never rewritten");
     // The other one rewrites its file at the same entry.
     network.runFor(500);
     // As after a change of the leader, or a cut by the bound: nothing is known to be there.
-    leader().leaderState.progressByMember.get("c:1#founder").nextIndex = 1;
-    leader().leaderState.progressByMember.get("c:1#founder").matchIndex = 0;
+    leader().leaderState().progressByMember().get("c:1#founder").nextIndex = 1;
+    leader().leaderState().progressByMember().get("c:1#founder").matchIndex = 0;
     final int built = snapshots;
     network.runFor(5_000);
     assertEquals(built, snapshots);
@@ -215,11 +215,11 @@
     }
     addresses.forEach(address -> network.narrow(address, NARROW));
     network.join();
-    final long term = leader().storage.term;
+    final long term = leader().currentTerm();
     // 6 MB, 24 s of the connection, and nothing of it as a snapshot.
     final int built = snapshots;
     assertTrue(network.runUntil(() -> caughtUp(away), 60_000), "not caught up");
-    assertEquals(term, leader().storage.term, "the leader was lost");
+    assertEquals(term, leader().currentTerm(), "the leader was lost");
     assertEquals(built, snapshots);
   }
 
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -124,7 +124,7 @@
               context,
               null,
               new InMemoryDisk(),
-              (blocking, afterwards) -> afterwards.run(),
+              (blocking, continuation) -> continuation.run(),
               "x" + round,
               stateMachine);
       raftNode.assignIdentity("a:1#x");
@@ -138,13 +138,14 @@
       System.out.println("snapshot bytes " + snapshot[0].length);
       // What is kept at most for a member that catches up is written again with it.
       for (int i = 1; i <= MAX_CATCH_UP_TAIL_BYTES / (bodyBytes + 60); i++) {
-        raftNode.storage.append(
-            List.of(new LogEntry(i, 1, LogEntry.DATA, new byte[bodyBytes + 60])), () -> {});
+        raftNode
+            .storage()
+            .append(List.of(new LogEntry(i, 1, LogEntry.DATA, new byte[bodyBytes + 60])), () -> {});
       }
       timed(
-          "kept tail of " + raftNode.log.lastIndex(),
+          "kept tail of " + raftNode.log().lastIndex(),
           () -> {
-            raftNode.storage.rewrite(0, new byte[0], () -> {});
+            raftNode.storage().rewrite(0, new byte[0], () -> {});
             return null;
           });
       timed(
--- a/src/test/java/yewjunction/raft/StoredDataFixture.java
+++ b/src/test/java/yewjunction/raft/StoredDataFixture.java
@@ -49,7 +49,7 @@
     final RaftStorage storage = open(folder, name);
     storage.saveIdentity(IDENTITY, () -> {});
     storage.saveVote(3, "10.0.0.5:7000#y", () -> {});
-    storage.log.reset(0, 0, FIRST_VOTERS);
+    storage.log().reset(0, 0, FIRST_VOTERS);
     storage.rewrite(0, stateMachine.snapshot(), () -> {});
     long index = 0;
     final int inSnapshot = commands.size() / 2;
@@ -60,7 +60,7 @@
     storage.saveVote(4, IDENTITY, () -> {});
     storage.append(List.of(new LogEntry(index + 1, 3, LogEntry.DATA, new byte[] {1})), () -> {});
     storage.truncateFrom(index + 1);
-    storage.log.discardThrough(index - 1);
+    storage.log().discardThrough(index - 1);
     storage.rewrite(index, stateMachine.snapshot(), () -> {});
     for (final byte[] command : commands.subList(inSnapshot, commands.size())) {
       storage.append(List.of(new LogEntry(++index, 4, LogEntry.DATA, command)), () -> {});
@@ -79,9 +79,9 @@
     return new RaftStorage(
         new AppendOnlyFile(
             new LocalDisk(folder),
-            (blocking, afterwards) -> {
+            (blocking, continuation) -> {
               blocking.run();
-              afterwards.run();
+              continuation.run();
             },
             name));
   }
--- a/src/test/java/yewjunction/raft/StoredDataTest.java
+++ b/src/test/java/yewjunction/raft/StoredDataTest.java
@@ -34,11 +34,11 @@
 
     final RaftStorage storage = StoredDataFixture.open(folder, name);
     assertEquals(written - StoredDataFixture.TORN_BYTES, Files.size(file));
-    assertEquals(StoredDataFixture.IDENTITY, storage.identity);
-    assertEquals(4, storage.term);
-    assertEquals(StoredDataFixture.IDENTITY, storage.votedFor);
+    assertEquals(StoredDataFixture.IDENTITY, storage.identity());
+    assertEquals(4, storage.term());
+    assertEquals(StoredDataFixture.IDENTITY, storage.votedFor());
     final int inSnapshot = commands.size() / 2;
-    final RaftLog log = storage.log;
+    final RaftLog log = storage.log();
     assertEquals(inSnapshot, storage.snapshotIndex());
     assertEquals(inSnapshot - 1, log.snapshotIndex());
     assertEquals(3, log.termAt(log.snapshotIndex()));
--- a/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
@@ -12,7 +12,11 @@
 /** Members without a vote learn from their zone, whoever of it fails. */
 class ZoneRelaySimulationTest extends RaftSimulation {
   private String relay(final String address) {
-    return leader().leaderState.progressByMember.get(ledgers.get(address).identity()).relayAddress;
+    return leader()
+        .leaderState()
+        .progressByMember()
+        .get(ledgers.get(address).identity())
+        .relayAddress;
   }
 
   private void allLearn(final String when) {
--- a/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -26,16 +26,16 @@
     beginWithSpares(1);
     final RaftNode spare = ledgers.get("b:2");
     final String former = leader().identity();
-    final long term = spare.storage.term;
-    final long prevIndex = spare.log.lastIndex();
-    final long prevTerm = spare.log.lastTerm();
+    final long term = spare.currentTerm();
+    final long prevIndex = spare.log().lastIndex();
+    final long prevTerm = spare.log().lastTerm();
     assertNotNull(spare.leader());
     final FetchResponse handedOn = new FetchResponse();
     handedOn.term = named ? term + 1 : 0;
     handedOn.prevIndex = prevIndex;
     handedOn.prevTerm = prevTerm;
     handedOn.entries = List.of(new LogEntry(prevIndex + 1, term + 1, LogEntry.NO_OP, new byte[0]));
-    spare.relay.onFetchResponse(handedOn);
+    spare.relay().onFetchResponse(handedOn);
     assertEquals(prevIndex + 1, spare.commitIndex());
     final AppendEntriesRequest late = new AppendEntriesRequest();
     late.from = former;
@@ -43,8 +43,8 @@
     late.prevIndex = prevIndex;
     late.prevTerm = prevTerm;
     late.entries = List.of(new LogEntry(prevIndex + 1, term, LogEntry.NO_OP, new byte[0]));
-    spare.followerState.onAppendEntries(spare.transport.connect("a:1"), late);
-    return spare.log.termAt(prevIndex + 1) - term;
+    spare.followerState().onAppendEntries(spare.transport().connect("a:1"), late);
+    return spare.log().termAt(prevIndex + 1) - term;
   }
 
   @Test
--- a/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
+++ b/src/test/java/yewjunction/server/BlockingTaskExecutorTest.java
@@ -81,7 +81,7 @@
     assertEquals(
         false,
         answeredOrEnded(
-            (blocking, afterwards) ->
+            (blocking, continuation) ->
                 pool.execute(
                     () -> {
                       try {
@@ -89,7 +89,7 @@
                       } catch (final RuntimeException failure) {
                         codes.add(ExitCode.DISK_FAILED);
                       }
-                      context.execute(afterwards);
+                      context.execute(continuation);
                     })));
     pool.shutdown();
   }
--- a/src/test/java/yewjunction/simulation/SimulatedHost.java
+++ b/src/test/java/yewjunction/simulation/SimulatedHost.java
@@ -153,7 +153,7 @@
     final int ofLife = life;
     final SimulatedDisk ofDisk = disk;
     final List<Runnable> waiting = new ArrayList<>();
-    return (blocking, afterwards) -> {
+    return (blocking, continuation) -> {
       waiting.add(
           () ->
               network.afterMicros(
@@ -165,7 +165,7 @@
                             if (ofDisk == disk) {
                               blocking.run();
                             }
-                            afterwards.run();
+                            continuation.run();
                             waiting.remove(0);
                             if (!waiting.isEmpty()) {
                               waiting.get(0).run();
--- a/src/test/java/yewjunction/store/BorrowingAccountTest.java
+++ b/src/test/java/yewjunction/store/BorrowingAccountTest.java
@@ -26,7 +26,7 @@
   }
 
   private static String state(final BorrowingAccount account) {
-    return ReferenceAccounts.told(account.balance());
+    return ReferenceAccounts.describe(account.balance());
   }
 
   /**
--- a/src/test/java/yewjunction/store/ReferenceAccounts.java
+++ b/src/test/java/yewjunction/store/ReferenceAccounts.java
@@ -158,7 +158,7 @@
     return states.get(tenant + " " + index);
   }
 
-  public static String told(final AccountBalance balance) {
+  public static String describe(final AccountBalance balance) {
     return balance.tokens + " " + balance.debt + " " + balance.borrowed + " " + balance.repaid;
   }
 }
--- a/src/test/java/yewjunction/system/BorrowingSimulationTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -89,7 +89,7 @@
       if (cluster.network.host(store).up()) {
         for (final AccountBalance balance :
             ((StoreNode) cluster.nodes.get(store)).messageStore().balances()) {
-          final String held = ReferenceAccounts.told(balance);
+          final String held = ReferenceAccounts.describe(balance);
           assertEquals(
               held,
               seen.computeIfAbsent(balance.tenant + " " + balance.index, key -> held),
--- a/src/test/java/yewjunction/system/DeliveryChecker.java
+++ b/src/test/java/yewjunction/system/DeliveryChecker.java
@@ -42,6 +42,7 @@
   /** All that clients saw, in the order in which each of them saw it. */
   final List<Delivery> allDeliveries = new ArrayList<>();
 
+  /** One message as one client saw it. */
   record Delivery(String client, String topic, long position, String sender, long number) {}
 
   /** One message under one number. */
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -184,17 +184,17 @@
 
   /** A machine of the same kind and zone, empty, at an address that nobody has heard of. */
   String bootLike(final String machine) {
-    final boolean vault = machine.endsWith("9");
+    final boolean isStore = machine.endsWith("9");
     machines += 10;
     final String fresh =
-        machine.substring(0, machine.lastIndexOf('.') + 1) + (machines % 1_000 + (vault ? 9 : 1));
+        machine.substring(0, machine.lastIndexOf('.') + 1) + (machines % 1_000 + (isStore ? 9 : 1));
     cluster.seeds =
         cluster.all(NodeRole.CONTROL).stream()
             .filter(controlNode -> cluster.network.host(controlNode).up())
             .limit(3)
             .map(controlNode -> machine(controlNode) + ":8024")
             .toList();
-    if (!vault) {
+    if (!isStore) {
       cluster.boot(fresh + ":" + (SimulatedCluster.PORT + Settings.CONTROL_PORT_OFFSET), false);
     }
     cluster.boot(fresh + ":" + SimulatedCluster.PORT, false);
--- a/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
+++ b/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
@@ -71,11 +71,11 @@
           .between(0, Long.MAX_VALUE)
           .forEach(
               message -> {
-                final String told =
+                final String description =
                     message.topic + " " + message.client + " " + message.sequenceNumber;
                 assertEquals(
-                    told,
-                    history.computeIfAbsent(message.index, key -> told),
+                    description,
+                    history.computeIfAbsent(message.index, key -> description),
                     "at " + message.index);
               });
     }
@@ -88,18 +88,18 @@
     begin(seed);
     cluster.network.runFor(3_000);
     for (int round = 0; round < 3; round++) {
-      final boolean withVault = cluster.network.random.nextBoolean();
+      final boolean withStores = cluster.network.random.nextBoolean();
       final String zone = "zone" + (1 + cluster.network.random.nextInt(3));
       switch ((int) (seed % 4)) {
         case 0 -> {
           // Short: within the patience of clients and leases.
-          cluster.isolateZone(zone, withVault);
+          cluster.isolateZone(zone, withStores);
           cluster.network.runFor(200 + cluster.network.random.nextInt(900));
         }
         case 1 -> {
           // Long: leases lapse, clients move out and come back; an edge of the site dies in the
           // unreachable.
-          cluster.isolateZone(zone, withVault);
+          cluster.isolateZone(zone, withStores);
           cluster.network.runFor(6_000);
           cluster.kill(
               cluster.all(NodeRole.EDGE).stream()
@@ -111,7 +111,7 @@
         case 2 -> {
           // Flapping.
           for (int flap = 0; flap < 6; flap++) {
-            cluster.isolateZone(zone, withVault);
+            cluster.isolateZone(zone, withStores);
             cluster.network.runFor(150 + cluster.network.random.nextInt(1_200));
             cluster.network.join();
             cluster.network.runFor(100 + cluster.network.random.nextInt(600));
@@ -119,7 +119,7 @@
         }
         default -> {
           // The lead changes meanwhile.
-          cluster.isolateZone(zone, withVault);
+          cluster.isolateZone(zone, withStores);
           cluster.network.runFor(800);
           final List<String> outside =
               cluster.all(NodeRole.STORE).stream()
--- a/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
@@ -256,10 +256,10 @@
     begin(11);
     final OperatorApi operatorApi =
         ((ControlNode) cluster.nodes.get(orders.leader())).operatorApi();
-    operatorApi.setExecutor((blocking, afterwards) -> afterwards.run());
+    operatorApi.setExecutor((blocking, continuation) -> continuation.run());
     assertEquals(503, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
     operatorApi.setExecutor(
-        (blocking, afterwards) -> {
+        (blocking, continuation) -> {
           throw new OutOfMemoryError("planted");
         });
     assertEquals(503, orders.now(orders.leader(), "POST", REPLACE, "1", config(2, "b.")).status());
--- a/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
+++ b/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
@@ -73,10 +73,12 @@
   void anEarlierLifesLateQuestionUnseatsNobody(final long seed) {
     begin(seed);
     final String edge = cluster.clients.get(0).edge();
-    final PeerTransport crux = cluster.network.host("10.9.0.1:1").boot();
+    final PeerTransport controlTransport = cluster.network.host("10.9.0.1:1").boot();
     cluster
         .all(NodeRole.CONTROL)
-        .forEach(other -> crux.connect(other).send(StaleRegistration.enlist(edge, 1_000_000)));
+        .forEach(
+            other ->
+                controlTransport.connect(other).send(StaleRegistration.enlist(edge, 1_000_000)));
     cluster.network.runFor(1_000);
     served(edge);
   }
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -44,8 +44,8 @@
     this(seed, 1, 1, false);
   }
 
-  SimulatedCluster(final long seed, final int vaultsInZone) {
-    this(seed, vaultsInZone, 1, false);
+  SimulatedCluster(final long seed, final int storesInZone) {
+    this(seed, storesInZone, 1, false);
   }
 
   /**
@@ -57,7 +57,7 @@
 
   /** Where two losses are to be borne there are two control nodes a zone. */
   SimulatedCluster(
-      final long seed, final int vaultsInZone, final int losses, final boolean readsBeside) {
+      final long seed, final int storesInZone, final int losses, final boolean readsBeside) {
     this.losses = losses;
     this.backgroundReads = readsBeside;
     network = new SimulatedNetwork(seed);
@@ -68,8 +68,8 @@
         boot("10." + zone + ".0.3:" + (PORT + Settings.CONTROL_PORT_OFFSET), true);
       }
       boot("10." + zone + ".0.2:" + PORT, true);
-      for (int vault = 0; vault < vaultsInZone; vault++) {
-        boot("10." + zone + ".0." + (10 * vault + 9) + ":" + PORT, true);
+      for (int store = 0; store < storesInZone; store++) {
+        boot("10." + zone + ".0." + (10 * store + 9) + ":" + PORT, true);
       }
     }
   }
@@ -179,12 +179,12 @@
   }
 
   /** A zone's machines, all or some, lose touch with all others. */
-  void isolateZone(final String zone, final boolean withVault) {
+  void isolateZone(final String zone, final boolean withStores) {
     for (final String inside : nodes.keySet()) {
-      if (zone(inside).equals(zone) && (withVault || role(inside) != NodeRole.STORE)) {
+      if (zone(inside).equals(zone) && (withStores || role(inside) != NodeRole.STORE)) {
         nodes.keySet().stream()
             .filter(
-                other -> !zone(other).equals(zone) || !withVault && role(other) == NodeRole.STORE)
+                other -> !zone(other).equals(zone) || !withStores && role(other) == NodeRole.STORE)
             .forEach(other -> network.cut(inside, other));
       }
     }
--- a/src/test/java/yewjunction/system/SystemSimulation.java
+++ b/src/test/java/yewjunction/system/SystemSimulation.java
@@ -18,8 +18,8 @@
     open(seed, 1, tenants);
   }
 
-  void open(final long seed, final int vaultsInZone, final String tenants) {
-    open(new SimulatedCluster(seed, vaultsInZone), tenants);
+  void open(final long seed, final int storesInZone, final String tenants) {
+    open(new SimulatedCluster(seed, storesInZone), tenants);
   }
 
   void open(final SimulatedCluster newTown, final String tenants) {
--- a/src/test/java/yewjunction/transport/EventLoopAgentTest.java
+++ b/src/test/java/yewjunction/transport/EventLoopAgentTest.java
@@ -50,14 +50,14 @@
         };
     final List<PeerConnection> closed = new ArrayList<>();
     transport.onClose(closed::add);
-    final List<PeerConnection> dialled = new ArrayList<>();
-    agent.execute(() -> dialled.add(transport.connect("127.0.0.1:9")));
+    final List<PeerConnection> opened = new ArrayList<>();
+    agent.execute(() -> opened.add(transport.connect("127.0.0.1:9")));
     agent.doWork();
     agent.doWork();
-    assertEquals(1, dialled.size());
-    assertFalse(dialled.get(0).isOpen());
-    assertFalse(dialled.get(0).send("a letter"));
-    assertEquals("127.0.0.1:9", dialled.get(0).remoteAddress());
-    assertEquals(dialled, closed);
+    assertEquals(1, opened.size());
+    assertFalse(opened.get(0).isOpen());
+    assertFalse(opened.get(0).send("a letter"));
+    assertEquals("127.0.0.1:9", opened.get(0).remoteAddress());
+    assertEquals(opened, closed);
   }
 }
