--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -22,7 +22,7 @@
   /** Kinds are numbered by hand: numbers outlive names when releases mix. */
   public MessageCodec register(final int number, final Class<?> kind) {
     if (schemaByNumber.containsKey(number)) {
-      throw new IllegalStateException("letter number " + number + " is taken");
+      throw new IllegalStateException("message number " + number + " is taken");
     }
     numberByType.put(kind, number);
     schemaByNumber.put(number, RuntimeSchema.getSchema(kind));
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -105,7 +105,7 @@
         }
         retirement.finished = true;
       }
-      default -> throw new IllegalStateException("deed " + command.kind);
+      default -> throw new IllegalStateException("command " + command.kind);
     }
     return true;
   }
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -127,7 +127,7 @@
       identities.forEach(
           identity ->
               command.zones.add(storeReports.get(RaftNode.addressOf(identity)).process.zone));
-      proposeOnce("vaults", command);
+      proposeOnce("stores", command);
     }
   }
 
--- a/src/main/java/yewjunction/doctor/BorrowingCheck.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -41,9 +41,9 @@
                       + store.getString("Nodename")
                       + " holds "
                       + held
-                      + ", another vault "
+                      + ", another store "
                       + other,
-                  "report it with both ledger files; empty the folder of the vault that a third one contradicts"));
+                  "report it with both log files; empty the folder of the store that a third one contradicts"));
         }
         // A store that lags says what was; the newest word counts.
         newest.merge(
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -95,7 +95,7 @@
       found(
           Code.SEED_SILENT,
           seed + ": " + reply.body(),
-          "see whether the crux there runs and can be reached from here");
+          "see whether the control node there runs and can be reached from here");
       return;
     }
     if (reply.clockMs() != null && Math.abs(reply.clockMs()) > MAX_CLOCK_DIFFERENCE_MS) {
@@ -133,7 +133,7 @@
         found(
             Code.CRUX_OUTSIDE,
             one.getKey() + " does not vote",
-            "a wiped crux joins within seconds; if not, see its log");
+            "a wiped control node joins within seconds; if not, see its log");
       }
       versions.add(status.getLong("Ver"));
     }
@@ -143,13 +143,13 @@
     if (leaders.isEmpty() && named.isEmpty()) {
       found(
           Code.NO_LEADER,
-          "no crux leads or knows who does",
-          "bring back cruxes until more than half of the voters run");
+          "no control node leads or knows who does",
+          "bring back control nodes until more than half of the voters run");
     } else if (leaders.size() > 1 || named.size() > 1) {
       found(
           Code.LEADERS_DIFFER,
           leaders + " lead, " + named + " are named",
-          "look again; if it stays, cruxes are cut off");
+          "look again; if it stays, control nodes are cut off");
     }
     final Config first = statuses.firstEntry().getValue();
     final List<String> voters = first.getStringList("Voters");
@@ -157,13 +157,13 @@
       found(
           Code.VOTERS_FEW,
           statuses.size() + " of " + voters.size() + " voters answer",
-          "bring back the silent cruxes");
+          "bring back the silent control nodes");
     }
     if (versions.size() > 1) {
       found(
           Code.VERSIONS_DIFFER,
           "versions " + versions,
-          "look again; if it stays, a crux is behind or cut off");
+          "look again; if it stays, a control node is behind or cut off");
     }
     if (versions.equals(Set.of(0L))) {
       found(Code.NO_CONFIG, "no configuration has been taken", "send one with Base-Version 0");
@@ -188,7 +188,7 @@
         found(
             Code.VOTER_GONE,
             "nobody knows the voter at " + voter,
-            "start a crux in its place: it takes the seat by itself");
+            "start a control node in its place: it becomes a voter by itself");
       }
     }
     for (final Config peer : known.values()) {
@@ -204,7 +204,7 @@
         found(
             Code.EDGE_NOT_READY,
             name + " takes no clients",
-            "see its log: no lease, no home vault, or draining",
+            "see its log: no lease, no store to attach to, or draining",
             peer.getString("Nodename"),
             peer.getString("Az"));
       }
@@ -243,15 +243,15 @@
       found(
           Code.LEASE_LAPSED,
           name + " asks and holds no lease",
-          "no majority of cruxes confirms: see NO_LEADER, VOTERS_FEW",
+          "no majority of control nodes confirms: see NO_LEADER, VOTERS_FEW",
           node,
           zone);
     }
     if (process.getBoolean("Dark")) {
       found(
           Code.EDGE_DARK,
-          name + " reaches no leader of the vaults",
-          "see the links of its zone; it denies new messages meanwhile",
+          name + " reaches no leader of the stores",
+          "see the connections of its zone; it denies new messages meanwhile",
           node,
           zone);
     }
@@ -259,7 +259,7 @@
       found(
           Code.INTAKE_FILLS,
           name + " has " + process.getLong("Waiting") + " messages waiting",
-          "see the vaults' leader: its machine, disk and links",
+          "see the leading store: its machine, disk and connections",
           node,
           zone);
     }
@@ -303,7 +303,7 @@
     if (heard < needed) {
       found(
           Code.VAULTS_FEW,
-          heard + " vaults call, " + needed + " bear the losses named",
+          heard + " stores report, " + needed + " bear the losses named",
           "bring back or add store machines");
     }
     for (final Config row : rows) {
@@ -320,7 +320,7 @@
                 + " is "
                 + (newest - row.getLong("Applied"))
                 + " entries behind",
-            "a spare one holds nothing; a voter catches up, else see its disk and links",
+            "a spare one holds nothing; a voter catches up, else see its disk and connections",
             row.getString("Nodename"));
       }
     }
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -171,17 +171,16 @@
   }
 
   void sendAck(final String topic, final long number) {
-    final WriteBuffer out = connection.out();
-    out.putAscii("ACK ");
-    out.putAscii(topic);
-    out.putAscii(" ");
-    out.putNumber(number);
-    endLine(out);
+    sendNumber("ACK ", topic, number);
   }
 
   void sendCount(final String topic, final int number) {
+    sendNumber("COUNT ", topic, number);
+  }
+
+  private void sendNumber(final String word, final String topic, final long number) {
     final WriteBuffer out = connection.out();
-    out.putAscii("COUNT ");
+    out.putAscii(word);
     out.putAscii(topic);
     out.putAscii(" ");
     out.putNumber(number);
--- a/src/main/java/yewjunction/gateway/ConnectionDrainer.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -38,7 +38,7 @@
 
   /** Begins to move clients, some at each step. */
   public void start() {
-    LogEvent.DRAIN_STARTED.info(clientRegistry.sessions().size() + " links");
+    LogEvent.DRAIN_STARTED.info(clientRegistry.sessions().size() + " connections");
     clientRegistry.setDrainer(this);
     step();
   }
@@ -66,7 +66,7 @@
     if (sinceMs >= DRAIN_TIMEOUT_MS
         || clientRegistry.sessions().isEmpty()
             && sinceMs >= DRAIN_TIMEOUT_MS - DRAIN_MOVE_DURATION_MS / 2) {
-      LogEvent.DRAIN_FINISHED.info(clientRegistry.sessions().size() + " links left");
+      LogEvent.DRAIN_FINISHED.info(clientRegistry.sessions().size() + " connections left");
       finished = true;
       onFinished.run();
     }
--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -21,12 +21,7 @@
   private final AgentContext context;
   private final IntConsumer exit;
   private final ExecutorService pool =
-      Executors.newSingleThreadExecutor(
-          task -> {
-            final Thread thread = new Thread(null, task, "worker", 128 << 10);
-            thread.setDaemon(true);
-            return thread;
-          });
+      Executors.newSingleThreadExecutor(task -> DaemonThreads.newThread(task, "disk"));
 
   /** Ending ends the process with a code, at once. */
   BlockingTaskExecutor(final AgentContext context, final IntConsumer ending) {
--- a/src/main/java/yewjunction/server/HttpEndpoint.java
+++ b/src/main/java/yewjunction/server/HttpEndpoint.java
@@ -118,11 +118,7 @@
             CALL_THREAD_IDLE_MS,
             TimeUnit.MILLISECONDS,
             new LinkedBlockingQueue<>(),
-            task -> {
-              final Thread thread = new Thread(null, task, name, 128 << 10);
-              thread.setDaemon(true);
-              return thread;
-            });
+            task -> DaemonThreads.newThread(task, name));
     pool.allowCoreThreadTimeOut(true);
     return pool;
   }
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -191,7 +191,7 @@
    */
   static void onAgentError(final Throwable failure, final IntConsumer ending) {
     try {
-      LogEvent.UNEXPECTED_ERROR.warn("loom", failure);
+      LogEvent.UNEXPECTED_ERROR.warn("agent", failure);
     } finally {
       if (failure instanceof Error) {
         ending.accept(ExitCode.UNEXPECTED_ERROR);
--- a/src/main/java/yewjunction/transport/EventLoopAgent.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -150,6 +150,6 @@
 
   @Override
   public String roleName() {
-    return "loom";
+    return "agent";
   }
 }
--- a/src/main/java/yewjunction/transport/TcpClientConnection.java
+++ b/src/main/java/yewjunction/transport/TcpClientConnection.java
@@ -1,15 +1,12 @@
 package yewjunction.transport;
 
-import static yewjunction.limits.TransportLimits.ACCEPT_BACKLOG;
 import static yewjunction.limits.TransportLimits.INITIAL_CLIENT_BUFFER_BYTES;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
-import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.util.Arrays;
 
@@ -44,26 +41,15 @@
    * @throws java.io.UncheckedIOException when it cannot be bound
    */
   public static void listen(
-      final EventLoopAgent agent, final InetSocketAddress own, final HandlerFactory greeter) {
-    try {
-      final ServerSocketChannel server = ServerSocketChannel.open();
-      server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      server.bind(own, ACCEPT_BACKLOG);
-      server.configureBlocking(false);
-      server.register(
-          agent.selector(),
-          SelectionKey.OP_ACCEPT,
-          (EventLoopAgent.ReadyHandler)
-              key -> {
-                SocketChannel channel;
-                while ((channel = server.accept()) != null) {
-                  final TcpClientConnection line = new TcpClientConnection(agent, channel);
-                  line.clientHandler = greeter.newHandler(line);
-                }
-              });
-    } catch (final IOException failure) {
-      throw new UncheckedIOException("cannot listen for clients on " + own, failure);
-    }
+      final EventLoopAgent agent, final InetSocketAddress address, final HandlerFactory handlers) {
+    ServerSockets.listen(
+        agent,
+        address,
+        "clients",
+        channel -> {
+          final TcpClientConnection connection = new TcpClientConnection(agent, channel);
+          connection.clientHandler = handlers.newHandler(connection);
+        });
   }
 
   @Override
--- a/src/main/java/yewjunction/transport/TcpPeerTransport.java
+++ b/src/main/java/yewjunction/transport/TcpPeerTransport.java
@@ -1,14 +1,9 @@
 package yewjunction.transport;
 
-import static yewjunction.limits.TransportLimits.ACCEPT_BACKLOG;
 import static yewjunction.limits.TransportLimits.CONNECTION_HEARTBEAT_INTERVAL_MS;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
-import java.net.StandardSocketOptions;
-import java.nio.channels.SelectionKey;
-import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -41,32 +36,18 @@
    * @throws java.io.UncheckedIOException when the address cannot be bound
    */
   public TcpPeerTransport(
-      final EventLoopAgent agent, final MessageCodec codec, final InetSocketAddress own) {
+      final EventLoopAgent agent, final MessageCodec codec, final InetSocketAddress localAddress) {
     this.agent = agent;
     this.codec = codec;
-    this.localAddress = own;
-    try {
-      final ServerSocketChannel server = ServerSocketChannel.open();
-      server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      server.bind(own, ACCEPT_BACKLOG);
-      server.configureBlocking(false);
-      server.register(
-          agent.selector(),
-          SelectionKey.OP_ACCEPT,
-          (EventLoopAgent.ReadyHandler) key -> acceptAll(server));
-    } catch (final IOException failure) {
-      throw new UncheckedIOException("cannot listen for peers on " + own, failure);
-    }
+    this.localAddress = localAddress;
+    ServerSockets.listen(
+        agent,
+        localAddress,
+        "peers",
+        channel -> connections.add(new TcpPeerConnection(this, agent, codec, channel, null)));
     agent.scheduleAtFixedRate(CONNECTION_HEARTBEAT_INTERVAL_MS / 2, this::heartbeat);
   }
 
-  private void acceptAll(final ServerSocketChannel server) throws IOException {
-    SocketChannel channel;
-    while ((channel = server.accept()) != null) {
-      connections.add(new TcpPeerConnection(this, agent, codec, channel, null));
-    }
-  }
-
   private void heartbeat() {
     final long nowMs = agent.nowMs();
     for (final TcpPeerConnection connection : new ArrayList<>(connections)) {
