--- a/src/test/java/yewjunction/cli/DoctorTest.java
+++ b/src/test/java/yewjunction/cli/DoctorTest.java
@@ -180,7 +180,7 @@
   }
 
   @Test
-  void edgesAndVaultsInTroubleAreTold() throws IOException {
+  void edgesAndStoresInTroubleAreTold() throws IOException {
     final String peers =
         "{\"Nodename\":\"e1\",\"Duty\":\"tide\",\"Az\":\"z\",\"Addr\":\"1\",\"Up\":true,\"Suspect\":false,\"Ready\":false},"
             + "{\"Nodename\":\"e2\",\"Duty\":\"tide\",\"Az\":\"z\",\"Addr\":\"2\",\"Up\":true,\"Suspect\":true,\"Ready\":true}";
--- a/src/test/java/yewjunction/common/PendingRequestsTest.java
+++ b/src/test/java/yewjunction/common/PendingRequestsTest.java
@@ -15,7 +15,7 @@
 class PendingRequestsTest {
   /** Any answers in any order: only what is open, of whom it was asked, and once. */
   @Test
-  void onlyTheFirstAnswerOfWhomWasAskedCounts() {
+  void onlyTheFirstResponseOfWhomWasAskedCounts() {
     final Random random = new Random(3);
     final PendingRequests<String, String> pendingRequests = new PendingRequests<>(5);
     final Map<Long, String> open = new HashMap<>();
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -139,7 +139,7 @@
 
   /** Right in its number, and from a connection on which nothing was asked. */
   @Test
-  void aWordFromAnotherLinkGrantsNothing() {
+  void aWordFromAnotherConnectionGrantsNothing() {
     mute = true;
     renew(home);
     assertTrue(network.runUntil(() -> !asked.isEmpty(), 200));
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void aWordThatNamesAnotherQuestionGrantsNothing() {
+  void aWordThatNamesAnotherRequestGrantsNothing() {
     mute = true;
     renew(home);
     network.runFor(200);
--- a/src/test/java/yewjunction/control/LeaseResponsesTest.java
+++ b/src/test/java/yewjunction/control/LeaseResponsesTest.java
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void itEndsSoLongAfterItsOwnQuestion() {
+  void itEndsSoLongAfterItsOwnRequest() {
     begin(true);
     final LeaseRequest first = link("near:1").newest();
     final long askedMs = network.nowMs();
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void anotherCruxsAnswerIsNone() {
+  void anotherControlNodesResponseIsNone() {
     begin(true);
     grant("far:1", link("near:1").newest());
     assertFalse(leaseClient.isHeld());
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void whoseAnswerCameIsAskedNext() {
+  void whoseResponseCameIsAskedNext() {
     begin(true);
     final LeaseRequest first = link("near:1").newest();
     network.runUntil(() -> link("far:1").size() > 0, 1_000);
--- a/src/test/java/yewjunction/fanout/StreamResponsesTest.java
+++ b/src/test/java/yewjunction/fanout/StreamResponsesTest.java
@@ -120,20 +120,20 @@
   }
 
   @Test
-  void aFormerLinksAnswersAreNone() {
+  void aFormerConnectionsResponsesAreNone() {
     allOfIt(former);
     assertEquals(List.of(), told);
   }
 
   /** The fault planted: the same comes on the present serving store's connection. */
   @Test
-  void onThePresentLinkTheyCount() {
+  void onThePresentConnectionTheyCount() {
     allOfIt(transport.connect("vault:1"));
     assertEquals(List.of("attached", "taken 7", "message s.x", "leader leader:1"), told);
   }
 
   @Test
-  void nothingIsTakenBeforeTheHomeHasSaidYes() {
+  void nothingIsTakenBeforeTheStoreHasSaidYes() {
     final ReplayResponse response = new ReplayResponse();
     response.requestId = 7;
     transport.respond(transport.connect("vault:1"), response);
--- a/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
+++ b/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aDenialOfAnEarlierOfferOnTheSameLinkBindsNobody() {
+  void aDenialOfAnEarlierRequestOnTheSameConnectionBindsNobody() {
     final AdmitRequest first = begin(true);
     final AdmitRequest third = offeredThrice();
     assertEquals("", afterVerdict("one:1", first, DENIED));
@@ -105,13 +105,13 @@
    * served for all its offers.
    */
   @Test
-  void withOneNumberForAllOffersTheLateDenialIsTold() {
+  void withOneNumberForAllRequestsTheLateDenialIsTold() {
     begin(true);
     assertEquals(RETRIED, afterVerdict("one:1", offeredThrice(), DENIED));
   }
 
   @Test
-  void anAcceptanceOfAnEarlierOfferIsAFact() {
+  void anAcceptanceOfAnEarlierRequestIsAFact() {
     final AdmitRequest first = begin(true);
     final AdmitRequest third = offeredThrice();
     assertEquals(ACKED, afterVerdict("one:1", first, ACCEPTED));
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void anotherVaultsVerdictIsNone() {
+  void anotherStoresAdmitResponseIsNone() {
     final AdmitRequest first = begin(true);
     assertEquals("", afterVerdict("two:1", first, DENIED));
     assertEquals("", afterVerdict("two:1", first, ACCEPTED));
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void thatAnEarlierOfferWentToNoLeaderTakesNothingBack() {
+  void thatAnEarlierRequestWentToNoLeaderTakesNothingBack() {
     final AdmitRequest first = begin(true);
     offeredThrice();
     assertEquals("", afterVerdict("one:1", first, NOT_LEADER));
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void aVerdictOnAnEarlierLifesOfferIsNone() {
+  void anAdmitResponseOnAnEarlierLifesRequestIsNone() {
     assertEquals("", afterVerdictOnAnEarlierLife(true));
   }
 
--- a/src/test/java/yewjunction/membership/LateResponsesTest.java
+++ b/src/test/java/yewjunction/membership/LateResponsesTest.java
@@ -137,7 +137,7 @@
 
   /** The fault planted: the answer is taken for the dead peer's own. */
   @Test
-  void anAnswerThatNamesTheDeadPeerDoesHideIt() {
+  void aResponseThatNamesTheDeadMemberDoesHideIt() {
     assertFalse(missedWhileAnotherAnswers(1, DEAD));
   }
 
--- a/src/test/java/yewjunction/membership/MembershipSimulationTest.java
+++ b/src/test/java/yewjunction/membership/MembershipSimulationTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aDeadPeerIsMissedByAllAndItsRestartIsSeen() {
+  void aDeadMemberIsMissedByAllAndItsRestartIsSeen() {
     begin(1);
     network.host("b1:7").powerOff();
     assertTrue(network.runUntil(() -> allSee("b1:7", false), 15_000));
--- a/src/test/java/yewjunction/raft/RaftSimulationTest.java
+++ b/src/test/java/yewjunction/raft/RaftSimulationTest.java
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void aHandOverLeavesNoGapOfAnElection() {
+  void aLeadershipTransferLeavesNoGapOfAnElection() {
     begin(5);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     network.loss = 0;
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void aLeaderWhoseOwnLinksAreBadHandsOver() {
+  void aLeaderWhoseOwnConnectionsAreBadTransfersItsLeadership() {
     begin(12);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     network.loss = 0;
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void aLongLedgerIsRewrittenAndStillOpens() {
+  void aLongLogIsRewrittenAndStillOpens() {
     begin(9);
     assertTrue(network.runUntil(() -> acknowledged.size() > 20, 10_000));
     final byte[] large = new byte[300_000];
--- a/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void twoMembersCatchUpAtOnceOverANarrowLink() {
+  void twoMembersCatchUpAtOnceOverANarrowConnection() {
     beginNarrow(1, 3 << 20, 0);
     LATE.forEach(address -> boot(address, false));
     final int before = snapshots;
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void noneIsBuiltForASilentPeer() {
+  void noneIsBuiltForASilentMember() {
     beginNarrow(8, 1 << 20, MIN_COMPACTION_BYTES - 200_000);
     network.host("c:1").powerOff();
     network.every(5, () -> propose(300));
@@ -199,7 +199,7 @@
   }
 
   @Test
-  void aMemberFarBehindByEntriesAloneHoldsUpNoBeats() {
+  void aMemberFarBehindByEntriesAloneHoldsUpNoHeartbeats() {
     begin(12);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     network.loss = 0;
--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aSpareMachineTakesNoSeatWhileAllAreFilled() {
+  void aSpareMachineTakesNoVoteWhileAllAreFilled() {
     beginWith(1, "a:2", "b:2");
     assertEquals(addresses, voters());
     // It learns all the same, but for what is on its way right now.
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void oneThatLostItsSeatWhileItWasCutOffLearnsOfItAndWaitsAsASpare() {
+  void oneThatLostItsVoteWhileItWasCutOffLearnsOfItAndWaitsAsASpare() {
     beginWith(7, "d:1");
     final String away =
         addresses.stream()
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aVoterWhoseDiskStallsGivesItsSeatToASpareAndALeaderHandsOverFirst() {
+  void aVoterWhoseDiskStallsGivesItsVoteToASpareAndALeaderTransfersItsLeadershipFirst() {
     beginWith(8, "d:1");
     final String stalled = RaftNode.addressOf(leader().identity());
     network.host(stalled).syncMicros = 60_000_000;
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void aLeavingMachineHandsItsSeatOnBeforeItGoes() {
+  void aLeavingMachinePassesItsVoteOnBeforeItGoes() {
     beginWith(9, "d:1");
     leaving.put("b:1", true);
     assertTrue(network.runUntil(() -> voters().size() == 4, 5_000), "voters " + voters());
@@ -189,7 +189,7 @@
    * silent.
    */
   @Test
-  void aSeatThatPassesOnlyAfterSilenceIsSeen() {
+  void aVoteThatPassesOnlyAfterSilenceIsSeen() {
     int late = 0;
     for (long seed = 1; seed <= 4; seed++) {
       final VoterPlacementSimulationTest one = new VoterPlacementSimulationTest();
@@ -205,7 +205,7 @@
   }
 
   @Test
-  void aMemberThatStopsWithNobodyToTakeItsSeatEndsAtOnce() {
+  void aMemberThatStopsWithNobodyToTakeItsVoteEndsAtOnce() {
     beginWith(2);
     final String gone =
         addresses.stream()
--- a/src/test/java/yewjunction/server/HttpEndpointTest.java
+++ b/src/test/java/yewjunction/server/HttpEndpointTest.java
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void aCallWithoutAnAnswerEndsWhenItsTimeIsOver() throws Exception {
+  void aCallWithoutAResponseEndsWhenItsTimeIsOver() throws Exception {
     server = HttpEndpoint.operator("127.0.0.1:0", context, this::take);
     waiting = new CountDownLatch(1);
     final CompletableFuture<HttpResponse<String>> call = hold(1).get(0);
@@ -178,7 +178,7 @@
   }
 
   @Test
-  void theReaderComesBackAlsoFromADefect() throws Exception {
+  void theReaderComesBackAlsoFromAnException() throws Exception {
     server = HttpEndpoint.operator("127.0.0.1:0", context, this::take);
     final CountDownLatch back = new CountDownLatch(2);
     final var executor = HttpEndpoint.reader(context);
--- a/src/test/java/yewjunction/server/SignalHandlersTest.java
+++ b/src/test/java/yewjunction/server/SignalHandlersTest.java
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void noSwitchLosesOrDoublesASignal() {
+  void noSwitchLosesOrRepeatsASignal() {
     LinChecker.check(Start.class, everySwitch());
   }
 
--- a/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
+++ b/src/test/java/yewjunction/system/IsolatedSiteSimulationTest.java
@@ -174,7 +174,7 @@
    * dropped: nobody loses by it.
    */
   @Test
-  void anEdgeThatLacksWhatItsHomeHasDroppedLosesNobodyAMessage() {
+  void anEdgeThatLacksWhatItsStoreHasDroppedLosesNobodyAMessage() {
     begin(41);
     cluster.network.runFor(3_000);
     final String edge = cluster.readyEdges("zone1").get(0);
--- a/src/test/java/yewjunction/transport/EventLoopAgentTest.java
+++ b/src/test/java/yewjunction/transport/EventLoopAgentTest.java
@@ -39,7 +39,7 @@
    * dial.
    */
   @Test
-  void whoeverDialsWithoutADescriptorLeftGetsALinkThatBroke() throws IOException {
+  void whoeverConnectsWithoutADescriptorLeftGetsAConnectionThatBroke() throws IOException {
     final EventLoopAgent agent = new EventLoopAgent(1);
     final TcpPeerTransport transport =
         new TcpPeerTransport(agent, new MessageCodec(), new InetSocketAddress("127.0.0.1", 0)) {
