--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -66,47 +66,57 @@
   }
 
   private boolean apply(final ControlCommand command) {
-    switch (command.kind) {
-      case ControlCommand.ASSIGN_REPLICA -> {
-        if (replicaId(command.address, command.life) != 0) {
-          return false;
-        }
-        // A new process at an address means that the old one there is gone for good.
-        replicas.removeIf(replica -> replica.address.equals(command.address));
-        final Replica replica = new Replica();
-        replica.id = ++newestReplicaId;
-        replica.address = command.address;
-        replica.life = command.life;
-        replicas.add(replica);
-      }
-      case ControlCommand.RETIRE_REPLICA -> {
-        return replicas.removeIf(replica -> replica.id == command.replicaId);
-      }
-      case ControlCommand.SET_FIRST_STORES -> {
-        if (!stores.isEmpty()) {
-          return false;
-        }
-        stores.addAll(command.identities);
-        storeZones.addAll(command.zones);
-      }
-      case ControlCommand.BEGIN_RETIREMENT -> {
-        if (retirementOf(command.node) != null) {
-          return false;
-        }
-        final Retirement retirement = new Retirement();
-        retirement.node = command.node;
-        retirement.address = command.address;
-        retirements.add(retirement);
-      }
-      case ControlCommand.FINISH_RETIREMENT -> {
-        final Retirement retirement = retirementOf(command.node);
-        if (retirement == null || retirement.finished) {
-          return false;
-        }
-        retirement.finished = true;
-      }
+    return switch (command.kind) {
+      case ControlCommand.ASSIGN_REPLICA -> assignReplica(command);
+      case ControlCommand.RETIRE_REPLICA ->
+          replicas.removeIf(replica -> replica.id == command.replicaId);
+      case ControlCommand.SET_FIRST_STORES -> setFirstStores(command);
+      case ControlCommand.BEGIN_RETIREMENT -> beginRetirement(command);
+      case ControlCommand.FINISH_RETIREMENT -> finishRetirement(command);
       default -> throw new IllegalStateException("command " + command.kind);
+    };
+  }
+
+  private boolean assignReplica(final ControlCommand command) {
+    if (replicaId(command.address, command.life) != 0) {
+      return false;
+    }
+    // A new process at an address means that the old one there is gone for good.
+    replicas.removeIf(replica -> replica.address.equals(command.address));
+    final Replica replica = new Replica();
+    replica.id = ++newestReplicaId;
+    replica.address = command.address;
+    replica.life = command.life;
+    replicas.add(replica);
+    return true;
+  }
+
+  private boolean setFirstStores(final ControlCommand command) {
+    if (!stores.isEmpty()) {
+      return false;
+    }
+    stores.addAll(command.identities);
+    storeZones.addAll(command.zones);
+    return true;
+  }
+
+  private boolean beginRetirement(final ControlCommand command) {
+    if (retirementOf(command.node) != null) {
+      return false;
+    }
+    final Retirement retirement = new Retirement();
+    retirement.node = command.node;
+    retirement.address = command.address;
+    retirements.add(retirement);
+    return true;
+  }
+
+  private boolean finishRetirement(final ControlCommand command) {
+    final Retirement retirement = retirementOf(command.node);
+    if (retirement == null || retirement.finished) {
+      return false;
     }
+    retirement.finished = true;
     return true;
   }
 
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -125,55 +125,65 @@
     }
     final Set<String> names = new HashSet<>();
     final Set<String> places = new HashSet<>();
-    for (final Config route : items(source, "Routes")) {
-      final String name = text(route, "Name", "Routes", true);
-      final String path = "Routes." + name;
-      final String host = text(route, "Host", path, false);
-      final String prefix = text(route, "Pfx", path, true);
-      final String service = text(route, "Svc", path, false);
-      if (!names.add(name)) {
-        throw new ConfigurationException(CONFIG_PLACE, path + ": the name stands twice");
-      }
-      if (!places.add(host + " " + prefix)) {
-        throw new ConfigurationException(
-            CONFIG_PLACE, path + ": another route has the same Host and Pfx");
-      }
-      if (!service.isEmpty() && !services.contains(service)) {
-        throw new ConfigurationException(
-            CONFIG_SERVICE, path + ".Svc: there is no service " + service);
-      }
-      if (!route.hasPath("TimeoutMs") || route.getDouble("TimeoutMs") <= 0) {
-        throw new ConfigurationException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
-      }
-      final double keepS = route.hasPath("LingerS") ? route.getDouble("LingerS") : 0;
-      routes.add(
-          new Route(
-              name,
-              host,
-              prefix,
-              (long) route.getDouble("TimeoutMs"),
-              (long) (keepS * 1_000),
-              route.hasPath("Public") && route.getBoolean("Public"),
-              Set.copyOf(names(route, "After", path))));
+    for (final Config item : items(source, "Routes")) {
+      final Route route = readRoute(item, names, places, services);
+      routes.add(route);
     }
     for (final Route route : routes) {
-      for (final String earlier : route.after) {
-        if (earlier.equals(route.name) || !names.contains(earlier)) {
-          throw new ConfigurationException(
-              CONFIG_FIELD,
-              "Routes."
-                  + route.name
-                  + ".After: "
-                  + (earlier.equals(route.name)
-                      ? "names the route itself"
-                      : "there is no route " + earlier));
-        }
-      }
+      checkAfter(route, names);
     }
     // The longest prefix wins: the first that fits is the one.
     routes.sort((one, other) -> other.prefix.length() - one.prefix.length());
   }
 
+  /** Reads one route, and adds its name and place to those that no other one may have. */
+  private static Route readRoute(
+      final Config item,
+      final Set<String> names,
+      final Set<String> places,
+      final Set<String> services) {
+    final String name = text(item, "Name", "Routes", true);
+    final String path = "Routes." + name;
+    final String host = text(item, "Host", path, false);
+    final String prefix = text(item, "Pfx", path, true);
+    final String service = text(item, "Svc", path, false);
+    if (!names.add(name)) {
+      throw new ConfigurationException(CONFIG_PLACE, path + ": the name stands twice");
+    }
+    if (!places.add(host + " " + prefix)) {
+      throw new ConfigurationException(
+          CONFIG_PLACE, path + ": another route has the same Host and Pfx");
+    }
+    if (!service.isEmpty() && !services.contains(service)) {
+      throw new ConfigurationException(
+          CONFIG_SERVICE, path + ".Svc: there is no service " + service);
+    }
+    if (!item.hasPath("TimeoutMs") || item.getDouble("TimeoutMs") <= 0) {
+      throw new ConfigurationException(CONFIG_TIMEOUT, path + ".TimeoutMs: must be above 0");
+    }
+    final double lingerS = item.hasPath("LingerS") ? item.getDouble("LingerS") : 0;
+    return new Route(
+        name,
+        host,
+        prefix,
+        (long) item.getDouble("TimeoutMs"),
+        (long) (lingerS * 1_000),
+        item.hasPath("Public") && item.getBoolean("Public"),
+        Set.copyOf(names(item, "After", path)));
+  }
+
+  private static void checkAfter(final Route route, final Set<String> names) {
+    final String path = "Routes." + route.name + ".After: ";
+    for (final String earlier : route.after) {
+      if (earlier.equals(route.name)) {
+        throw new ConfigurationException(CONFIG_FIELD, path + "names the route itself");
+      }
+      if (!names.contains(earlier)) {
+        throw new ConfigurationException(CONFIG_FIELD, path + "there is no route " + earlier);
+      }
+    }
+  }
+
   private void readTenants() {
     for (final Config item : items(source, "Tenants")) {
       final String name = text(item, "Name", "Tenants", true);
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -118,8 +118,8 @@
   }
 
   /**
-   * One question to the leader at a time; what comes meanwhile rides on the next, never on an
-   * earlier one.
+   * Has the leadership confirmed for all pending renewals. One request is under way at a time; what
+   * comes meanwhile is part of the next, never of an earlier one.
    */
   private void confirmLeadership() {
     final long nowMs = context.nowMs();
@@ -127,37 +127,18 @@
     if (pendingRenewals.isEmpty() || !pendingRequests.isEmpty() && !lost) {
       return;
     }
-    // One question serves all askers of a short while: each goes through a majority, across zones.
-    if (nowMs - lastConfirmationMs < LEASE_CONFIRMATION_INTERVAL_MS) {
-      if (!confirmationScheduled) {
-        confirmationScheduled = true;
-        context.schedule(
-            LEASE_CONFIRMATION_INTERVAL_MS - (nowMs - lastConfirmationMs),
-            () -> {
-              confirmationScheduled = false;
-              confirmLeadership();
-            });
-      }
+    final long sinceMs = nowMs - lastConfirmationMs;
+    if (sinceMs < LEASE_CONFIRMATION_INTERVAL_MS) {
+      // One request serves all renewals of a short while: each goes through a majority, across
+      // zones.
+      scheduleConfirmation(LEASE_CONFIRMATION_INTERVAL_MS - sinceMs);
       return;
     }
+    final String leader = raftNode.leader();
     if (raftNode.isReadyLeader()) {
-      final List<PendingRenewal> asked = pendingRenewals;
-      pendingRenewals = new ArrayList<>();
-      lastConfirmationMs = nowMs;
-      raftNode.confirmLeadership(
-          held -> {
-            if (held) {
-              asked.forEach(this::grant);
-            }
-          });
-    } else if (raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
-      final PeerConnection connection = transport.connect(RaftNode.addressOf(raftNode.leader()));
-      final ConfirmLeadershipRequest request = new ConfirmLeadershipRequest();
-      pendingRequests.cancelAll();
-      request.requestId = pendingRequests.add(connection, pendingRenewals);
-      pendingRenewals = new ArrayList<>();
-      lastConfirmationMs = nowMs;
-      connection.send(request);
+      confirmOwnLeadership(nowMs);
+    } else if (leader != null && !leader.equals(raftNode.identity())) {
+      requestConfirmation(leader, nowMs);
     } else {
       // Nobody leads: they wait for the next leader, since a lease counts from when it was asked
       // for anyway.
@@ -167,6 +148,43 @@
     }
   }
 
+  private void scheduleConfirmation(final long delayMs) {
+    if (!confirmationScheduled) {
+      confirmationScheduled = true;
+      context.schedule(
+          delayMs,
+          () -> {
+            confirmationScheduled = false;
+            confirmLeadership();
+          });
+    }
+  }
+
+  private void confirmOwnLeadership(final long nowMs) {
+    final List<PendingRenewal> renewals = takePendingRenewals(nowMs);
+    raftNode.confirmLeadership(
+        confirmed -> {
+          if (confirmed) {
+            renewals.forEach(this::grant);
+          }
+        });
+  }
+
+  private void requestConfirmation(final String leader, final long nowMs) {
+    final PeerConnection connection = transport.connect(RaftNode.addressOf(leader));
+    final ConfirmLeadershipRequest request = new ConfirmLeadershipRequest();
+    pendingRequests.cancelAll();
+    request.requestId = pendingRequests.add(connection, takePendingRenewals(nowMs));
+    connection.send(request);
+  }
+
+  private List<PendingRenewal> takePendingRenewals(final long nowMs) {
+    final List<PendingRenewal> renewals = pendingRenewals;
+    pendingRenewals = new ArrayList<>();
+    lastConfirmationMs = nowMs;
+    return renewals;
+  }
+
   /** Somebody leads now: whoever waited is served at once. */
   void onLeaderChange() {
     registry.onLeaderChange();
