--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -225,7 +225,7 @@
     subscriptionManager.setConfiguration(configuration);
     for (final ClientSession session : sessions()) {
       for (final String topic : new ArrayList<>(session.subscriptions.keySet())) {
-        final String denial =
+        final RefuseReason denial =
             CommandHandler.configuredRefusal(configuration, session.secret, topic);
         if (denial != null) {
           subscriptionManager.unsubscribe(session, topic);
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -93,7 +93,7 @@
         break;
       }
       if (state == CommandParser.UNRECOVERABLE) {
-        onProtocolError("BADMSG");
+        onProtocolError(RefuseReason.BADMSG);
         return length;
       }
       if (state == CommandParser.COMPLETE) {
@@ -103,7 +103,7 @@
             "PUB",
             parser.text(1),
             parser.count() > 3 ? parser.text(2) : "",
-            state == CommandParser.INVALID ? "BADMSG" : "TOOBIG");
+            state == CommandParser.INVALID ? RefuseReason.BADMSG : RefuseReason.TOOBIG);
         if (parser.bodyUnread()) {
           connection.closeAfterFlush();
           return length;
@@ -114,7 +114,7 @@
     return at;
   }
 
-  private void onProtocolError(final String reason) {
+  private void onProtocolError(final RefuseReason reason) {
     LogEvent.CLIENT_PROTOCOL_ERROR.info(client);
     // The word can be told only when it stands there whole.
     if (parser.count() > 0 && !parser.text(0).isEmpty()) {
@@ -160,13 +160,13 @@
   }
 
   void sendRefuse(
-      final String about, final String topic, final String number, final String reason) {
+      final String about, final String topic, final String number, final RefuseReason reason) {
     final WriteBuffer out = connection.out();
     out.putAscii("REFUSE ");
     out.putAscii(about);
     putField(out, topic);
     putField(out, number);
-    putField(out, reason);
+    putField(out, reason.name());
     endLine(out);
   }
 
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -49,13 +49,14 @@
     } else if (parser.is("WHO")) {
       count(session, parser.text(1));
     } else {
-      session.sendRefuse(parser.text(0).isEmpty() ? "-" : parser.text(0), "", "", "BADMSG");
+      session.sendRefuse(
+          parser.text(0).isEmpty() ? "-" : parser.text(0), "", "", RefuseReason.BADMSG);
     }
   }
 
   private void hello(final ClientSession session, final String client, final String secret) {
     if (client.isEmpty() || session.isGreeted()) {
-      session.sendRefuse("HELLO", "", "", "BADMSG");
+      session.sendRefuse("HELLO", "", "", RefuseReason.BADMSG);
     } else if (canServe()) {
       greet(session, client, secret);
     } else {
@@ -82,7 +83,7 @@
       if (canServe()) {
         greet(one.session, one.client, one.secret);
       } else if (nowMs - one.receivedMs > HELLO_TIMEOUT_MS) {
-        one.session.sendRefuse("HELLO", "", "", "RETRY");
+        one.session.sendRefuse("HELLO", "", "", RefuseReason.RETRY);
       } else {
         pendingHellos.add(one);
       }
@@ -91,7 +92,7 @@
 
   private void greet(final ClientSession session, final String client, final String secret) {
     if (!secret.isEmpty() && leaseClient.configuration().tenantOfKey(secret) == null) {
-      session.sendRefuse("HELLO", "", "", "DENIED");
+      session.sendRefuse("HELLO", "", "", RefuseReason.DENIED);
       return;
     }
     session.helloMs = clientRegistry.nowMs();
@@ -103,33 +104,33 @@
   }
 
   /** Why this client may not use the topic right now, or null when it may. */
-  String refusalReason(final ClientSession session, final String topic) {
+  RefuseReason refusalReason(final ClientSession session, final String topic) {
     if (!leaseClient.isHeld() || subscriptions.self() == 0) {
-      return "RETRY";
+      return RefuseReason.RETRY;
     }
     return configuredRefusal(leaseClient.configuration(), session.secret, topic);
   }
 
-  static String configuredRefusal(
+  static RefuseReason configuredRefusal(
       final Configuration configuration, final String secret, final String topic) {
     final Configuration.Route route = configuration.routeOf(topic);
     // The key comes first: a key that was taken away opens nothing, not even what is public.
     if (!secret.isEmpty() && configuration.tenantOfKey(secret) == null) {
-      return "DENIED";
+      return RefuseReason.DENIED;
     }
     if (route == null) {
-      return "NOSPACE";
+      return RefuseReason.NOSPACE;
     }
-    return secret.isEmpty() && !route.isPublic() ? "DENIED" : null;
+    return secret.isEmpty() && !route.isPublic() ? RefuseReason.DENIED : null;
   }
 
   private void subscribe(
       final ClientSession session, final String topic, final String cursor, final String patterns) {
     if (topic.isEmpty() || !session.isGreeted()) {
-      session.sendRefuse("SUB", topic, "", "BADMSG");
+      session.sendRefuse("SUB", topic, "", RefuseReason.BADMSG);
       return;
     }
-    final String denial = refusalReason(session, topic);
+    final RefuseReason denial = refusalReason(session, topic);
     if (denial != null) {
       session.sendRefuse("SUB", topic, "", denial);
       return;
@@ -140,7 +141,10 @@
     } catch (final FilterException failure) {
       // A filter that is in force stays so.
       session.sendRefuse(
-          "SUB", topic, "", failure.code() == FILTER_TOO_LARGE ? "TOOBIG" : "BADMSG");
+          "SUB",
+          topic,
+          "",
+          failure.code() == FILTER_TOO_LARGE ? RefuseReason.TOOBIG : RefuseReason.BADMSG);
       return;
     }
     final Subscription known = session.subscriptions.get(topic);
@@ -148,9 +152,9 @@
     if (known != null) {
       clientRegistry.subscriptionManager().resubscribe(known, filter);
     } else if (session.subscriptions.size() >= leaseClient.configuration().maxSubscriptions()) {
-      session.sendRefuse("SUB", topic, "", "TOOBIG");
+      session.sendRefuse("SUB", topic, "", RefuseReason.TOOBIG);
     } else if (position < -1) {
-      session.sendRefuse("SUB", topic, "", "EXPIRED");
+      session.sendRefuse("SUB", topic, "", RefuseReason.EXPIRED);
     } else {
       final Configuration.Tenant tenant = leaseClient.configuration().tenantOfKey(session.secret);
       clientRegistry
@@ -181,7 +185,7 @@
 
   private void unsubscribe(final ClientSession session, final String topic) {
     if (topic.isEmpty() || !session.isGreeted()) {
-      session.sendRefuse("UNSUB", topic, "", "BADMSG");
+      session.sendRefuse("UNSUB", topic, "", RefuseReason.BADMSG);
       return;
     }
     clientRegistry.subscriptionManager().unsubscribe(session, topic);
@@ -189,8 +193,10 @@
   }
 
   private void count(final ClientSession session, final String topic) {
-    final String denial =
-        topic.isEmpty() || !session.isGreeted() ? "BADMSG" : refusalReason(session, topic);
+    final RefuseReason denial =
+        topic.isEmpty() || !session.isGreeted()
+            ? RefuseReason.BADMSG
+            : refusalReason(session, topic);
     if (denial != null) {
       session.sendRefuse("WHO", topic, "", denial);
     } else {
@@ -202,14 +208,19 @@
     final String topic = parser.text(1);
     final long number = parser.number(2);
     final boolean firstTry = session.isFirstTry(number);
-    final String denial =
-        topic.isEmpty() || !session.isGreeted() ? "BADMSG" : refusalReason(session, topic);
+    final RefuseReason denial =
+        topic.isEmpty() || !session.isGreeted()
+            ? RefuseReason.BADMSG
+            : refusalReason(session, topic);
     if (denial != null) {
       session.onRefused(
           leaseClient.configuration() == null ? null : leaseClient.configuration().routeOf(topic),
           clientRegistry.nowMs());
       session.sendRefuse(
-          "PUB", topic, parser.text(2), denial.equals("RETRY") && !firstTry ? "UNKNOWN" : denial);
+          "PUB",
+          topic,
+          parser.text(2),
+          denial == RefuseReason.RETRY && !firstTry ? RefuseReason.UNKNOWN : denial);
     } else {
       final Configuration.Tenant tenant = leaseClient.configuration().tenantOfKey(session.secret);
       clientRegistry
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -205,7 +205,7 @@
       publish.session.sendAck(publish.message.topic, publish.message.sequenceNumber);
       dependencies.onAccepted(publish).forEach(publishQueue::requeue);
     } else {
-      refuse(publish, "RETRY");
+      refuse(publish, RefuseReason.RETRY);
     }
     sendQueued();
   }
@@ -223,10 +223,10 @@
 
   /** Not accepted here, as far as is known: RETRY promises that it never left this edge. */
   private void giveUp(final PendingPublish publish) {
-    refuse(publish, publish.maybeSent ? "UNKNOWN" : "RETRY");
+    refuse(publish, publish.maybeSent ? RefuseReason.UNKNOWN : RefuseReason.RETRY);
   }
 
-  private void refuse(final PendingPublish publish, final String reason) {
+  private void refuse(final PendingPublish publish, final RefuseReason reason) {
     publish.session.onRefused(publish.route, context.nowMs());
     // What was to follow it must not get a place in the log before it.
     for (final PendingPublish later : dependencies.dependentsOf(publish)) {
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -180,7 +180,7 @@
       clientRegistry
           .violations()
           .onGap(subscription.topic, subscription.session.client, subscription.position);
-      refuse(subscription, "EXPIRED");
+      refuse(subscription, RefuseReason.EXPIRED);
     } else if (waiting != null) {
       subscription.fetching = false;
       subscription.replay.addAll(behind);
@@ -227,7 +227,7 @@
     }
   }
 
-  private void refuse(final Subscription subscription, final String reason) {
+  private void refuse(final Subscription subscription, final RefuseReason reason) {
     remove(subscription);
     subscriptions.remove(subscription.topic, subscription.session.client);
     subscription.session.sendRefuse("SUB", subscription.topic, "", reason);
@@ -258,7 +258,7 @@
   void check(final long nowMs) {
     for (final Subscription subscription : new ArrayList<>(pendingById.values())) {
       if (nowMs - subscription.subscribedMs > SUBSCRIBE_TIMEOUT_MS) {
-        refuse(subscription, "RETRY");
+        refuse(subscription, RefuseReason.RETRY);
       }
     }
     filtered.forEach(
--- a/src/test/java/yewjunction/capacity/HollowFleet.java
+++ b/src/test/java/yewjunction/capacity/HollowFleet.java
@@ -12,6 +12,7 @@
 import yewjunction.node.Node;
 import yewjunction.node.StoreNode;
 import yewjunction.settings.Settings;
+import yewjunction.settings.SettingsBuilder;
 import yewjunction.simulation.SimulatedHost;
 import yewjunction.simulation.SimulatedNetwork;
 import yewjunction.simulation.SimulatedNodes;
@@ -67,26 +68,14 @@
     final SimulatedHost host = network.host(address);
     final String ip = address.substring(0, address.indexOf(':'));
     final Settings settings =
-        new Settings(
-            "n-" + ip,
-            role.wireName(),
-            List.of(role.wireName()),
-            ip,
-            "zone" + ip.charAt(3),
-            ip + ":8022",
-            ip + ":8029",
-            ip + ":8024",
-            PORT,
-            PORT + 15,
-            seeds,
-            founding,
-            "/data",
-            lossesBorne,
-            2,
-            5,
-            0.1,
-            20,
-            260);
+        SettingsBuilder.settings("n-" + ip, role.wireName(), ip)
+            .zone("zone" + ip.charAt(3))
+            .firstPort(PORT)
+            .seeds(seeds)
+            .bootstrap(founding)
+            .toleratedLosses(lossesBorne)
+            .diskMb(260)
+            .build();
     nodes.put(address, SimulatedNodes.boot(host, settings, role, ++lives).node());
   }
 
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -19,6 +19,7 @@
 import yewjunction.membership.NodeRole;
 import yewjunction.node.ControlNode;
 import yewjunction.settings.Settings;
+import yewjunction.settings.SettingsBuilder;
 import yewjunction.simulation.SimulatedHost;
 import yewjunction.simulation.SimulatedNetwork;
 import yewjunction.simulation.SimulatedNodes;
@@ -53,26 +54,11 @@
     final List<String> seeds = CRUXES.stream().map(ip -> ip + ":8024").toList();
     for (final String ip : CRUXES) {
       final Settings settings =
-          new Settings(
-              "node-" + ip,
-              "crux",
-              List.of("crux"),
-              ip,
-              "zone" + ip.charAt(3),
-              ip + ":8022",
-              ip + ":8029",
-              ip + ":8024",
-              7000,
-              7015,
-              seeds,
-              true,
-              "/data",
-              1,
-              2,
-              5,
-              0.1,
-              20,
-              64);
+          SettingsBuilder.settings("node-" + ip, NodeRole.CONTROL.wireName(), ip)
+              .zone("zone" + ip.charAt(3))
+              .seeds(seeds)
+              .bootstrap(true)
+              .build();
       final SimulatedHost host = network.host(address(ip));
       nodes.put(
           address(ip),
--- a/src/test/java/yewjunction/raft/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -302,23 +302,7 @@
     return world.hosts.stream()
         .filter(ModelHost::up)
         .map(host -> host.raftNode)
-        .map(
-            one ->
-                one.identity()
-                    + " term "
-                    + one.currentTerm()
-                    + " last "
-                    + one.log().lastIndex()
-                    + "/"
-                    + one.log().lastTerm()
-                    + " commit "
-                    + one.commitIndex()
-                    + " leads "
-                    + one.isReadyLeader()
-                    + " leader "
-                    + one.leader()
-                    + " voters "
-                    + one.voters())
+        .map(RaftNodeText::of)
         .toList();
   }
 }
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -182,25 +182,7 @@
     assertTrue(
         network.runUntil(() -> acknowledged.size() > before + 20, 20_000),
         "no progress when all is well again "
-            + ledgers.values().stream()
-                .map(
-                    one ->
-                        one.identity()
-                            + " term "
-                            + one.currentTerm()
-                            + " last "
-                            + one.log().lastIndex()
-                            + "/"
-                            + one.log().lastTerm()
-                            + " commit "
-                            + one.commitIndex()
-                            + " leads "
-                            + one.isReadyLeader()
-                            + " leader "
-                            + one.leader()
-                            + " voters "
-                            + one.voters())
-                .toList());
+            + ledgers.values().stream().map(RaftNodeText::of).toList());
     network.runFor(2_000);
     // The load goes on: what is acknowledged this very moment is told to the others within a
     // heartbeat.
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -11,7 +11,9 @@
 import java.util.Random;
 import java.util.concurrent.Callable;
 import yewjunction.common.AgentContext;
+import yewjunction.membership.NodeRole;
 import yewjunction.settings.Settings;
+import yewjunction.settings.SettingsBuilder;
 import yewjunction.simulation.SimulatedNetwork;
 import yewjunction.store.MessageStore;
 import yewjunction.store.StoredMessage;
@@ -45,26 +47,10 @@
     final SimulatedNetwork network = new SimulatedNetwork(1);
     final AgentContext context = network.host("10.1.1.1:7000");
     final Settings settings =
-        new Settings(
-            "n",
-            "vault",
-            List.of("vault"),
-            "10.1.1.1",
-            "z",
-            "10.1.1.1:8022",
-            "10.1.1.1:8029",
-            "10.1.1.1:8024",
-            7000,
-            7015,
-            List.of(),
-            true,
-            "/data",
-            1,
-            2,
-            5,
-            0.1,
-            20,
-            260);
+        SettingsBuilder.settings("n", NodeRole.STORE.wireName(), "10.1.1.1")
+            .bootstrap(true)
+            .diskMb(260)
+            .build();
     final MessageStore messageStore =
         new MessageStore(
             context,
--- a/src/test/java/yewjunction/store/StoreStateFixture.java
+++ b/src/test/java/yewjunction/store/StoreStateFixture.java
@@ -11,6 +11,7 @@
 import yewjunction.common.AgentContext;
 import yewjunction.raft.StateMachine;
 import yewjunction.settings.Settings;
+import yewjunction.settings.SettingsBuilder;
 
 /** A short history of a store's state machine, and what must be true after it. */
 public final class StoreStateFixture {
@@ -41,26 +42,11 @@
 
   static MessageStore store() {
     final Settings settings =
-        new Settings(
-            "n",
-            "store",
-            List.of("store"),
-            "10.0.0.1",
-            "z",
-            "",
-            "",
-            "",
-            7000,
-            7015,
-            List.of(),
-            false,
-            "",
-            1,
-            2,
-            5,
-            0.1,
-            20,
-            0);
+        SettingsBuilder.settings("n", "store", "10.0.0.1")
+            .withoutListeners()
+            .dataFolder("")
+            .diskMb(0)
+            .build();
     return new MessageStore(
         new StoppedClock(),
         new MessageStore.Listener() {
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -14,6 +14,7 @@
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
 import yewjunction.settings.Settings;
+import yewjunction.settings.SettingsBuilder;
 import yewjunction.simulation.SimulatedHost;
 import yewjunction.simulation.SimulatedNetwork;
 import yewjunction.simulation.SimulatedNodes;
@@ -94,26 +95,13 @@
     final String ip = address.substring(0, address.indexOf(':'));
     final NodeRole role = role(address);
     final Settings settings =
-        new Settings(
-            "node-" + address,
-            role.wireName(),
-            List.of(role.wireName()),
-            ip,
-            zone(address),
-            ip + ":8022",
-            ip + ":8029",
-            ip + ":8024",
-            PORT,
-            PORT + 15,
-            seeds,
-            founding,
-            "/data",
-            losses,
-            2,
-            5,
-            0.1,
-            20,
-            64);
+        SettingsBuilder.settings("node-" + address, role.wireName(), ip)
+            .zone(zone(address))
+            .firstPort(PORT)
+            .seeds(seeds)
+            .bootstrap(founding)
+            .toleratedLosses(losses)
+            .build();
     final SimulatedNodes.Running running = SimulatedNodes.boot(host, settings, role, life);
     if (backgroundReads && running.node() instanceof ControlNode controlNode) {
       controlNode.operatorApi().setExecutor(host.executor());
