--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -54,10 +54,10 @@
    */
   void submit(
       final long patienceMs,
-      final Runnable reading,
-      final Supplier<CallDecision> look,
+      final Runnable preparation,
+      final Supplier<CallDecision> decider,
       final Consumer<OperatorApi.Response> responder) {
-    enqueue(new PendingCall(reading, look, responder, context.nowMs() + patienceMs, false));
+    enqueue(new PendingCall(preparation, decider, responder, context.nowMs() + patienceMs, false));
   }
 
   private void enqueue(final PendingCall call) {
--- a/src/main/java/yewjunction/control/LeaseClient.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -145,9 +145,9 @@
   }
 
   private void renew() {
-    final List<String> known = controlNodes.get();
+    final List<String> addresses = controlNodes.get();
     final long pauseMs =
-        known.isEmpty() || awaitingResponse
+        addresses.isEmpty() || awaitingResponse
             ? LEASE_RESPONSE_TIMEOUT_MS / 2
             : LEASE_RENEWAL_INTERVAL_MS;
     if (awaitingResponse) {
@@ -157,7 +157,7 @@
     } else if (++successfulRenewals >= RENEWALS_BEFORE_NEAREST) {
       attempt = 0;
     }
-    if (!known.isEmpty()) {
+    if (!addresses.isEmpty()) {
       reportUpdater.run();
       process.leaseHeld = isHeld();
       final Runtime runtime = Runtime.getRuntime();
@@ -167,7 +167,8 @@
       request.version = version();
       request.clusterStateVersion = clusterState.version;
       request.process = process;
-      final PeerConnection connection = transport.connect(known.get(attempt % known.size()));
+      final PeerConnection connection =
+          transport.connect(addresses.get(attempt % addresses.size()));
       final long nowMs = context.nowMs();
       // Whose lease would have ended by now.
       pendingRequests.cancel(asked -> nowMs - asked.requestedMs >= LEASE_DURATION_MS);
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -99,13 +99,13 @@
         subscribers.computeIfAbsent(connection, key -> new SubscriberState());
     subscriber.request = request;
     // Less than it was told some time ago: it could not take that, and gets the whole.
-    final boolean old = nowMs - subscriber.updatedMs > 2 * LEASE_DURATION_MS;
+    final boolean outdated = nowMs - subscriber.updatedMs > 2 * LEASE_DURATION_MS;
     subscriber.version =
-        request.version >= subscriber.version ? request.version : old ? 0 : subscriber.version;
+        request.version >= subscriber.version ? request.version : outdated ? 0 : subscriber.version;
     subscriber.clusterStateVersion =
         request.clusterStateVersion >= subscriber.clusterStateVersion
             ? request.clusterStateVersion
-            : old ? -1 : subscriber.clusterStateVersion;
+            : outdated ? -1 : subscriber.clusterStateVersion;
     registry.onReport(request.process);
     processes.onReport(request.process);
     if (NodeRole.EDGE.is(request.process.role) && !hasReplicaId(request)) {
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -65,13 +65,13 @@
     final boolean isStore = NodeRole.STORE.is(process.role);
     if (!raftNode.isReadyLeader()) {
       // Only the leader decides; stores are told of each time, edges until they have their name.
-      final boolean news =
+      final boolean relevant =
           isStore || stateMachine.clusterState().replicaId(process.address, process.life) == 0;
-      if (news && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
+      if (relevant && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
         final RegisterRequest request = new RegisterRequest();
         request.process = process;
         transport.connect(RaftNode.addressOf(raftNode.leader())).send(request);
-      } else if (news) {
+      } else if (relevant) {
         // Nobody leads yet, or this member is about to: kept until then, so that nobody has to ask
         // again.
         pendingRegistrations.put(process.address, process);
@@ -93,16 +93,16 @@
 
   void onLeaderChange() {
     leaderSinceMs = context.nowMs();
-    final List<ProcessReport> kept = new ArrayList<>(pendingRegistrations.values());
+    final List<ProcessReport> registrations = new ArrayList<>(pendingRegistrations.values());
     pendingRegistrations.clear();
-    kept.forEach(this::onReport);
+    registrations.forEach(this::onReport);
   }
 
-  private void proposeOnce(final String what, final ControlCommand command) {
-    if (proposalsInFlight.add(what)
+  private void proposeOnce(final String key, final ControlCommand command) {
+    if (proposalsInFlight.add(key)
         && !raftNode.propose(
-            ControlStateMachine.encode(command), done -> proposalsInFlight.remove(what))) {
-      proposalsInFlight.remove(what);
+            ControlStateMachine.encode(command), done -> proposalsInFlight.remove(key))) {
+      proposalsInFlight.remove(key);
     }
   }
 
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -163,8 +163,8 @@
    * state is then.
    */
   private void respondWhenConfirmed(
-      final Supplier<Response> look, final Consumer<Response> responder) {
-    raftNode.confirmLeadership(held -> responder.accept(held ? look.get() : notLeader()));
+      final Supplier<Response> decider, final Consumer<Response> responder) {
+    raftNode.confirmLeadership(held -> responder.accept(held ? decider.get() : notLeader()));
   }
 
   private Response showConfiguration() {
@@ -175,7 +175,7 @@
 
   private void submitChange(
       final OperatorCall call, final Request request, final Consumer<Response> responder) {
-    final Consumer<Response> noting =
+    final Consumer<Response> loggingResponder =
         response -> {
           if (response.status >= 400 && response.status < 500) {
             LogEvent.CONFIGURATION_REJECTED.info(response.status + " " + response.json);
@@ -184,7 +184,8 @@
         };
     final ConfigurationChange change =
         new ConfigurationChange(call, request.baseVersion, request.body);
-    changeQueue.submit(request.callerTimeoutMs(), change::read, () -> decide(change), noting);
+    changeQueue.submit(
+        request.callerTimeoutMs(), change::read, () -> decide(change), loggingResponder);
   }
 
   private static Response invalid(final ConfigurationException failure) {
--- a/src/main/java/yewjunction/fanout/StreamClient.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -136,8 +136,8 @@
    * The own zone's store is nearest: an edge that fled goes back once that has been up for a while.
    */
   private void returnToOwnZone(final long nowMs) {
-    final List<String> known = stores.get();
-    if (known.isEmpty() || known.get(0).equals(server.remoteAddress())) {
+    final List<String> addresses = stores.get();
+    if (addresses.isEmpty() || addresses.get(0).equals(server.remoteAddress())) {
       foreignSinceMs = nowMs;
     } else if (nowMs - foreignSinceMs > RETURN_TO_OWN_ZONE_MS) {
       foreignSinceMs = nowMs;
@@ -149,11 +149,11 @@
 
   /** Attaches to the next store in turn, unless it is attached already. */
   public void attach() {
-    final List<String> known = stores.get();
-    if (subscriptions.self() == 0 || known.isEmpty() || server != null) {
+    final List<String> addresses = stores.get();
+    if (subscriptions.self() == 0 || addresses.isEmpty() || server != null) {
       return;
     }
-    server = transport.connect(known.get(Math.floorMod(attempt, known.size())));
+    server = transport.connect(addresses.get(Math.floorMod(attempt, addresses.size())));
     lastContactMs = context.nowMs();
     // Its own part of the set comes first, so that the stream starts with all this edge's
     // subscriptions.
--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -225,11 +225,11 @@
     subscriptionManager.setConfiguration(configuration);
     for (final ClientSession session : sessions()) {
       for (final String topic : new ArrayList<>(session.subscriptions.keySet())) {
-        final RefuseReason denial =
+        final RefuseReason refusal =
             CommandHandler.configuredRefusal(configuration, session.secret, topic);
-        if (denial != null) {
+        if (refusal != null) {
           subscriptionManager.unsubscribe(session, topic);
-          session.sendRefuse("SUB", topic, "", denial);
+          session.sendRefuse("SUB", topic, "", refusal);
         }
       }
     }
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -194,10 +194,10 @@
   }
 
   void sendMessage(final StoredMessage message) {
-    final String breach = guard.violation(message, clientRegistry.nowMs());
-    if (breach != null) {
+    final String violation = guard.violation(message, clientRegistry.nowMs());
+    if (violation != null) {
       // Never written out of place: the client's cursor decides what it gets when it comes back.
-      clientRegistry.violations().onViolation(message.topic, client, breach);
+      clientRegistry.violations().onViolation(message.topic, client, violation);
       connection.close();
       return;
     }
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -130,9 +130,9 @@
       session.sendRefuse("SUB", topic, "", RefuseReason.BADMSG);
       return;
     }
-    final RefuseReason denial = refusalReason(session, topic);
-    if (denial != null) {
-      session.sendRefuse("SUB", topic, "", denial);
+    final RefuseReason refusal = refusalReason(session, topic);
+    if (refusal != null) {
+      session.sendRefuse("SUB", topic, "", refusal);
       return;
     }
     final Filter filter;
@@ -193,12 +193,12 @@
   }
 
   private void count(final ClientSession session, final String topic) {
-    final RefuseReason denial =
+    final RefuseReason refusal =
         topic.isEmpty() || !session.isGreeted()
             ? RefuseReason.BADMSG
             : refusalReason(session, topic);
-    if (denial != null) {
-      session.sendRefuse("WHO", topic, "", denial);
+    if (refusal != null) {
+      session.sendRefuse("WHO", topic, "", refusal);
     } else {
       clientRegistry.requestCount(session, topic);
     }
@@ -208,11 +208,11 @@
     final String topic = parser.text(1);
     final long number = parser.number(2);
     final boolean firstTry = session.isFirstTry(number);
-    final RefuseReason denial =
+    final RefuseReason refusal =
         topic.isEmpty() || !session.isGreeted()
             ? RefuseReason.BADMSG
             : refusalReason(session, topic);
-    if (denial != null) {
+    if (refusal != null) {
       session.onRefused(
           leaseClient.configuration() == null ? null : leaseClient.configuration().routeOf(topic),
           clientRegistry.nowMs());
@@ -220,7 +220,7 @@
           "PUB",
           topic,
           parser.text(2),
-          denial == RefuseReason.RETRY && !firstTry ? RefuseReason.UNKNOWN : denial);
+          refusal == RefuseReason.RETRY && !firstTry ? RefuseReason.UNKNOWN : refusal);
     } else {
       final Configuration.Tenant tenant = leaseClient.configuration().tenantOfKey(session.secret);
       clientRegistry
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -87,11 +87,13 @@
     publish.maybeSent = !firstTry;
     // No prospect: said at once, and the client may try where there is more.
     final boolean follows = !route.after().isEmpty();
-    final boolean bereft = follows && session.followsRefused(route, publish.receivedMs);
-    publish.revoked = bereft && publish.maybeSent;
+    final boolean followsRefused = follows && session.followsRefused(route, publish.receivedMs);
+    publish.revoked = followsRefused && publish.maybeSent;
     if (leaderUnreachable
-        || bereft && !publish.maybeSent
-        || !(follows && !bereft && dependencies.holdIfDependent(publish, publishes.values()))
+        || followsRefused && !publish.maybeSent
+        || !(follows
+                && !followsRefused
+                && dependencies.holdIfDependent(publish, publishes.values()))
             && !publishQueue.add(publish)) {
       giveUp(publish);
       return;
--- a/src/main/java/yewjunction/gateway/PublishQueue.java
+++ b/src/main/java/yewjunction/gateway/PublishQueue.java
@@ -104,20 +104,20 @@
   PendingPublish next() {
     final Map.Entry<String, ArrayDeque<PendingPublish>> first =
         queueByTenant.entrySet().iterator().next();
-    final ArrayDeque<PendingPublish> lane = queueByTenant.remove(first.getKey());
-    final PendingPublish publish = lane.poll();
-    if (!lane.isEmpty()) {
-      queueByTenant.put(first.getKey(), lane);
+    final ArrayDeque<PendingPublish> queue = queueByTenant.remove(first.getKey());
+    final PendingPublish publish = queue.poll();
+    if (!queue.isEmpty()) {
+      queueByTenant.put(first.getKey(), queue);
     }
     onRemoved(publish);
     return publish;
   }
 
   void remove(final PendingPublish publish) {
-    final ArrayDeque<PendingPublish> lane = queueByTenant.get(publish.tenant);
-    if (lane != null && lane.remove(publish)) {
+    final ArrayDeque<PendingPublish> queue = queueByTenant.get(publish.tenant);
+    if (queue != null && queue.remove(publish)) {
       onRemoved(publish);
-      if (lane.isEmpty()) {
+      if (queue.isEmpty()) {
         queueByTenant.remove(publish.tenant);
       }
     }
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -166,7 +166,7 @@
       final long request,
       final boolean expired,
       final long position,
-      final List<StoredMessage> behind,
+      final List<StoredMessage> olderMessages,
       final boolean more) {
     requested.remove(request);
     requestQueued();
@@ -183,30 +183,32 @@
       refuse(subscription, RefuseReason.EXPIRED);
     } else if (waiting != null) {
       subscription.fetching = false;
-      subscription.replay.addAll(behind);
+      subscription.replay.addAll(olderMessages);
       subscription.replayThrough = more ? subscription.replayThrough : 0;
       replayScheduler.add(subscription);
     } else {
       byTopic.computeIfAbsent(subscription.topic, key -> new ArrayList<>()).add(subscription);
-      clientRegistry.deliverUnderLease(() -> open(subscription, position, behind, more));
+      clientRegistry.deliverUnderLease(() -> open(subscription, position, olderMessages, more));
     }
   }
 
   private void open(
       final Subscription subscription,
       final long position,
-      final List<StoredMessage> behind,
+      final List<StoredMessage> olderMessages,
       final boolean more) {
     if (subscription.session.subscriptions.get(subscription.topic) != subscription) {
       return;
     }
     final long nowMs = context.nowMs();
     subscription.open(subscription.position >= 0 ? subscription.position : position, nowMs);
-    if (!more && ReplayScheduler.isShort(behind) && !constraints.isConstrained(subscription)) {
-      behind.forEach(message -> subscription.deliver(message, nowMs));
+    if (!more
+        && ReplayScheduler.isShort(olderMessages)
+        && !constraints.isConstrained(subscription)) {
+      olderMessages.forEach(message -> subscription.deliver(message, nowMs));
       subscription.judgedIndex = Math.max(subscription.judgedIndex, position);
     } else {
-      subscription.replay.addAll(behind);
+      subscription.replay.addAll(olderMessages);
       subscription.replayThrough = more ? position : 0;
       replayScheduler.add(subscription);
     }
--- a/src/main/java/yewjunction/membership/FailureDetector.java
+++ b/src/main/java/yewjunction/membership/FailureDetector.java
@@ -111,17 +111,19 @@
   }
 
   private String nextTarget() {
-    final boolean across = pingsSent % CROSS_ZONE_PING_EVERY == CROSS_ZONE_PING_EVERY - 1;
-    final String target = nextFrom(across ? otherZonesQueue : ownZoneQueue, across);
+    final boolean toOtherZones = pingsSent % CROSS_ZONE_PING_EVERY == CROSS_ZONE_PING_EVERY - 1;
+    final String target = nextFrom(toOtherZones ? otherZonesQueue : ownZoneQueue, toOtherZones);
     // A zone with nobody else in it looks across every time.
-    return target != null ? target : nextFrom(across ? ownZoneQueue : otherZonesQueue, !across);
+    return target != null
+        ? target
+        : nextFrom(toOtherZones ? ownZoneQueue : otherZonesQueue, !toOtherZones);
   }
 
-  private String nextFrom(final ArrayDeque<String> turn, final boolean across) {
+  private String nextFrom(final ArrayDeque<String> turn, final boolean toOtherZones) {
     if (turn.isEmpty()) {
       final List<String> addresses = new ArrayList<>();
       for (final Member member : membership.all()) {
-        if (member.isUp() && member.zone.equals(membership.self().zone) != across) {
+        if (member.isUp() && member.zone.equals(membership.self().zone) != toOtherZones) {
           addresses.add(member.address);
         }
       }
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -198,15 +198,15 @@
     if (receiver != null && receiver.state != Member.UP) {
       message.updates.add(receiver.copy());
     }
-    for (final String about : List.copyOf(pendingUpdates.keySet())) {
+    for (final String updatedAddress : List.copyOf(pendingUpdates.keySet())) {
       if (message.updates.size() >= MAX_UPDATES_PER_PING) {
         break;
       }
-      final int left = pendingUpdates.merge(about, -1, Integer::sum);
+      final int left = pendingUpdates.merge(updatedAddress, -1, Integer::sum);
       if (left <= 0) {
-        pendingUpdates.remove(about);
+        pendingUpdates.remove(updatedAddress);
       }
-      final Member known = members.get(about);
+      final Member known = members.get(updatedAddress);
       if (known != null) {
         message.updates.add(known.copy());
       }
--- a/src/main/java/yewjunction/raft/FollowerState.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -159,16 +159,16 @@
     if (pendingResponses.isEmpty()) {
       return;
     }
-    final List<PendingResponse> owed = new ArrayList<>(pendingResponses);
+    final List<PendingResponse> pending = new ArrayList<>(pendingResponses);
     pendingResponses.clear();
-    for (final PendingResponse one : owed) {
-      if (one.request.term != raftNode.currentTerm()) {
+    for (final PendingResponse response : pending) {
+      if (response.request.term != raftNode.currentTerm()) {
         continue;
       }
-      if (one.match <= raftNode.commitTracker().syncedIndex()) {
-        respond(one.connection, one.request, true, one.match);
+      if (response.match <= raftNode.commitTracker().syncedIndex()) {
+        respond(response.connection, response.request, true, response.match);
       } else {
-        pendingResponses.add(one);
+        pendingResponses.add(response);
       }
     }
   }
@@ -192,8 +192,8 @@
     if (!acceptLeader(request)) {
       return;
     }
-    final AppendEntriesRequest asked = new AppendEntriesRequest();
-    asked.from = request.from;
+    final AppendEntriesRequest responseTo = new AppendEntriesRequest();
+    responseTo.from = request.from;
     // The entry that a snapshot ends with is here: so is all before it, and what is behind it must
     // stay.
     if (raftNode.log().termAt(request.lastIndex) == request.lastTerm) {
@@ -204,7 +204,7 @@
     if (request.lastIndex <= raftNode.commitIndex()) {
       respond(
           connection,
-          asked,
+          responseTo,
           true,
           Math.min(raftNode.commitIndex(), raftNode.commitTracker().syncedIndex()));
       return;
@@ -221,6 +221,6 @@
             request.lastTerm,
             request.voters,
             state,
-            () -> respond(connection, asked, true, request.lastIndex));
+            () -> respond(connection, responseTo, true, request.lastIndex));
   }
 }
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -57,8 +57,9 @@
     }
     // Whoever knows another leader passes it on; with a leader in reach nobody else is troubled.
     final String leader = raftNode.leader();
-    final List<String> asked = leader == null ? peers.get() : List.of(RaftNode.addressOf(leader));
-    asked.forEach(
+    final List<String> receivers =
+        leader == null ? peers.get() : List.of(RaftNode.addressOf(leader));
+    receivers.forEach(
         peer ->
             raftNode
                 .followerState()
@@ -81,10 +82,10 @@
   }
 
   private void awaitReplacement(final long startMs, final Runnable ended) {
-    final boolean owed = isVoter() || raftNode.reconfiguration().changeInProgress();
+    final boolean leaving = isVoter() || raftNode.reconfiguration().changeInProgress();
     // Nobody without a vote is known: what remains to be handed on is the lead.
-    final boolean taker = peers.get().size() >= raftNode.reconfiguration().voterCount();
-    if (!owed || !taker || raftNode.context().nowMs() - startMs > LEAVE_TIMEOUT_MS) {
+    final boolean replacementKnown = peers.get().size() >= raftNode.reconfiguration().voterCount();
+    if (!leaving || !replacementKnown || raftNode.context().nowMs() - startMs > LEAVE_TIMEOUT_MS) {
       raftNode.reconfiguration().transferLeadership(ended);
       return;
     }
--- a/src/main/java/yewjunction/raft/ReadIndexRequests.java
+++ b/src/main/java/yewjunction/raft/ReadIndexRequests.java
@@ -50,16 +50,16 @@
     }
     Arrays.sort(rounds);
     final long majority = rounds[(rounds.length - 1) / 2];
-    final List<PendingRead> answered =
+    final List<PendingRead> confirmed =
         pending.stream().filter(question -> question.round <= majority).toList();
-    pending.removeAll(answered);
-    answered.forEach(question -> question.onConfirmed.accept(true));
+    pending.removeAll(confirmed);
+    confirmed.forEach(question -> question.onConfirmed.accept(true));
   }
 
   /** The leadership is over: whoever asked is told no. */
   void failAll() {
-    final List<PendingRead> owed = new ArrayList<>(pending);
+    final List<PendingRead> failed = new ArrayList<>(pending);
     pending.clear();
-    owed.forEach(question -> question.onConfirmed.accept(false));
+    failed.forEach(question -> question.onConfirmed.accept(false));
   }
 }
--- a/src/main/java/yewjunction/raft/SnapshotTransfer.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -133,21 +133,21 @@
    * never reach the end.
    */
   private Snapshot currentOrNewSnapshot() {
-    final List<Snapshot> under =
+    final List<Snapshot> inProgress =
         transfers.values().stream()
             .map(transfer -> transfer.snapshot)
             .distinct()
             .sorted(Comparator.comparingLong(Snapshot::number).reversed())
             .toList();
     final long applied = raftNode.appliedIndex();
-    if (!under.isEmpty()
-        && (under.size() >= MAX_CONCURRENT_SNAPSHOTS
+    if (!inProgress.isEmpty()
+        && (inProgress.size() >= MAX_CONCURRENT_SNAPSHOTS
             || raftNode
                     .log()
                     .startOfTail(
                         applied, MAX_CATCH_UP_TAIL_ENTRIES / 2, MAX_CATCH_UP_TAIL_BYTES / 2)
-                <= under.get(0).lastIndex)) {
-      return under.get(0);
+                <= inProgress.get(0).lastIndex)) {
+      return inProgress.get(0);
     }
     return new Snapshot(
         ++snapshotCount,
@@ -243,12 +243,12 @@
     if (raftNode.isLeader()) {
       for (final Map.Entry<String, PeerProgress> one : leaderState.progressByMember().entrySet()) {
         final OutgoingSnapshot transfer = transfers.get(one.getKey());
-        final long held =
+        final long heldIndex =
             transfer == null ? one.getValue().matchIndex : transfer.snapshot.lastIndex;
         if (!one.getKey().equals(raftNode.identity())
-            && held >= raftNode.log().snapshotIndex()
+            && heldIndex >= raftNode.log().snapshotIndex()
             && nowMs - one.getValue().lastContactMs <= SNAPSHOT_RECEIVER_TIMEOUT_MS) {
-          unneeded = Math.min(unneeded, held);
+          unneeded = Math.min(unneeded, heldIndex);
         }
       }
     }
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -244,9 +244,9 @@
     if (zone.isEmpty()) {
       return null;
     }
-    final List<String> near = new ArrayList<>(voters);
-    near.removeIf(voter -> !placement.zoneOf().apply(RaftNode.addressOf(voter)).equals(zone));
-    if (near.isEmpty()) {
+    final List<String> candidates = new ArrayList<>(voters);
+    candidates.removeIf(voter -> !placement.zoneOf().apply(RaftNode.addressOf(voter)).equals(zone));
+    if (candidates.isEmpty()) {
       // No voter there: the first of the others that answers is served from here and serves the
       // rest.
       leaderState
@@ -255,13 +255,13 @@
               (one, progress) -> {
                 if (placement.zoneOf().apply(RaftNode.addressOf(one)).equals(zone)
                     && nowMs - progress.lastContactMs < 2 * APPEND_RETRY_MS) {
-                  near.add(one);
+                  candidates.add(one);
                 }
               });
     }
-    final String first =
-        near.stream().map(RaftNode::addressOf).min(Comparator.naturalOrder()).orElse(address);
-    return first.equals(address) ? null : first;
+    final String nearest =
+        candidates.stream().map(RaftNode::addressOf).min(Comparator.naturalOrder()).orElse(address);
+    return nearest.equals(address) ? null : nearest;
   }
 
   private long votersInZoneOf(final List<String> voters, final String identity) {
--- a/src/main/java/yewjunction/store/AdmissionController.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -87,33 +87,33 @@
       return;
     }
     final String key = key(message);
-    final String track = AcceptedNumbers.key(message.client, message.topic);
-    final List<Requester> askers = inFlight.get(key);
+    final String senderTopic = AcceptedNumbers.key(message.client, message.topic);
+    final List<Requester> requesters = inFlight.get(key);
     if (messageStore.acceptedNumbers.accepted(
         message.client, message.topic, message.sequenceNumber)) {
       respond(requester, ACCEPTED);
-    } else if (askers != null) {
-      askers.add(requester);
+    } else if (requesters != null) {
+      requesters.add(requester);
     } else if (deniedMs.containsKey(key)) {
       respond(requester, DENIED);
     } else if (message.sequenceNumber
         <= Math.max(
             messageStore.acceptedNumbers.highest(message.client, message.topic),
-            highestInFlight.getOrDefault(track, 0L))) {
+            highestInFlight.getOrDefault(senderTopic, 0L))) {
       // Never accepted and below an accepted one: it would break the sender's order.
       deny(key, requester);
     } else if (borrowing.hasAccount(message.tenant)) {
-      decideByAccount(key, track, message, requester, inTurn);
+      decideByAccount(key, senderTopic, message, requester, inTurn);
     } else if (!messageStore.rateLimiter.tryAcquire(message.tenant, context.nowMs())) {
       deny(key, requester);
     } else {
-      propose(key, track, message, requester);
+      propose(key, senderTopic, message, requester);
     }
   }
 
   private void decideByAccount(
       final String key,
-      final String track,
+      final String senderTopic,
       final StoredMessage message,
       final Requester requester,
       final boolean inTurn) {
@@ -121,7 +121,7 @@
     switch (borrowing.decide(message.tenant, stampMs, inTurn)) {
       case PAY, BORROW -> {
         message.logTimeMs = stampMs;
-        propose(key, track, message, requester);
+        propose(key, senderTopic, message, requester);
       }
       case WAIT -> borrowing.await(message.tenant, () -> decide(requester, message, true));
       default -> deny(key, requester);
@@ -130,33 +130,33 @@
 
   private void propose(
       final String key,
-      final String track,
+      final String senderTopic,
       final StoredMessage message,
       final Requester requester) {
-    final List<Requester> askers = new ArrayList<>(1);
-    askers.add(requester);
-    inFlight.put(key, askers);
-    highestInFlight.put(track, message.sequenceNumber);
-    final boolean taken =
+    final List<Requester> requesters = new ArrayList<>(1);
+    requesters.add(requester);
+    inFlight.put(key, requesters);
+    highestInFlight.put(senderTopic, message.sequenceNumber);
+    final boolean proposed =
         raftNode.propose(
             MessageStore.encode(message),
             done -> {
-              final List<Requester> owed = inFlight.remove(key);
-              highestInFlight.remove(track, message.sequenceNumber);
+              final List<Requester> waitingRequesters = inFlight.remove(key);
+              highestInFlight.remove(senderTopic, message.sequenceNumber);
               borrowing.onSettled();
               // Without a clear end nothing is said: the edge asks the next leader with the same
               // number.
-              if (done && owed != null) {
-                owed.forEach(one -> respond(one, ACCEPTED));
+              if (done && waitingRequesters != null) {
+                waitingRequesters.forEach(one -> respond(one, ACCEPTED));
               }
             });
-    if (taken) {
+    if (proposed) {
       borrowing.onProposed(
           message.logTimeMs == null ? "" : message.tenant,
           message.logTimeMs == null ? 0 : message.logTimeMs);
     } else {
       inFlight.remove(key);
-      highestInFlight.remove(track);
+      highestInFlight.remove(senderTopic);
       respond(requester, NOT_LEADER);
     }
   }
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -100,8 +100,10 @@
   }
 
   private Decision waitOrDeny(final String tenant) {
-    final ArrayDeque<Runnable> lane = waitingByTenant.get(tenant);
-    return lane == null || lane.size() < MAX_WAITING_TO_BORROW ? Decision.WAIT : Decision.DENY;
+    final ArrayDeque<Runnable> waiting = waitingByTenant.get(tenant);
+    return waiting == null || waiting.size() < MAX_WAITING_TO_BORROW
+        ? Decision.WAIT
+        : Decision.DENY;
   }
 
   /** Looks again when it is this tenant's turn to borrow. */
@@ -118,10 +120,10 @@
     turnScheduled = false;
     for (int left = MAX_BORROWS_PER_TURN; left > 0 && !waitingByTenant.isEmpty(); left--) {
       final String tenant = waitingByTenant.keySet().iterator().next();
-      final ArrayDeque<Runnable> lane = waitingByTenant.remove(tenant);
-      final Runnable look = lane.poll();
-      if (!lane.isEmpty()) {
-        waitingByTenant.put(tenant, lane);
+      final ArrayDeque<Runnable> waiting = waitingByTenant.remove(tenant);
+      final Runnable look = waiting.poll();
+      if (!waiting.isEmpty()) {
+        waitingByTenant.put(tenant, waiting);
       }
       look.run();
     }
@@ -220,9 +222,9 @@
     }
     for (final BorrowingAccount account : accountsAhead().all()) {
       if (account.debt > 0 && configuration.tenant(account.terms.tenant) == null) {
-        final BorrowingTerms gone = new BorrowingTerms();
-        gone.tenant = account.terms.tenant;
-        wanted.add(gone);
+        final BorrowingTerms endedTerms = new BorrowingTerms();
+        endedTerms.tenant = account.terms.tenant;
+        wanted.add(endedTerms);
       }
     }
     return wanted;
