--- a/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
+++ b/src/main/java/yewjunction/raft/AdaptiveChunkSize.java
@@ -20,7 +20,7 @@
     return bytes;
   }
 
-  /** The last one was answered after so long. */
+  /** A chunk was acknowledged after so many milliseconds. */
   void onAcknowledged(final long ms) {
     roundTripMs = Math.min(roundTripMs, ms);
     final long onLinkMs = ms - roundTripMs;
--- a/src/main/java/yewjunction/raft/AppendOnlyFile.java
+++ b/src/main/java/yewjunction/raft/AppendOnlyFile.java
@@ -32,7 +32,7 @@
     this.name = name;
   }
 
-  /** Reads the file at start, before any traffic: blocking is right here. */
+  /** Reads the file and truncates a torn tail. Blocks: called at start, before any traffic. */
   List<LogRecord.Content> open() {
     final byte[] bytes = disk.read(name);
     if (bytes == null) {
@@ -49,7 +49,7 @@
           name + " at byte " + scan.validBytes() + " of " + bytes.length);
       disk.truncate(name, scan.validBytes());
     }
-    // Synced before anything builds on it: what was read may not have reached the disk yet.
+    // Synced before anything builds on it: what was read may be in the page cache only.
     disk.sync(name);
     length = scan.validBytes();
     return scan.records();
@@ -67,11 +67,11 @@
   }
 
   /**
-   * The new content stands for all that was appended so far; what comes later is appended behind
-   * it.
+   * Replaces the file by content that stands for all that was appended so far; what comes later is
+   * appended behind it.
    */
   void rewrite(final List<LogRecord.Content> content, final Runnable synced) {
-    // Waiting records are part of the new content already; only their callbacks are still owed.
+    // Pending records are part of the new content already; only their callbacks remain to be run.
     final List<PendingRecord> covered = pending;
     pending = new ArrayList<>();
     rewrittenContent = content;
@@ -117,8 +117,8 @@
         },
         () -> {
           writing = false;
-          // The next group starts before the callbacks, so that the disk is never idle while work
-          // waits.
+          // The next batch starts before the callbacks, so that the disk is never idle while
+          // records wait.
           if (!pending.isEmpty()) {
             writeNextBatch();
           }
--- a/src/main/java/yewjunction/raft/CommitTracker.java
+++ b/src/main/java/yewjunction/raft/CommitTracker.java
@@ -33,7 +33,7 @@
   private long appliedIndex;
   private long syncedIndex;
 
-  /** Entries on their way to the disk, in the order they will get there. */
+  /** Entries that are being written; writes finish in the order in which they were begun. */
   private static final class PendingWrite {
     long lastIndex;
     long startedMs;
@@ -66,7 +66,7 @@
     return syncedIndex;
   }
 
-  /** For how long the disk has owed its oldest write. */
+  /** Milliseconds since the oldest unfinished write was begun, 0 when there is none. */
   public long oldestPendingWriteMs() {
     return pendingWrites.isEmpty()
         ? 0
@@ -104,7 +104,7 @@
   }
 
   void truncateFrom(final long index) {
-    // Invariant: what is committed is never cut.
+    // Invariant: what is committed is never truncated.
     if (index <= commitIndex) {
       throw new IllegalStateException("cut at " + index + " below commit " + commitIndex);
     }
@@ -112,10 +112,7 @@
     raftNode.storage().truncateFrom(index);
   }
 
-  /**
-   * Entries from there on are no longer this log's; those before stay synced, or on their way to
-   * it.
-   */
+  /** Entries from this index on are discarded: writes under way no longer count for them. */
   private void discardSyncedFrom(final long index) {
     syncedIndex = Math.min(syncedIndex, index - 1);
     pendingWrites.forEach(
@@ -128,8 +125,7 @@
       final List<String> voters,
       final byte[] state,
       final Runnable after) {
-    // What the old log had on disk says nothing about the new one: counted as synced only once it
-    // is.
+    // What was synced of the old log says nothing about the new one.
     discardSyncedFrom(1);
     stateMachine.restore(index, state);
     appliedIndex = index;
@@ -177,8 +173,8 @@
   }
 
   private void compactIfLarge() {
-    // A state that is large by itself is not rewritten with every entry: only once the file has
-    // doubled.
+    // A large state is not rewritten again and again: only once the file has doubled since the last
+    // time.
     if (compacting
         || raftNode.storage().fileBytes() < Math.max(MIN_COMPACTION_BYTES, 2 * compactedBytes)) {
       return;
@@ -199,8 +195,9 @@
   }
 
   /**
-   * A tail stays for peers that were away a short while, and a longer one, within its own bound,
-   * for those that catch up: the log cut past what they hold would send them back to a first byte.
+   * Where the log is to begin after compaction. A tail is retained for members that were away for a
+   * short while, and a longer one, within its own bound, for those that catch up: if the log began
+   * behind what they hold, they would need a whole snapshot.
    */
   private long retainedTailStart() {
     final long start =
--- a/src/main/java/yewjunction/raft/ConnectionHandshakes.java
+++ b/src/main/java/yewjunction/raft/ConnectionHandshakes.java
@@ -14,17 +14,20 @@
 final class ConnectionHandshakes {
   private final RaftNode raftNode;
 
-  /** To whom the last message sent on a connection was. */
+  /** The receiver that the last message on a connection named. */
   private final Map<PeerConnection, Long> announcedReceivers = new HashMap<>();
 
-  /** Who speaks to this member on a connection. */
+  /** The sender that the last message on a connection named. */
   private final Map<PeerConnection, String> senders = new HashMap<>();
 
   ConnectionHandshakes(final RaftNode raftNode) {
     this.raftNode = raftNode;
   }
 
-  /** The message may be changed: it is on its way now. */
+  /**
+   * Sends a message, without sender and receiver where the connection has said both; the message
+   * object is changed.
+   */
   boolean send(final PeerConnection connection, final RaftMessages.RaftMessage message) {
     if (message.to != 0) {
       final Long before = announcedReceivers.put(connection, message.to);
@@ -36,7 +39,7 @@
     return connection.send(message);
   }
 
-  /** Whether the message is for this member; its sender stands in it then. */
+  /** Whether a message is for this member; if so, its sender is filled in. */
   boolean accept(final PeerConnection connection, final RaftMessages.RaftMessage message) {
     if (message.from == null) {
       message.from = senders.get(connection);
@@ -45,8 +48,8 @@
     if (message.to == 0) {
       return true;
     }
-    // An identity whose disk is gone: neither this message nor those that follow it are for this
-    // member.
+    // For an identity whose disk is gone: neither this message nor those that follow it on the
+    // connection are for this member.
     final boolean own = message.to == RaftMessages.identityHash(raftNode.identity());
     if (own) {
       senders.put(connection, message.from);
--- a/src/main/java/yewjunction/raft/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -30,7 +30,7 @@
   private final Set<String> grantedBy = new HashSet<>();
   private long electionDueMs;
 
-  /** Votes proper are being asked for, not only whether they would be given. */
+  /** Whether this is an election proper and not a pre-vote. */
   private boolean requestingVotes;
 
   Election(final RaftNode raftNode) {
@@ -48,15 +48,18 @@
             + raftNode.context().random().nextInt((int) (mostMs - leastMs));
   }
 
-  /** After a loss of power all members start together and nobody leads: the first wait is short. */
+  /**
+   * Starts with a short time-out: after a loss of power all members start together and nobody
+   * leads.
+   */
   void start() {
     resetTimeout(MIN_STARTUP_ELECTION_TIMEOUT_MS, MAX_STARTUP_ELECTION_TIMEOUT_MS);
     checkTimeout();
   }
 
   /**
-   * The leader's connection broke, as it does when its process dies: no full patience is owed,
-   * unless it dials again.
+   * The leader's connection broke, as it does when its process dies: a shorter time-out, unless the
+   * leader connects again.
    */
   void onLeaderDisconnected() {
     resetTimeout(MIN_DISCONNECT_ELECTION_TIMEOUT_MS, MAX_DISCONNECT_ELECTION_TIMEOUT_MS);
@@ -78,7 +81,7 @@
     try {
       campaignIfDue();
     } finally {
-      // A turn that fails must not be the last look.
+      // Scheduled in any case, so that elections go on if this turn throws.
       raftNode
           .context()
           .schedule(
@@ -91,10 +94,7 @@
     }
   }
 
-  /**
-   * Asks for votes: first only whether they would be given, so that a member cut off raises no
-   * terms.
-   */
+  /** Stands for election, by a pre-vote first unless a leader named this member its successor. */
   void campaign(final boolean handedOver) {
     resetTimeout();
     if (!raftNode.groupMembership().isVoter()) {
@@ -122,7 +122,7 @@
             newTerm,
             raftNode.identity(),
             () -> {
-              // Asked only once the own vote is on disk.
+              // Votes are requested only once the own vote is on disk.
               if (raftNode.currentTerm() == newTerm && requestingVotes) {
                 grantedBy.add(raftNode.identity());
                 sendVoteRequests(false, handedOver);
@@ -177,7 +177,7 @@
     }
   }
 
-  /** This member stands no more: it leads, or follows somebody. */
+  /** This member is no candidate any more. */
   void end() {
     requestingVotes = false;
     grantedBy.clear();
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -21,10 +21,7 @@
   private BooleanSupplier wantsVote = () -> false;
   private boolean leaving;
 
-  /**
-   * What the leader had committed when this was last looked at, and since when this member has not
-   * applied as much.
-   */
+  /** The commit index that this member has to reach, and since when it has not. */
   private long leaderCommitIndex;
 
   private long behindSinceMs;
@@ -33,10 +30,7 @@
     this.raftNode = raftNode;
   }
 
-  /**
-   * From now on. Peers: addresses of members that may lead, or know who does; whether there is a
-   * vote is the leader's matter.
-   */
+  /** Begins to make this member known. Whether it gets a vote is for the leader to decide. */
   public void start(
       final Supplier<List<String>> chosenPeers, final BooleanSupplier chosenWantsVote) {
     peers = chosenPeers;
@@ -55,7 +49,8 @@
         || isVoter() && !leaving && !raftNode.hasNoLeader()) {
       return;
     }
-    // Whoever knows another leader passes it on; with a leader in reach nobody else is troubled.
+    // With a leader in reach only it is asked; else all, and whoever knows the leader forwards the
+    // request.
     final String leader = raftNode.leader();
     final List<String> receivers =
         leader == null ? peers.get() : List.of(RaftNode.addressOf(leader));
@@ -66,15 +61,16 @@
                 .sendJoinRequest(peer, !leaving && wantsVote.getAsBoolean(), leaving));
   }
 
-  /** This member's process ends soon. */
+  /** Whether this member's process is about to end. */
   boolean isLeaving() {
     return leaving;
   }
 
   /**
-   * Gives its vote to whoever is there for it, then its lead. A machine that is replaced for good
-   * stops like one that is started again: the vote passes before it ends, since the next loss may
-   * come before its silence would tell.
+   * Gives up the vote to a learner, if there is one, and then the leadership; calls back when that
+   * is done, or after LEAVE_TIMEOUT_MS. A machine that is replaced for good stops like one that is
+   * restarted, and the next loss may come before its silence would be noticed: so its vote passes
+   * before it ends.
    */
   public void leaveGroup(final Runnable ended) {
     leaving = true;
@@ -83,7 +79,7 @@
 
   private void awaitReplacement(final long startMs, final Runnable ended) {
     final boolean leaving = isVoter() || raftNode.reconfiguration().changeInProgress();
-    // Nobody without a vote is known: what remains to be handed on is the lead.
+    // Where no learner is known, only the leadership remains to be transferred.
     final boolean replacementKnown = peers.get().size() >= raftNode.reconfiguration().voterCount();
     if (!leaving || !replacementKnown || raftNode.context().nowMs() - startMs > LEAVE_TIMEOUT_MS) {
       raftNode.reconfiguration().transferLeadership(ended);
@@ -96,8 +92,8 @@
   }
 
   /**
-   * An election is due and this member has no vote: it lets go of its leader, or it would go on
-   * asking a former one.
+   * The election time-out of a learner ended: it forgets its leader, or it would go on asking a
+   * former one.
    */
   void onElectionTimeoutAsLearner() {
     raftNode.becomeFollower(null);
@@ -105,8 +101,7 @@
   }
 
   /**
-   * Another leader than before was heard: it may know this member as one of its log, but not what
-   * it wants.
+   * A new leader was heard of: it may not know that this member is there, or that it wants a vote.
    */
   void onLeaderChanged() {
     if (!isVoter()) {
@@ -121,7 +116,10 @@
     }
   }
 
-  /** ms for which this member has lacked what its leader had committed; 0 while it keeps up. */
+  /**
+   * Milliseconds for which this member has lacked what its leader had committed; 0 while it keeps
+   * up.
+   */
   public long lagMs() {
     return raftNode.isLeader() || raftNode.appliedIndex() >= leaderCommitIndex
         ? 0
--- a/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
+++ b/src/main/java/yewjunction/raft/LeaderLatencyMonitor.java
@@ -27,7 +27,7 @@
     lastHeartbeatRound = 0;
   }
 
-  /** At each heartbeat: who has not answered the one before. */
+  /** Notes at each heartbeat which members have not answered the one before. */
   void onHeartbeat(final long newRound) {
     for (final PeerProgress progress : leaderState.progressByMember().values()) {
       final boolean late = progress.confirmedRound < lastHeartbeatRound;
@@ -36,7 +36,9 @@
     lastHeartbeatRound = newRound;
   }
 
-  /** Another would lead better: all others are there, and all of them are late. */
+  /**
+   * Whether all other voters are in contact and answer late, so that another one would lead better.
+   */
   boolean isSlow() {
     final long nowMs = raftNode.context().nowMs();
     final List<String> voters = raftNode.voters();
--- a/src/main/java/yewjunction/raft/LeaderState.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -35,15 +35,15 @@
   private boolean sendScheduled;
 
   /**
-   * The next messages ask for an answer: a heartbeat, or a question whether this member still
-   * leads.
+   * Whether the next requests ask for a response: set for heartbeats, and when the leadership is to
+   * be confirmed.
    */
   private boolean responseWanted;
 
   private boolean leadershipAnnounced;
   private boolean commitNoticeScheduled;
 
-  /** The commit that all have been told. */
+  /** The newest commit index that was sent to all. */
   private long announcedCommitIndex;
 
   LeaderState(final RaftNode raftNode) {
@@ -110,7 +110,7 @@
     if (ofLeadership != leadershipNumber || !raftNode.isLeader()) {
       return;
     }
-    // Armed first: a turn that fails must not be the last heartbeat.
+    // Scheduled first, so that heartbeats go on if this one throws.
     raftNode.context().schedule(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
     final long nowMs = raftNode.context().nowMs();
     if (!hasContactWithMajority(nowMs)) {
@@ -159,7 +159,7 @@
     return entry.index;
   }
 
-  /** What one turn of the owner appends goes out in one message. */
+  /** All that is appended in one turn of the agent goes out in one request to each member. */
   private void scheduleSend() {
     if (!sendScheduled) {
       sendScheduled = true;
@@ -174,8 +174,8 @@
   }
 
   /**
-   * Rides on the next entries where some follow at once; alone it is a message to everyone, across
-   * zones.
+   * Sends the new commit index after a short delay: if entries follow meanwhile, it is sent with
+   * them and needs no request of its own.
    */
   private void scheduleCommitNotice() {
     if (!commitNoticeScheduled) {
@@ -206,8 +206,8 @@
   }
 
   /**
-   * What was lost with a connection shows at the next heartbeat: it names an entry that the peer
-   * lacks, and is denied.
+   * Sends what the member lacks. What was lost with a connection shows at the next heartbeat, which
+   * names an entry that the member lacks, and is rejected.
    */
   private void replicateTo(final String identity, final PeerProgress progress) {
     final long nowMs = raftNode.context().nowMs();
@@ -217,8 +217,8 @@
       return;
     }
     final boolean silent = nowMs - progress.lastContactMs > APPEND_RETRY_MS;
-    // A new member with nothing also needs to learn who votes, which only a snapshot tells. None is
-    // built for a silent peer: it gets a heartbeat, which it denies once it is back.
+    // A member with an empty log also has to learn who votes, which only a snapshot tells. No
+    // snapshot is built for a silent member: it gets a heartbeat, and rejects that once it is back.
     final boolean behind =
         progress.nextIndex <= log.snapshotIndex()
             || progress.nextIndex == 1 && !raftNode.voters().contains(identity);
@@ -232,7 +232,7 @@
     request.commitIndex = raftNode.commitIndex();
     request.round = readIndexRequests.newestRound();
     request.responseOptional = !responseWanted;
-    // A silent peer gets heartbeats only: what it misses would pile up on its connection.
+    // A silent member gets heartbeats only: entries would pile up on its connection.
     if (!silent) {
       request.entries = progress.nextEntries(log, nowMs);
     }
@@ -281,7 +281,8 @@
     }
     java.util.Arrays.sort(matchIndexes);
     final long majorityIndex = matchIndexes[(matchIndexes.length - 1) / 2];
-    // Only entries of the own term are counted; older ones are committed along with them.
+    // Only entries of the current term are committed by counting; earlier ones are committed with
+    // them (Raft, section 5.4.2).
     if (majorityIndex > raftNode.commitIndex()
         && raftNode.log().termAt(majorityIndex) == raftNode.currentTerm()) {
       raftNode.commitTracker().advanceCommitIndex(majorityIndex);
@@ -294,7 +295,7 @@
       leadershipAnnounced = true;
       raftNode.announceLeadership();
     }
-    // A leader that voted itself out goes once that is committed.
+    // A leader that is no longer a voter steps down once that change is committed.
     if (raftNode.log().lastVoterChangeIndex() <= raftNode.commitIndex()
         && !raftNode.voters().contains(raftNode.identity())) {
       raftNode.becomeFollower(null);
--- a/src/main/java/yewjunction/raft/LocalDisk.java
+++ b/src/main/java/yewjunction/raft/LocalDisk.java
@@ -68,13 +68,14 @@
 
   @Override
   public void append(final String name, final byte[] bytes) {
-    // Outside of what may be cut back: a file that cannot be opened keeps its length.
+    // Outside of what may be taken back: a file that cannot be opened keeps its length.
     final FileChannel channel = withStorageErrors("open " + name, () -> channel(name));
     final long before = withStorageErrors("position of " + name, channel::position);
     try {
       write(channel, bytes);
     } catch (final IOException failure) {
-      // What was written in part goes again, so that the same can be tried once there is room.
+      // What was written in part is taken back, so that the same write can be tried again once
+      // there is room.
       withStorageErrors("cut back " + name, () -> channel.truncate(before).position(before));
       throw new StorageException(
           STORAGE_FULL, "append " + name + ": " + failure.getMessage(), failure);
@@ -113,8 +114,8 @@
       written.force(true);
       Files.move(fresh, folder.resolve(name), ATOMIC_MOVE);
     } catch (final IOException failure) {
-      // The old file stands as it was; the new one gives its room back, which an open file would
-      // keep.
+      // The old file stays as it was. The new one is closed and deleted: an open file would keep
+      // its room.
       final FileChannel given = written;
       withStorageErrors(
           "remove " + fresh,
@@ -134,7 +135,7 @@
           try (FileChannel folderChannel = FileChannel.open(folder, READ)) {
             folderChannel.force(true);
           }
-          // The moved file stays open under its new name.
+          // The renamed file stays open under its new name.
           final FileChannel old = openFiles.put(name, channel);
           if (old != null) {
             old.close();
--- a/src/main/java/yewjunction/raft/LogRecord.java
+++ b/src/main/java/yewjunction/raft/LogRecord.java
@@ -22,8 +22,7 @@
   private int offset;
 
   /**
-   * What a file holds: good records, where the good part ends, and whether synced records lie
-   * behind that.
+   * The valid records of a file, the length of that part, and whether synced records lie behind it.
    */
   record ScanResult(List<Content> records, int validBytes, boolean damaged) {}
 
@@ -79,7 +78,8 @@
       pieces.add(new Content(bytes[at + 16], body));
       at += HEADER_BYTES + body.length;
     }
-    // A bad record is a torn tail, unless a later good one says that this place had been synced.
+    // An invalid record is a torn tail, unless a later valid one says that this place had been
+    // synced.
     boolean damaged = false;
     for (int later = at + 1; later < bytes.length && !damaged; later++) {
       damaged =
--- a/src/main/java/yewjunction/raft/PeerProgress.java
+++ b/src/main/java/yewjunction/raft/PeerProgress.java
@@ -21,24 +21,25 @@
   double lateShare;
   boolean wantsVote;
 
-  /** When it last said that its process ends, 0 when it did not. */
+  /** When it last said that its process ends; 0 when it did not. */
   long leavingSinceMs;
 
   /**
-   * Who hands entries on to it inside its zone, null while the leader does; and when it was told so
-   * last.
+   * Where it fetches committed entries, null while the leader sends them; and when it was last told
+   * so.
    */
   String relayAddress;
 
   long relayAnnouncedMs;
 
-  /** What was committed when this was last looked at, and since when the peer has not taken it. */
+  /** The commit index that it has to reach, and since when it has not. */
   private long targetIndex;
 
   private long targetSinceMs;
 
   /**
-   * Far behind; where what it was sent last ends, 0 when that was answered; and when it was sent.
+   * Whether it is far behind; the last index of the chunk in flight, 0 when none is; and when that
+   * was sent.
    */
   private boolean catchingUp;
 
@@ -52,17 +53,16 @@
   }
 
   /**
-   * The entries to send next. All that a member far behind lacks would wait on its connection
-   * before any heartbeat: it gets a little at a time, each after the answer to the one before, or
-   * after a denial when that was lost.
+   * The entries to send next. A member far behind gets one chunk at a time, each after the response
+   * to the one before, since heartbeats would have to wait behind all that it lacks.
    */
   List<LogEntry> nextEntries(final RaftLog log, final long nowMs) {
     if (inFlightEnd > matchIndex && nextIndex == inFlightEnd + 1) {
       return List.of();
     }
     inFlightEnd = 0;
-    // One that was far behind stays so until the rest is small, too: all of it at once would hold
-    // heartbeats up at the end.
+    // It counts as catching up until the rest is small: sent at once, a large rest would still hold
+    // heartbeats up.
     catchingUp =
         catchingUp
             ? log.exceeds(nextIndex, MAX_APPEND_ENTRIES, CAUGHT_UP_BYTES)
@@ -76,7 +76,7 @@
     return entries;
   }
 
-  /** It holds more than before. */
+  /** It holds the log up to this index. */
   void onAccepted(final long newMatch, final long nowMs) {
     matchIndex = Math.max(matchIndex, newMatch);
     nextIndex = Math.max(nextIndex, matchIndex + 1);
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Answers, perhaps, but its disk does not take what a majority's disks took long ago. */
+  /** Whether its disk has not taken for long what a majority has: it may respond all the same. */
   boolean isLagging(final long nowMs) {
     return matchIndex < targetIndex && nowMs - targetSinceMs > VOTER_LAG_TIMEOUT_MS;
   }
--- a/src/main/java/yewjunction/raft/RaftLog.java
+++ b/src/main/java/yewjunction/raft/RaftLog.java
@@ -11,7 +11,7 @@
 final class RaftLog {
   private final ArrayList<LogEntry> entries = new ArrayList<>();
 
-  /** Those of the entries that change voters: few, and asked for at every turn. */
+  /** The entries that change voters: few, and asked for all the time. */
   private final ArrayList<LogEntry> voterChanges = new ArrayList<>();
 
   private long snapshotIndex;
@@ -82,7 +82,7 @@
     entries.trimToSize();
   }
 
-  /** Whether what begins there is more than so many entries or bytes. */
+  /** Whether the entries from this index on are more than so many, in number or bytes. */
   boolean exceeds(final long from, final int mostEntries, final int mostBytes) {
     long bytes = 0;
     for (long at = from;
@@ -93,7 +93,10 @@
     return lastIndex() - from >= mostEntries || bytes > mostBytes;
   }
 
-  /** How far back of an index the log reaches within so many entries and bytes. */
+  /**
+   * The first index of a tail that ends at the given index and holds at most so many entries and
+   * bytes.
+   */
   long startOfTail(final long index, final int mostEntries, final int mostBytes) {
     long start = index;
     long bytes = 0;
--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -31,12 +31,15 @@
   abstract static class RaftMessage {
     int group;
 
-    /** Null, and nobody named as receiver, where the connection's earlier messages said both. */
+    /**
+     * The sender's identity. Null, with {@code to} 0, where earlier messages on the connection said
+     * both.
+     */
     String from;
 
     /**
-     * The receiver's identity, shortened: it only checks that the message is for it, and most
-     * messages cross zones.
+     * A hash of the receiver's identity, which only has to recognise itself; most messages cross
+     * zones, so they are short.
      */
     long to;
 
@@ -82,12 +85,12 @@
     long commitIndex;
     long round;
 
-    /** No answer is needed when all is as the leader thinks. */
+    /** Whether no response is needed if the receiver's log is as the leader thinks. */
     boolean responseOptional;
 
     List<LogEntry> entries = new ArrayList<>();
 
-    /** Where the receiver fetches committed entries; null for one whom the leader serves itself. */
+    /** Where the receiver is to fetch committed entries; null when the leader sends them. */
     String relayAddress;
   }
 
@@ -126,27 +129,27 @@
     long lastTerm;
     List<String> voters = new ArrayList<>();
 
-    /** Where this piece begins, and how long the whole is. */
+    /** Where this chunk begins, and the length of the whole snapshot. */
     int offset;
 
     int totalBytes;
     byte[] chunk = new byte[0];
 
     /**
-     * Which of the sender's snapshots in its term: two of the same index may differ in their bytes.
+     * Number of the snapshot in the sender's term: two of the same index may differ in their bytes.
      */
     long snapshotNumber;
 
-    /** Which message of this snapshot; one without a piece only asks what is held. */
+    /** Number of the request for this snapshot; one without a chunk only asks how much is held. */
     int attempt;
   }
 
-  /** How much of a snapshot a member holds. */
+  /** How much of a snapshot the receiver holds. */
   static final class InstallSnapshotResponse extends RaftMessage {
     long lastIndex;
     int receivedBytes;
 
-    /** Of the message that it answers. */
+    /** Of the request that it answers. */
     long snapshotNumber;
 
     int attempt;
@@ -164,10 +167,10 @@
   static final class JoinRequest extends RaftMessage {
     boolean wantsVote;
 
-    /** By a member that does not lead itself. */
+    /** Set by a member that forwarded it to the leader; it is forwarded once. */
     Boolean forwarded;
 
-    /** Its process ends: a voter's vote is for somebody else. */
+    /** Set when the process is about to end: a voter's place is for somebody else. */
     Boolean leaving;
   }
 }
--- a/src/main/java/yewjunction/raft/RaftNode.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -102,12 +102,12 @@
             + voters());
   }
 
-  /** Names a member whose disk was empty. */
+  /** Sets the identity of a member whose disk was empty. */
   public void assignIdentity(final String identity) {
     storage.saveIdentity(identity, () -> {});
   }
 
-  /** The first voters; has no effect on a log that has some. */
+  /** Sets the first voters of a new group; has no effect on a log that has some. */
   public void bootstrap(final List<String> firstVoters) {
     if (voters().isEmpty() && log.lastIndex() == 0) {
       log.reset(0, 0, firstVoters);
@@ -167,7 +167,10 @@
     return commitTracker.appliedIndex();
   }
 
-  /** True when this member leads and has applied all that was committed before its term. */
+  /**
+   * Whether this member leads and has applied all that was committed before its term, so that its
+   * state machine is current.
+   */
   public boolean isReadyLeader() {
     return role == Role.LEADER
         && commitTracker.appliedIndex() >= leaderState.firstIndexOfTerm()
@@ -233,8 +236,9 @@
   }
 
   /**
-   * Appends at the leader; done tells once it is applied here, or false when the leadership ended
-   * first.
+   * Proposes an entry. The callback gets true once it is applied here, or false when the leadership
+   * ended first: it may still be committed then. Returns false, without a callback, when this
+   * member may not propose now.
    */
   public boolean propose(final byte[] data, final Consumer<Boolean> done) {
     if (!isReadyLeader() || leaderState.reconfiguration().isTransferring()) {
@@ -245,7 +249,10 @@
     return true;
   }
 
-  /** Asks a majority whether this member still leads; true comes only after that. */
+  /**
+   * Has a majority confirm that this member still leads: the callback gets true only after that,
+   * else false.
+   */
   public void confirmLeadership(final Consumer<Boolean> done) {
     if (isReadyLeader()) {
       leaderState.confirmLeadership(done);
@@ -269,7 +276,7 @@
     return groupMembership;
   }
 
-  /** Takes the group's messages from the post. */
+  /** Takes the group's messages from the transport from now on. */
   public void registerHandlers() {
     new MessageRouter(this, followerState, leaderState, election).registerHandlers();
   }
@@ -290,7 +297,7 @@
     election.resetTimeout();
   }
 
-  /** Heard of no leader for a while: none is in reach, or this member is no longer told. */
+  /** Whether no leader has been heard of for LEADER_SEARCH_AFTER_MS. */
   public boolean hasNoLeader() {
     return leaderIdentity == null && context.nowMs() - leaderContactMs > LEADER_SEARCH_AFTER_MS;
   }
@@ -324,7 +331,7 @@
     leaderState.start();
   }
 
-  /** A later term was seen: whatever this member was, it follows now. */
+  /** A term was seen in a message; a newer one makes this member a follower. */
   void observeTerm(final long newTerm) {
     if (newTerm > storage.term()) {
       storage.saveVote(newTerm, "", () -> {});
@@ -336,8 +343,8 @@
     final boolean led = role == Role.LEADER;
     role = Role.FOLLOWER;
     if (led) {
-      // Whoever is told no here must not find a leader any more: it would propose in a term that is
-      // another's.
+      // The role changes first: callbacks that are told so must not find a leader here and propose
+      // in another's term.
       LogEvent.LEADERSHIP_LOST.info("group " + group + " term " + storage.term());
       leaderState.stop();
     }
--- a/src/main/java/yewjunction/raft/RaftStorage.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -29,10 +29,7 @@
   private String votedFor = "";
   private String identity;
 
-  /**
-   * As it was read at the start, until it is taken: whoever owns the state needs no second one in
-   * memory.
-   */
+  /** As read at start, until it is taken: the state machine needs no second copy in memory. */
   private byte[] snapshotState;
 
   private long snapshotIndex;
@@ -116,7 +113,7 @@
     return snapshotIndex;
   }
 
-  /** The state that was read, once; null where there was none. */
+  /** The snapshot that was read at start, once; null when there was none. */
   byte[] takeSnapshotState() {
     final byte[] taken = snapshotState;
     snapshotState = null;
@@ -169,7 +166,7 @@
     return file.length();
   }
 
-  /** Puts a snapshot and the log behind it in the place of the whole file. */
+  /** Replaces the file by a snapshot and the log behind it. */
   void rewrite(final long newStateIndex, final byte[] newState, final Runnable synced) {
     final List<LogRecord.Content> content = new ArrayList<>();
     content.add(new LogRecord.Content(IDENTITY, identity.getBytes(UTF_8)));
@@ -192,7 +189,7 @@
     file.rewrite(content, synced);
   }
 
-  /** Takes over a snapshot from the leader: nothing of the own log stays. */
+  /** Replaces the whole log by a snapshot of the leader. */
   void installSnapshot(
       final long index,
       final long newTerm,
--- a/src/main/java/yewjunction/raft/ReadIndexRequests.java
+++ b/src/main/java/yewjunction/raft/ReadIndexRequests.java
@@ -35,7 +35,7 @@
     pending.add(new PendingRead(nextRound(), done));
   }
 
-  /** Answers what a majority has answered by now. */
+  /** Completes the requests that a majority has confirmed by now. */
   void completeConfirmed(final LeaderState leaderState) {
     if (pending.isEmpty()) {
       return;
@@ -56,7 +56,7 @@
     confirmed.forEach(question -> question.onConfirmed.accept(true));
   }
 
-  /** The leadership is over: whoever asked is told no. */
+  /** The leadership has ended: all requests fail. */
   void failAll() {
     final List<PendingRead> failed = new ArrayList<>(pending);
     pending.clear();
--- a/src/main/java/yewjunction/raft/SnapshotTransfer.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -35,19 +35,19 @@
   private IncomingSnapshot incoming;
 
   /**
-   * A snapshot, shared by all that receive it. Its number never returns in this life, nor its term
-   * in another.
+   * A snapshot, shared by all members that receive it. Its number is unique in this life of the
+   * process, and its term across lives.
    */
   private record Snapshot(
       long number, long lastIndex, long lastTerm, List<String> voters, byte[] state) {}
 
-  /** How far one peer is with it. */
+  /** How far one receiver is. */
   private static final class OutgoingSnapshot {
     final Snapshot snapshot;
     int offset;
     final AdaptiveChunkSize chunkSize = new AdaptiveChunkSize(MAX_SNAPSHOT_CHUNK_BYTES);
 
-    /** Counts messages; and which of them was the last that carried a piece. */
+    /** Number of the last request, and of the last one that carried a chunk. */
     int lastAttempt;
 
     int lastChunkAttempt;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** The pieces that have come. */
+  /** The chunks received so far. */
   private static final class IncomingSnapshot {
     final String from;
     final long term;
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Begins, or asks after the piece that was not answered for a while: never from the first byte
-   * again.
+   * Starts a transfer, or asks how much the receiver holds when a chunk was not answered for a
+   * while; a transfer is never started over.
    */
   void startOrProbe(final String identity, final long nowMs) {
     OutgoingSnapshot transfer = transfers.get(identity);
@@ -103,14 +103,13 @@
     } else if (nowMs - transfer.sentMs < SNAPSHOT_PROBE_INTERVAL_MS) {
       return;
     }
-    // What is held is asked for first: a piece that is late would only be doubled on a slow
-    // connection.
+    // Asked without a chunk: on a slow connection the last one may still be on its way.
     sendChunk(identity, transfer, transfer.offset, nowMs);
   }
 
   /**
-   * Whether this leader had better stay: the next one would begin a snapshot anew that is under way
-   * here.
+   * Whether this leader should not transfer its leadership now: its successor would have to start
+   * the transfers over.
    */
   boolean keepsLeadership(final long nowMs) {
     return transfers.entrySet().stream()
@@ -118,8 +117,8 @@
             one -> {
               final OutgoingSnapshot transfer = one.getValue();
               final PeerProgress progress = leaderState.progressByMember().get(one.getKey());
-              // What is there in full needs this leader no more, and a receiver may be gone while a
-              // broken connection shows.
+              // A receiver that has the whole needs this leader no more, and one that is silent may
+              // be gone.
               return progress != null
                   && transfer.offset < transfer.snapshot.state.length
                   && nowMs - transfer.startedMs < MAX_SNAPSHOT_LEADERSHIP_MS
@@ -129,8 +128,8 @@
   }
 
   /**
-   * The newest one under way, unless the log behind it has grown so long that its receiver may
-   * never reach the end.
+   * The newest snapshot being sent, or a new one when the log behind that has grown so long that
+   * its receiver might never reach the end.
    */
   private Snapshot currentOrNewSnapshot() {
     final List<Snapshot> inProgress =
@@ -192,8 +191,8 @@
     }
     final long nowMs = raftNode.context().nowMs();
     progress.lastContactMs = nowMs;
-    // Messages keep their order: an answer to one before the last piece does not say whether that
-    // piece came.
+    // Requests keep their order: a response to one before the last chunk does not say whether that
+    // chunk arrived.
     if (response.receivedBytes <= transfer.offset && response.attempt < transfer.lastChunkAttempt) {
       return;
     }
@@ -212,13 +211,13 @@
           nowMs);
       transfer.lastChunkAttempt = transfer.lastAttempt;
     }
-    // The rest is the log's: the peer answers once it has the whole on disk, and is asked until
-    // then.
+    // With the last chunk the transfer is done: the receiver responds once it has the whole on
+    // disk, and is asked until then.
   }
 
   /**
-   * Ends what is done or can no longer help: its receiver has it, or is gone, or the log no longer
-   * begins before its end.
+   * Ends transfers that are done or cannot help any more: the receiver has it, or is gone, or the
+   * log begins behind its end.
    */
   void abandonStale(final long nowMs) {
     transfers
@@ -234,10 +233,7 @@
             });
   }
 
-  /**
-   * Up to where nobody that catches up needs the log: the end of a snapshot under way, then what
-   * its receiver holds.
-   */
+  /** Up to which index no member that catches up needs the log. */
   long unneededThrough(final long nowMs) {
     long unneeded = Long.MAX_VALUE;
     if (raftNode.isLeader()) {
@@ -255,11 +251,11 @@
     return unneeded;
   }
 
-  /** Takes a piece; the whole state once the last one is there, else null. */
+  /** Takes a chunk and responds; returns the whole state once the last one is there, else null. */
   byte[] onChunk(final InstallSnapshotRequest request) {
     final boolean sameLeader =
         incoming != null && incoming.from.equals(request.from) && incoming.term == request.term;
-    // A late message of one that its sender gave up, or nothing that a log could hold.
+    // A late chunk of a snapshot that its sender gave up, or a size that no log can have.
     if (sameLeader && request.snapshotNumber < incoming.snapshotNumber
         || request.totalBytes < 0
         || request.totalBytes > MAX_SNAPSHOT_BYTES) {
@@ -268,7 +264,7 @@
     if (!sameLeader || request.snapshotNumber > incoming.snapshotNumber) {
       incoming = new IncomingSnapshot(request);
     }
-    // One that was lost with a connection leaves a gap: the answer names what is missing.
+    // A chunk that was lost with a connection leaves a gap: the response says what is missing.
     if (request.offset == incoming.receivedBytes
         && request.chunk.length <= incoming.state.length - incoming.receivedBytes) {
       System.arraycopy(
@@ -290,7 +286,7 @@
     return state;
   }
 
-  /** All up to there is committed here: a snapshot that ends before it is no longer of use. */
+  /** A snapshot that ends at or before the commit index is no longer of use. */
   void onCommitted(final long commit) {
     if (incoming != null && incoming.lastIndex <= commit) {
       incoming = null;
--- a/src/main/java/yewjunction/raft/StateMachine.java
+++ b/src/main/java/yewjunction/raft/StateMachine.java
@@ -15,7 +15,8 @@
   void restore(long index, byte[] state);
 
   /**
-   * The leader changed; null while none is known. Self only once all earlier entries are applied.
+   * The leader changed; null while none is known. Self is true only once all entries of earlier
+   * terms are applied.
    */
   default void onLeaderChange(final String identity, final boolean self) {}
 
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -59,14 +59,14 @@
         && progress.matchIndex + CAUGHT_UP_ENTRIES >= raftNode.log().lastIndex();
   }
 
-  /** Whether a change of the voters is under way: what it decides may still not come to be. */
+  /** Whether a change of the voters is in the log and not committed yet. */
   public boolean changeInProgress() {
     return raftNode.log().lastVoterChangeIndex() > raftNode.commitIndex();
   }
 
   /** Proposes new voters; nothing happens where a change is not allowed right now. */
   public void proposeVoters(final List<String> newVoters) {
-    // One change at a time, and only by a leader that has committed in its own term.
+    // One change at a time, and only by a leader that has committed an entry of its own term.
     if (raftNode.isReadyLeader() && !changeInProgress() && !newVoters.equals(raftNode.voters())) {
       newVoters.forEach(leaderState::progressOf);
       leaderState.append(LogEntry.VOTERS, RaftStorage.encodeVoters(newVoters));
@@ -74,10 +74,10 @@
   }
 
   /**
-   * Fills the votes, by changes of one voter each. A new member at a voter's address means that the
-   * voter's disk is gone, and that voter for good: it goes first. A voter that is silent, that
-   * ends, or whose disk no longer takes what others have taken, loses its vote to a new member that
-   * does better, and goes last: whoever was only away counts until then.
+   * Brings the voters to the number and places wanted, by changes of one voter each. A learner at a
+   * voter's address means that the voter's disk is gone for good: that voter is removed first. A
+   * voter that is silent, that leaves, or whose disk lags is replaced: the new voter is added first
+   * and the old one removed then, so that it counts until its successor is there.
    */
   void adjustVoters() {
     if (!raftNode.isReadyLeader() || transferring || changeInProgress()) {
@@ -91,7 +91,7 @@
         .forEach((identity, progress) -> progress.updateTarget(raftNode.commitIndex(), nowMs));
     final String surplus = surplusVoter(voters, nowMs);
     if (raftNode.identity().equals(surplus)) {
-      // A leader that is to go transfers the leadership before.
+      // A leader that is to be removed transfers its leadership first.
       transferLeadership(() -> {});
       return;
     }
@@ -146,7 +146,7 @@
             && nowMs - leaderState.progressOf(voter).lastContactMs <= APPEND_RETRY_MS;
   }
 
-  /** A voter that does not do what it sits there for. */
+  /** Whether a voter leaves, is silent, or lags, so that a learner should take its place. */
   private boolean shouldBeReplaced(final String voter, final long nowMs) {
     final PeerProgress progress = leaderState.progressOf(voter);
     return isLeaving(voter)
@@ -155,12 +155,12 @@
                 || progress.isLagging(nowMs));
   }
 
-  /** The voter that goes since its successor has come; null when none has to. */
+  /** The voter to remove because there are more than wanted; null when there are not. */
   private String surplusVoter(final List<String> voters, final long nowMs) {
     if (voters.size() <= placement.voterCount()) {
       return null;
     }
-    // The last to come is the first to go where all are well again: whoever was away is back.
+    // If all are well again, the newest one goes: whoever was away is back.
     return voters.stream()
         .filter(this::isLeaving)
         .findFirst()
@@ -173,7 +173,7 @@
         .orElse(null);
   }
 
-  /** Its machine is to be emptied, or its process said a moment ago that it ends. */
+  /** Whether its machine is being emptied, or its process has just said that it ends. */
   private boolean isLeaving(final String identity) {
     final PeerProgress progress = leaderState.progressByMember().get(identity);
     return placement.leavingAddresses().get().contains(RaftNode.addressOf(identity))
@@ -188,12 +188,13 @@
   }
 
   /**
-   * Of those that want a vote, the one whose machine voted before, else one in the zone with the
-   * fewest voters.
+   * The learner to give a vote: one whose machine voted before, else one in the zone with the
+   * fewest voters; null when none is fit.
    */
   private String newVoter(final List<String> voters, final long nowMs) {
     return leaderState.progressByMember().entrySet().stream()
-        // Only one that answers right now: an identity whose disk is gone again stays out.
+        // Only one that is in contact right now: an identity whose disk is gone again must not
+        // become a voter.
         .filter(
             one ->
                 one.getValue().wantsVote
@@ -210,12 +211,13 @@
   }
 
   /**
-   * Who hands committed entries on to each member without a vote inside its zone; null for whom the
-   * leader serves itself.
+   * Decides for each learner which member of its zone it fetches committed entries from, or that
+   * the leader sends them itself.
    */
   void assignRelays(final long nowMs) {
     final List<String> voters = raftNode.voters();
-    // While a vote is to be filled, candidates are brought to the very end.
+    // While a voter is missing or unwell, the leader serves all learners itself, so that one can
+    // take its place.
     final boolean seated =
         voters.stream().filter(voter -> !isLeaving(voter)).count() >= placement.voterCount()
             && voters.stream()
@@ -247,8 +249,8 @@
     final List<String> candidates = new ArrayList<>(voters);
     candidates.removeIf(voter -> !placement.zoneOf().apply(RaftNode.addressOf(voter)).equals(zone));
     if (candidates.isEmpty()) {
-      // No voter there: the first of the others that answers is served from here and serves the
-      // rest.
+      // No voter in that zone: the first learner that responds is served by the leader and serves
+      // the others.
       leaderState
           .progressByMember()
           .forEach(
@@ -300,7 +302,7 @@
     }
   }
 
-  /** The first peer that holds everything is told to stand. */
+  /** Tells the first voter that holds the whole log to stand for election. */
   void continueTransfer(final String identity, final PeerProgress progress) {
     if (transferring
         && !transferSent
--- a/src/main/java/yewjunction/raft/ZoneRelay.java
+++ b/src/main/java/yewjunction/raft/ZoneRelay.java
@@ -23,10 +23,10 @@
 final class ZoneRelay {
   private final RaftNode raftNode;
 
-  /** Who asked for what is not committed here yet: answered the moment it is. */
+  /** Requests for entries that are not committed here yet: answered as soon as they are. */
   private final Map<PeerConnection, FetchRequest> pendingFetches = new LinkedHashMap<>();
 
-  /** Where this member fetches from, null while the leader itself sends. */
+  /** Where this member fetches from, null while the leader sends entries itself. */
   private String sourceAddress;
 
   private long lastFetchMs;
@@ -35,7 +35,7 @@
     this.raftNode = raftNode;
   }
 
-  /** The leader's word on who serves this member. */
+  /** The leader has decided where this member fetches from; null for the leader itself. */
   void setSource(final String address) {
     final boolean other = address != null && !address.equals(sourceAddress);
     sourceAddress = address;
@@ -54,8 +54,8 @@
   }
 
   /**
-   * To a member whose zone has the entries: it only needs to hear who leads, and to say how far it
-   * is.
+   * A heartbeat to a member that fetches in its zone: it only has to know who leads and to say how
+   * far it is.
    */
   void sendHeartbeat(final String identity, final PeerProgress progress, final long round) {
     final long nowMs = raftNode.context().nowMs();
@@ -76,7 +76,7 @@
     respondIfCommitted(connection, request);
   }
 
-  /** More is committed here now. */
+  /** More is committed here: answers the requests that waited for it. */
   void onCommitted() {
     if (!pendingFetches.isEmpty()) {
       new LinkedHashMap<>(pendingFetches).forEach(this::respondIfCommitted);
@@ -89,8 +89,8 @@
       return;
     }
     pendingFetches.remove(connection);
-    // Behind this member's snapshot, or with a tail that was never committed: the leader's matter,
-    // which sees it lag.
+    // Before this member's snapshot, or with a tail that was never committed: the leader will see
+    // it lag and serve it.
     if (raftNode.log().termAt(request.nextIndex - 1) != request.lastTerm) {
       return;
     }
@@ -108,14 +108,15 @@
   }
 
   void onFetchResponse(final FetchResponse response) {
-    // What is taken may be of a later term than the one heard of: a leader of an earlier one must
-    // not cut it again.
+    // The entries may be of a newer term than the one known here: a leader of an earlier one must
+    // not truncate them.
     raftNode.observeTerm(response.term);
     if (sourceAddress == null || raftNode.isLeader()) {
       return;
     }
     final List<LogEntry> entries = response.entries;
-    // Only right behind the end: what came from elsewhere meanwhile is not touched.
+    // Appended only right behind the end of the log: what came from the leader meanwhile is not
+    // touched.
     if (!entries.isEmpty()
         && response.prevIndex == raftNode.log().lastIndex()
         && response.prevTerm == raftNode.log().lastTerm()) {
