--- a/src/main/java/yewjunction/common/AgentContext.java
+++ b/src/main/java/yewjunction/common/AgentContext.java
@@ -8,24 +8,24 @@
  * thread, one at a time; only {@link #execute} may be called from other threads.
  */
 public interface AgentContext {
-  /** Steady milliseconds; never the time of day, so a stepped clock moves no lease. */
+  /** Milliseconds of a steady clock; never the time of day, which may be stepped. */
   long nowMs();
 
-  /** Runs the task once on the owner's thread. */
+  /** Runs the task once, on the agent's thread. Called on the agent's thread. */
   void schedule(long delayMs, Runnable task);
 
-  /** Hands a command to the owner's thread from any thread. */
+  /** Runs a command on the agent's thread. May be called from any thread. */
   void execute(Runnable command);
 
   /** Random numbers of this process; in simulations from the seed of the run. */
   Random random();
 
-  /** Runs the task again and again; the first time after one period. */
+  /** Runs the task again and again, the first time after one period. */
   default void scheduleAtFixedRate(final long periodMs, final Runnable task) {
     schedule(
         periodMs,
         () -> {
-          // Re-arm before running, so that a failure in one turn does not end the rest.
+          // Scheduled again before it runs, so that an exception does not end the series.
           scheduleAtFixedRate(periodMs, task);
           task.run();
         });
--- a/src/main/java/yewjunction/common/MessageCodec.java
+++ b/src/main/java/yewjunction/common/MessageCodec.java
@@ -19,7 +19,10 @@
   private final Map<Integer, Schema<?>> schemaByNumber = new HashMap<>();
   private final LinkedBuffer buffer = LinkedBuffer.allocate(1024);
 
-  /** Kinds are numbered by hand: numbers outlive names when releases mix. */
+  /**
+   * Registers a type of message under its number, from 1 to 255. Numbers never change: releases
+   * mix.
+   */
   public MessageCodec register(final int number, final Class<?> kind) {
     if (schemaByNumber.containsKey(number)) {
       throw new IllegalStateException("message number " + number + " is taken");
@@ -61,8 +64,7 @@
    */
   @SuppressWarnings("unchecked")
   public Object decode(final byte[] bytes, final int offset, final int length) {
-    // An unknown kind is told apart from a broken one: it may come from a newer release and is
-    // skipped.
+    // A type that is not known here may come from a newer release; the caller skips it.
     final Schema<Object> schema =
         length < 1 ? null : (Schema<Object>) schemaByNumber.get(bytes[offset] & 0xff);
     if (schema == null) {
--- a/src/main/java/yewjunction/common/PeerConnection.java
+++ b/src/main/java/yewjunction/common/PeerConnection.java
@@ -5,7 +5,7 @@
  * calls on the agent's thread.
  */
 public interface PeerConnection {
-  /** Queues a message; false when the connection is closed. */
+  /** Queues a message. Returns false when the connection is closed. */
   boolean send(Object message);
 
   /** Closes the connection; what is queued may be lost. */
@@ -14,6 +14,8 @@
   /** Whether it is open or being established. */
   boolean isOpen();
 
-  /** The far address, ip:port; for connections taken in, the port is the peer's ephemeral one. */
+  /**
+   * The remote address, ip:port; for connections that were accepted, the port is an ephemeral one.
+   */
   String remoteAddress();
 }
--- a/src/main/java/yewjunction/common/PeerTransport.java
+++ b/src/main/java/yewjunction/common/PeerTransport.java
@@ -8,7 +8,10 @@
  * thread.
  */
 public interface PeerTransport {
-  /** The connection to that address, dialled when there is none. */
+  /**
+   * The open connection to an address, else a new one. Never null; a connection that cannot be
+   * opened is closed later.
+   */
   PeerConnection connect(String address);
 
   /** Registers the one handler of a type of message; it runs on the agent's thread. */
--- a/src/main/java/yewjunction/common/PendingRequests.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -24,7 +24,11 @@
 
   private record Pending<P, T>(P responder, T context) {}
 
-  /** Life: what the process drew for itself at its start. */
+  /**
+   * Starts without requests.
+   *
+   * @param life the number that the process drew at its start
+   */
   public PendingRequests(final long life) {
     // Mixed as SplitMix64 does, so that lives near one another begin far apart.
     long mixed = life * 0x9e3779b97f4a7c15L;
@@ -33,15 +37,15 @@
     newestId = (mixed ^ mixed >>> 31) >>> Long.SIZE - REQUEST_ID_SEED_BITS;
   }
 
-  /** The number that the answer is to repeat. */
+  /** Adds a request; returns the id that the response has to repeat. */
   public long add(final P peer, final T about) {
     pending.put(++newestId, new Pending<>(peer, about));
     return newestId;
   }
 
   /**
-   * What was asked; null when nothing open by that number was asked of that peer, and then nothing
-   * changes.
+   * Completes a request and returns its context; null, without any effect, when no pending request
+   * with that id was sent to that responder.
    */
   public T complete(final long number, final P from) {
     final Pending<P, T> question = pending.get(number);
@@ -57,7 +61,7 @@
     return pending.isEmpty();
   }
 
-  /** No answer to it counts any more. */
+  /** No response to the request counts any more. */
   public void cancel(final long number) {
     pending.remove(number);
   }
@@ -67,7 +71,7 @@
     pending.clear();
   }
 
-  /** Gives up all that it holds for, and says what they were about. */
+  /** Cancels all requests whose context matches, and returns the contexts. */
   public List<T> cancel(final Predicate<T> over) {
     final List<T> dropped = new ArrayList<>();
     pending
--- a/src/main/java/yewjunction/control/CallDecision.java
+++ b/src/main/java/yewjunction/control/CallDecision.java
@@ -21,16 +21,15 @@
     ControlCommand command,
     Runnable onApplied) {
   /**
-   * True whatever else is agreed on meanwhile: it depends on the request alone, or stays so once it
-   * is so.
+   * A response that no other change can make wrong: it depends on the request alone, or stays true.
    */
   static CallDecision finalResponse(final OperatorApi.Response response) {
     return new CallDecision(response, false, null, null, null);
   }
 
   /**
-   * True of this member's state; told only by a leader that a majority has confirmed after the call
-   * came.
+   * A response that tells of this node's state: given only after a majority has confirmed the
+   * leadership since the call came.
    */
   static CallDecision needsConfirmation(final OperatorApi.Response response) {
     return new CallDecision(response, true, null, null, null);
@@ -42,7 +41,7 @@
 
   static CallDecision propose(
       final ControlCommand command, final OperatorApi.Response response, final Runnable done) {
-    // Without a command the answer would be a promise of nothing.
+    // Without a command the response would promise something that was never committed.
     return new CallDecision(response, false, null, requireNonNull(command), done);
   }
 }
--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -34,7 +34,11 @@
       long deadlineMs,
       boolean confirmed) {}
 
-  /** Elsewhere: what to say where this member does not lead. */
+  /**
+   * Creates an empty queue.
+   *
+   * @param elsewhere what to answer when this node does not lead
+   */
   ChangeQueue(
       final AgentContext context,
       final RaftNode raftNode,
@@ -49,8 +53,11 @@
   }
 
   /**
-   * Reading: done beside the owner's thread, in this turn, before the first look; null where
-   * nothing is to be read.
+   * Adds a call.
+   *
+   * @param preparation runs off the agent's thread before the first decision; null when there is
+   *     none
+   * @param decider looks at the state, on the agent's thread
    */
   void submit(
       final long patienceMs,
@@ -77,11 +84,10 @@
     processing = false;
   }
 
-  /** True when the next one may go on; false while this one is read, or the log has its command. */
+  /** Returns true when the next call may go on; false while this one is prepared or committed. */
   private boolean process(final PendingCall call) {
     if (context.nowMs() > call.deadlineMs) {
-      // Its caller has been told that there is no answer, and asks again: begun now it would only
-      // be in the way.
+      // Its caller has given up and will ask again: processing it now would only delay others.
       call.responder.accept(OperatorApi.Response.unclear("this took too long, ask again"));
       return true;
     }
@@ -95,7 +101,7 @@
     return runInBackground(call, call.preparation, false);
   }
 
-  /** Works beside the owner's thread, then looks: nobody else's turn comes meanwhile. */
+  /** Runs work off the agent's thread and decides then; the queue waits meanwhile. */
   private boolean runInBackground(
       final PendingCall call, final Runnable work, final boolean worked) {
     try {
@@ -108,14 +114,14 @@
           });
       return false;
     } catch (final OutOfMemoryError failure) {
-      // No thread to be had: said so, and the others have their turns.
+      // No thread could be created: the call fails, and the others go on.
       call.responder.accept(OperatorApi.Response.unclear("no memory to read this"));
       return true;
     }
   }
 
   private boolean decide(final PendingCall call, final boolean worked) {
-    // Its reading took a while: what is taken now its repeat will know, but only a leader takes it.
+    // The leadership may have ended while the call was prepared.
     if (!raftNode.isReadyLeader()) {
       call.responder.accept(notLeaderResponse.get());
       return true;
@@ -127,7 +133,7 @@
         throw new IllegalStateException("worked out, and still open");
       }
     } catch (final RuntimeException failure) {
-      // One call that cannot be worked out must not hold up all behind it for good.
+      // A call that fails unexpectedly must not block the queue.
       LogEvent.UNEXPECTED_ERROR.warn("an operator's call", failure);
       call.responder.accept(OperatorApi.Response.unclear("this could not be worked out"));
       return true;
@@ -139,8 +145,8 @@
       return !propose(call, decision);
     }
     if (decision.needsConfirmation() && !call.confirmed) {
-      // Asked outside the turn: others need not wait, and what they change meanwhile the second
-      // look sees.
+      // Confirmed outside the queue, so that others need not wait; the call is decided again
+      // afterwards.
       raftNode.confirmLeadership(held -> context.execute(() -> onLeadershipConfirmed(call, held)));
     } else {
       call.responder.accept(decision.response());
@@ -156,7 +162,8 @@
               if (done) {
                 decision.onApplied().run();
               }
-              // Not done is not refused: the next leader may hold it, and its repeat finds out.
+              // Not applied here does not mean refused: the next leader may commit it, and the
+              // repeat finds out.
               call.responder.accept(
                   done
                       ? decision.response()
@@ -169,7 +176,10 @@
     return proposed;
   }
 
-  /** Comes as a command of its own: the log drops questions before it has let go of its lead. */
+  /**
+   * Runs as a command of its own, since callbacks of a lost leadership come before the role has
+   * changed.
+   */
   private void onLeadershipConfirmed(final PendingCall call, final boolean confirmed) {
     if (confirmed) {
       enqueue(
--- a/src/main/java/yewjunction/control/ClusterState.java
+++ b/src/main/java/yewjunction/control/ClusterState.java
@@ -18,7 +18,7 @@
   long newestReplicaId;
   List<Replica> replicas = new ArrayList<>();
 
-  /** The first voters of the stores' log; later changes are that log's own. */
+  /** The first voters of the stores' group; later changes stand in that group's own log. */
   List<String> stores = new ArrayList<>();
 
   /** Their zones, in the same order. */
@@ -41,7 +41,7 @@
     boolean finished;
   }
 
-  /** One decision, on top of all before it. */
+  /** One change, which builds on the state of an earlier version. */
   static final class Change {
     long previousNumber;
     long index;
@@ -54,7 +54,8 @@
   }
 
   /**
-   * The same at every control node, and at whoever is told of it; false when it changes nothing.
+   * Applies a change; returns false when it changes nothing. The result is the same wherever the
+   * same changes are applied.
    */
   boolean apply(final Change change) {
     final boolean changed = apply(change.command);
@@ -132,9 +133,9 @@
     return live;
   }
 
-  /** The name of a process's replica, 0 when it has none yet. */
+  /** The replica id of one life of a process, 0 when it has none. */
   public long replicaId(final String address, final long life) {
-    // Asked with every lease of every process: found without looking at all.
+    // Looked up with every lease of every process, hence by an index.
     if (byAddress == null) {
       byAddress = new HashMap<>();
       replicas.forEach(replica -> byAddress.put(replica.address, replica));
@@ -158,7 +159,7 @@
     return stores;
   }
 
-  /** Addresses of the first voters in a zone, or in all others. */
+  /** Addresses of the first stores inside a zone, or outside of it. */
   public List<String> storeAddresses(final String zone, final boolean inside) {
     final List<String> addresses = new ArrayList<>();
     for (int place = 0; place < stores.size(); place++) {
@@ -170,7 +171,7 @@
     return addresses;
   }
 
-  /** Addresses of stores that are to hold no duty. */
+  /** Addresses of stores that are being emptied, or have been. */
   public Set<String> retiringAddresses() {
     final Set<String> addresses = new HashSet<>();
     retirements.forEach(retirement -> addresses.add(retirement.address));
--- a/src/main/java/yewjunction/control/ClusterStatus.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -34,9 +34,7 @@
     this.processes = processes;
   }
 
-  /**
-   * Breaks of the declared order that the edges which ask this control node for leases have met.
-   */
+  /** Violations of a declared order that edges with leases from this node have met. */
   String orderViolationsJson() {
     return ConfigValueFactory.fromMap(Map.of("Channels", processes.orderViolationRows()))
         .render(ConfigRenderOptions.concise());
@@ -72,10 +70,10 @@
               member.ready));
     }
     page.put("Siblings", peers);
-    // Only the leader hears from all stores; on the others the list is empty.
+    // Only the leader has reports of all stores; on the others the list is empty.
     page.put("Vaults", registry.storeRows());
     page.put("DiskOwedMs", raftNode.commitTracker().oldestPendingWriteMs());
-    // Those that ask this control node for their leases: mostly its zone's.
+    // The processes with leases from this node: mostly those of its zone.
     page.put("Wards", processes.processRows());
     page.put("Channels", processes.orderViolationRows());
     return ConfigValueFactory.fromMap(page).render(ConfigRenderOptions.concise());
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -23,16 +23,19 @@
   private final byte[] body;
   final long baseVersion;
 
-  /** 0 where it names none. */
+  /** 0 when the change names none. */
   private long version;
 
   private String digest;
   private Config sent;
 
-  /** What it makes of any base; null for an update, whose outcome its base decides. */
+  /**
+   * The configuration that replaces any base; null for an update, whose outcome depends on the
+   * base.
+   */
   private Configuration replacement;
 
-  /** Why it can be valid on no base at all, null where it can. */
+  /** Why the change is valid on no base; null when it may be valid. */
   private ConfigurationException failure;
 
   private boolean prepared;
@@ -45,7 +48,10 @@
     this.body = body;
   }
 
-  /** A header that was sent twice comes as "5, 5", one that was not as null. */
+  /**
+   * Whether the header is one whole number: sent twice it comes as "5, 5", and null when it is
+   * absent.
+   */
   static boolean isBaseVersion(final String base) {
     try {
       Long.parseLong(String.valueOf(base).trim());
@@ -55,7 +61,10 @@
     }
   }
 
-  /** Takes long for a large one, and no table: done on a thread beside the owner's. */
+  /**
+   * Parses the body. Takes long for a large one and touches nothing else: runs off the agent's
+   * thread.
+   */
   void read() {
     try {
       sent = Configuration.parse(new String(body, StandardCharsets.UTF_8));
--- a/src/main/java/yewjunction/control/ControlCommand.java
+++ b/src/main/java/yewjunction/control/ControlCommand.java
@@ -19,8 +19,8 @@
   int kind;
 
   /**
-   * CONFIG: the whole of it, the version it builds on, and the digest of the request that brought
-   * it.
+   * SET_CONFIGURATION: the whole text, its version, the version it builds on, and the digest of the
+   * request.
    */
   String json = "";
 
@@ -28,23 +28,23 @@
   long baseVersion;
   String digest = "";
 
-  /** REPLICA, RETIRE. */
+  /** ASSIGN_REPLICA and BEGIN_RETIREMENT: the process or machine. */
   String address = "";
 
   String node = "";
   long life;
 
-  /** REPLICA_GONE. */
+  /** RETIRE_REPLICA: the id. */
   long replicaId;
 
-  /** VAULTS. */
+  /** SET_FIRST_STORES: identities, and their zones in the same order. */
   List<String> identities = new ArrayList<>();
 
   List<String> zones = new ArrayList<>();
 
   /**
-   * CONFIG: what makes it of the one before, and the digest of the result; null where only the
-   * whole will do.
+   * SET_CONFIGURATION: the update that leads there from the version before, and the digest of the
+   * result; null when there is none.
    */
   String patch;
 
--- a/src/main/java/yewjunction/control/ControlService.java
+++ b/src/main/java/yewjunction/control/ControlService.java
@@ -18,7 +18,7 @@
  * takes, and the operator's calls. All calls on the agent's thread.
  */
 public final class ControlService implements ControlStateMachine.Listener {
-  /** Group number of the control group's log. */
+  /** The number of the control group. */
   public static final int GROUP = 0;
 
   private final AgentContext context;
@@ -28,7 +28,7 @@
   private final OperatorApi operatorApi;
   private final String ownAddress;
 
-  /** Without a disk of its own it only serves: what it promised would end with its process. */
+  /** A node without a disk never votes: what it promised would end with its process. */
   private final boolean canVote;
 
   /** Opens the group's log and puts the service together; nothing is sent before {@link #start}. */
@@ -73,8 +73,8 @@
   }
 
   /**
-   * With an empty disk: a founder takes its place among the seeds, any other joins under a new
-   * name.
+   * Begins to take part. A node with an empty disk becomes a first voter if the system is being
+   * founded and it is a seed; else it joins under a new identity.
    */
   public void start(
       final boolean founding, final List<String> seedAddresses, final String drawnName) {
--- a/src/main/java/yewjunction/control/ControlStateMachine.java
+++ b/src/main/java/yewjunction/control/ControlStateMachine.java
@@ -24,7 +24,7 @@
   private final RecentChanges recentChanges = new RecentChanges();
   private final Listener listener;
 
-  /** All of the state, as a snapshot holds it. */
+  /** The whole state, as a snapshot holds it; encoded by position. */
   static final class Snapshot {
     String json;
     long version;
@@ -32,13 +32,13 @@
     ClusterState clusterState = new ClusterState();
   }
 
-  /** A request that was taken, so that its exact repeat is known. */
+  /** A change that was accepted, so that its exact repeat is known; encoded by position. */
   static final class AcceptedChange {
     long version;
     String digest = "";
   }
 
-  /** Told what changed here. */
+  /** Is told of what the applied commands changed. */
   interface Listener {
     void onConfigurationChanged();
 
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Read only when a change builds on it: after a loss of power every moment of a control node's
-   * start is service lost.
+   * The configuration, parsed when it is first needed: a start after a loss of power must not wait
+   * for that.
    */
   Configuration currentConfiguration() {
     if (currentConfiguration == null && snapshot.json != null) {
@@ -77,19 +77,19 @@
     return currentConfiguration;
   }
 
-  /** The configuration where it was read already, else null. */
+  /** The configuration if it has been parsed already, else null. */
   Configuration parsedConfiguration() {
     return currentConfiguration;
   }
 
-  /** Whoever made the newest version has it read already. */
+  /** Takes over a configuration that was parsed already, if it is the newest version. */
   void cacheParsed(final Configuration made) {
     if (made.version() == snapshot.version) {
       currentConfiguration = made;
     }
   }
 
-  /** What changed lately, for those that know what was before. */
+  /** The newest changes, for processes that know the state before them. */
   RecentChanges recentChanges() {
     return recentChanges;
   }
@@ -103,10 +103,7 @@
         .anyMatch(one -> one.version == version && one.digest.equals(digest));
   }
 
-  /**
-   * So many versions ago that a change with this number may have been taken and is no longer
-   * remembered.
-   */
+  /** Whether a version is older than all that are remembered, so that it may have been accepted. */
   boolean mayHaveForgotten(final long version) {
     return snapshot.acceptedChanges.size() >= REMEMBERED_VERSIONS
         && version < snapshot.acceptedChanges.get(0).version;
@@ -133,7 +130,7 @@
 
   private void applyConfiguration(final ControlCommand command) {
     // Invariant: versions only rise, each on top of the one it names. The text was checked before
-    // it came here.
+    // it was proposed.
     if (command.baseVersion != snapshot.version || command.version <= snapshot.version) {
       throw new IllegalStateException(
           "version "
--- a/src/main/java/yewjunction/control/LeaseClient.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -42,13 +42,13 @@
   private int successfulRenewals;
   private PendingRequests<PeerConnection, PendingRenewal> pendingRequests;
 
-  /** Nobody has answered since the newest question. */
+  /** Whether the newest renewal has not been answered. */
   private boolean awaitingResponse;
 
-  /** When a lease was asked for, and at which turn through the control nodes. */
+  /** When a lease was asked for, and which control node in turn was asked. */
   private record PendingRenewal(long requestedMs, int attempt) {}
 
-  /** Told of what changed. */
+  /** Is told of changes, on the agent's thread. */
   public interface Listener {
     /** Another version is in force. */
     void onConfigurationChanged(Configuration configuration);
@@ -57,7 +57,11 @@
     void onClusterStateChanged(ClusterState clusterState);
   }
 
-  /** Serving stores: addresses of control nodes, the nearest first. */
+  /**
+   * Creates a client without a lease.
+   *
+   * @param controlNodes their addresses, the nearest first
+   */
   public LeaseClient(
       final AgentContext context,
       final PeerTransport transport,
@@ -90,51 +94,48 @@
     return this;
   }
 
-  /** Drawn at this process's start. */
+  /** A number drawn at this start of the process. */
   public long life() {
     return process.life;
   }
 
-  /** A store's log identity. */
+  /** The store's identity in its Raft group. */
   public void setIdentity(final String identity) {
     process.identity = identity;
   }
 
-  /** How far this store's log is applied. */
+  /** Up to which index this store has applied its log. */
   public void setAppliedIndex(final long applied) {
     process.appliedIndex = applied;
   }
 
-  /**
-   * Looks just before each renewal at how this process does, for whoever asks a control node about
-   * it.
-   */
+  /** Sets what brings the report up to date; it runs before each renewal. */
   public void beforeEachReport(final Runnable chosenReport) {
     reportUpdater = chosenReport;
   }
 
-  /** An edge's messages that wait for a leader, and whether none answers. */
+  /** How many messages of an edge wait for a leader's response, and whether none responds. */
   public void setWaitingPublishes(final long waiting, final boolean dark) {
     process.waitingPublishes = waiting;
     process.leaderUnreachable = dark;
   }
 
-  /** For how long a store's disk has owed its oldest write. */
+  /** Milliseconds since the oldest unfinished write of a store was begun. */
   public void setDiskDelay(final long owedMs) {
     process.diskDelayMs = owedMs;
   }
 
-  /** What tenants that borrow ahead hold and owe at this store. */
+  /** The accounts of tenants that borrow ahead, as this store holds them. */
   public void setBalances(final List<AccountBalance> balances) {
     process.balances = balances;
   }
 
-  /** Breaks of the declared order that this edge met. */
+  /** Violations of a declared order that this edge met. */
   public void setOrderViolations(final List<OrderViolations> disorders) {
     process.orderViolations = disorders;
   }
 
-  /** Nodes that the store group's leader has emptied. */
+  /** Nodes that hold no vote any more, as the leader of the stores knows it. */
   public void setEmptiedNodes(final List<String> nodes) {
     process.emptiedNodes = new ArrayList<>(nodes);
   }
@@ -151,7 +152,7 @@
             ? LEASE_RESPONSE_TIMEOUT_MS / 2
             : LEASE_RENEWAL_INTERVAL_MS;
     if (awaitingResponse) {
-      // The control node did not answer: it may be unreachable, so the next nearest is asked.
+      // The control node did not respond and may be unreachable: the next one is asked.
       attempt++;
       successfulRenewals = 0;
     } else if (++successfulRenewals >= RENEWALS_BEFORE_NEAREST) {
@@ -170,7 +171,7 @@
       final PeerConnection connection =
           transport.connect(addresses.get(attempt % addresses.size()));
       final long nowMs = context.nowMs();
-      // Whose lease would have ended by now.
+      // Renewals whose lease would have ended by now.
       pendingRequests.cancel(asked -> nowMs - asked.requestedMs >= LEASE_DURATION_MS);
       request.requestId = pendingRequests.add(connection, new PendingRenewal(nowMs, attempt));
       awaitingResponse = true;
@@ -189,7 +190,7 @@
     if (response.clusterState != null && response.clusterState.version > clusterState.version) {
       clusterState = response.clusterState;
     }
-    // A change on top of anything else than what is known here is left out: the whole comes with a
+    // A change that builds on another state than the one here is left out: the whole comes with a
     // later lease.
     response.changes.stream()
         .filter(change -> change.previousNumber == clusterState.version)
@@ -197,7 +198,7 @@
     if (clusterState.version > factsBefore) {
       listener.onClusterStateChanged(clusterState);
     }
-    // A version never goes backwards in one life of a process.
+    // Invariant: the version never falls in one life of the process.
     final Configuration before = configuration;
     if (response.json != null && response.version > version()) {
       configuration = Configuration.read(response.json);
@@ -209,15 +210,14 @@
       LogEvent.CONFIGURATION_APPLIED.info("version " + configuration.version());
       listener.onConfigurationChanged(configuration);
     }
-    // The lease counts only with the version it stands for.
+    // The lease counts only once its version is in force here.
     final PendingRenewal asked =
         response.granted && response.version <= version()
             ? pendingRequests.complete(response.requestId, connection)
             : null;
     if (asked != null) {
       awaitingResponse = false;
-      // Whoever answers is asked again, though another was asked meanwhile: that one is yet to be
-      // heard.
+      // The node that responds is asked again, even if another one was asked meanwhile.
       attempt = asked.attempt;
       leaseEndMs = Math.max(leaseEndMs, asked.requestedMs + LEASE_DURATION_MS);
       if (!leaseHeld && isHeld()) {
@@ -230,8 +230,8 @@
   private void applyPatch(final RecentChanges.VersionPatch patch) {
     final Configuration changed =
         Configuration.of(configuration.updated(Configuration.parse(patch.json)));
-    // Nothing is used that is not exactly what the control group holds; without it the version
-    // stays, and the whole is sent.
+    // What a patch makes must be exactly what the control group holds; else the version stays, and
+    // the whole is sent.
     if (changed.digest() == patch.digest) {
       configuration = changed;
     } else {
--- a/src/main/java/yewjunction/control/LeaseMessages.java
+++ b/src/main/java/yewjunction/control/LeaseMessages.java
@@ -22,9 +22,12 @@
         .register(54, RegisterRequest.class);
   }
 
-  /** Asks a control node for a lease, says what is known already, and names this process. */
+  /**
+   * Asks a control node for a lease, and says what the process knows already. Response: {@link
+   * LeaseResponse}.
+   */
   static final class LeaseRequest {
-    /** Stands for the asker's life and the moment it asked, which it keeps for itself. */
+    /** Identifies the request within this life of the process. */
     long requestId;
 
     long version;
@@ -32,7 +35,7 @@
     ProcessReport process = new ProcessReport();
   }
 
-  /** Who asks: an edge that needs a replica name, or a store. */
+  /** What an edge or store reports of itself. */
   static final class ProcessReport {
     String address = "";
     String node = "";
@@ -40,58 +43,61 @@
     String role = "";
     long life;
 
-    /** A store's log identity. */
+    /** The store's identity in its Raft group. */
     String identity = "";
 
-    /** How far a store has applied its log. */
+    /** Up to which index a store has applied its log. */
     long appliedIndex;
 
-    /** Its lease counts right now. */
+    /** Whether its lease counts right now. */
     boolean leaseHeld;
 
-    /** Messages of an edge that wait for a leader's answer, and whether none answers. */
+    /** Messages of an edge that wait for a leader's response, and whether none responds. */
     long waitingPublishes;
 
     boolean leaderUnreachable;
 
-    /** For how long a store's disk has owed its oldest write. */
+    /** Milliseconds since the oldest unfinished write of a store was begun. */
     long diskDelayMs;
 
-    /** Of the memory it may use. */
+    /** Per cent of the memory it may use. */
     int memoryPercent;
 
-    /** Nodes that hold no duty any more, told by the store group's leader. */
+    /** Nodes that hold no vote any more; reported by the leader of the stores. */
     List<String> emptiedNodes = new ArrayList<>();
 
-    /** What tenants that borrow ahead hold and owe at a store. */
+    /** Accounts of tenants that borrow ahead, as a store holds them. */
     List<AccountBalance> balances = new ArrayList<>();
 
-    /** Breaks of the declared order that an edge met since its start. */
+    /** Violations of a declared order that an edge met since its start. */
     List<OrderViolations> orderViolations = new ArrayList<>();
   }
 
-  /** A lease when held is set, else only news. */
+  /** A lease when granted is set, else only what has changed. */
   static final class LeaseResponse {
     boolean granted;
 
-    /** The renewal that it answers. */
+    /** The request that it answers. */
     long requestId;
 
     long version;
 
-    /** The configuration, when newer than what the asker has. */
+    /** The whole configuration, when it is newer than the process's and no patches lead there. */
     String json;
 
-    /** The cluster state, when newer. */
+    /** The whole cluster state, under the same conditions. */
     ClusterState clusterState;
 
-    /** In their place, to an asker that knows what was before: the changes since, in order. */
+    /** The changes since the state that the process knows, in order, in place of the whole. */
     List<RecentChanges.VersionPatch> patches = new ArrayList<>();
 
     List<ClusterState.Change> changes = new ArrayList<>();
   }
 
-  /** A control node asks the leader to confirm its leadership with a majority. */
+  /**
+   * A control node asks the leader to have its leadership confirmed. Response: {@link
+   * ConfirmLeadershipResponse}.
+   */
   static final class ConfirmLeadershipRequest {
     long requestId;
   }
@@ -106,7 +112,10 @@
     long commitIndex;
   }
 
-  /** A control node tells the leader of a process that needs a name, or of a store. */
+  /**
+   * A control node forwards the report of a store, or of an edge that needs a replica id, to the
+   * leader. No response.
+   */
   static final class RegisterRequest {
     ProcessReport process = new ProcessReport();
   }
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -42,7 +42,7 @@
   private final Map<PeerConnection, SubscriberState> subscribers = new LinkedHashMap<>();
   private List<PendingRenewal> pendingRenewals = new ArrayList<>();
 
-  /** To the leader: one at a time. */
+  /** The request to the leader that is under way; there is one at most. */
   private final PendingRequests<PeerConnection, List<PendingRenewal>> pendingRequests;
 
   private final List<ConfirmedBatch> confirmedBatches = new ArrayList<>();
@@ -55,7 +55,7 @@
   private record PendingRenewal(PeerConnection connection, LeaseRequest request, long receivedMs) {}
 
   /**
-   * What a process has been told on its connection. Connections lose nothing, so nothing is told
+   * What a process has been sent on its connection. A connection loses nothing, so nothing is sent
    * twice on one.
    */
   private static final class SubscriberState {
@@ -65,7 +65,7 @@
     long updatedMs;
   }
 
-  /** Confirmed up to a commit that this control node may not have applied yet. */
+  /** Renewals that may be granted once this node has applied all up to an index. */
   private record ConfirmedBatch(long commitIndex, List<PendingRenewal> renewals) {}
 
   LeaseServer(
@@ -98,7 +98,7 @@
     final SubscriberState subscriber =
         subscribers.computeIfAbsent(connection, key -> new SubscriberState());
     subscriber.request = request;
-    // Less than it was told some time ago: it could not take that, and gets the whole.
+    // It knows less than it was sent some time ago: it could not apply that, and gets the whole.
     final boolean outdated = nowMs - subscriber.updatedMs > 2 * LEASE_DURATION_MS;
     subscriber.version =
         request.version >= subscriber.version ? request.version : outdated ? 0 : subscriber.version;
@@ -111,7 +111,7 @@
     if (NodeRole.EDGE.is(request.process.role) && !hasReplicaId(request)) {
       awaitingReplicaId.add(connection);
     }
-    // The newest question of an asker stands for its earlier ones.
+    // The newest renewal of a process stands for its earlier ones.
     pendingRenewals.removeIf(renewal -> renewal.connection == connection);
     pendingRenewals.add(new PendingRenewal(connection, request, nowMs));
     confirmLeadership();
@@ -140,8 +140,8 @@
     } else if (leader != null && !leader.equals(raftNode.identity())) {
       requestConfirmation(leader, nowMs);
     } else {
-      // Nobody leads: they wait for the next leader, since a lease counts from when it was asked
-      // for anyway.
+      // Nobody leads: renewals wait for the next leader. A lease counts from when it was asked for,
+      // so waiting grants nothing more.
       pendingRenewals.removeIf(
           renewal ->
               !renewal.connection.isOpen() || nowMs - renewal.receivedMs > LEASE_DURATION_MS);
@@ -185,7 +185,7 @@
     return renewals;
   }
 
-  /** Somebody leads now: whoever waited is served at once. */
+  /** Somebody leads now: renewals that waited are confirmed at once. */
   void onLeaderChange() {
     registry.onLeaderChange();
     pendingRequests.cancelAll();
@@ -218,7 +218,7 @@
     confirmLeadership();
   }
 
-  /** Grants what was proven once this control node has applied as much. */
+  /** Grants the renewals that were confirmed for entries which are applied here by now. */
   void grantApplied() {
     for (final ConfirmedBatch one : List.copyOf(confirmedBatches)) {
       if (raftNode.appliedIndex() >= one.commitIndex) {
@@ -263,7 +263,10 @@
     return response;
   }
 
-  /** Tells all subscribers of a configuration; what one turn changes goes out in one message. */
+  /**
+   * Sends a new configuration to all processes at the end of this turn, so that all that changes in
+   * it goes out in one message.
+   */
   void scheduleUpdate() {
     if (!updateScheduled) {
       updateScheduled = true;
@@ -287,8 +290,9 @@
   }
 
   /**
-   * Other cluster state change in bursts, one for each process that starts: only who waits for its
-   * name hears at once.
+   * Sends changes of the cluster state. They come in bursts, one for each process that starts, so
+   * they are gathered for CLUSTER_STATE_BATCH_MS; only a process that waits for its replica id
+   * hears at once.
    */
   void onClusterStateChanged() {
     for (final PeerConnection connection : List.copyOf(awaitingReplicaId)) {
--- a/src/main/java/yewjunction/control/LeasedProcesses.java
+++ b/src/main/java/yewjunction/control/LeasedProcesses.java
@@ -28,7 +28,7 @@
     reports.put(process.address, new TimedReport(process, context.nowMs()));
   }
 
-  /** Breaks of the declared order, by channel and edge. */
+  /** Violations of a declared order, by channel and edge. */
   List<Map<String, Object>> orderViolationRows() {
     final List<Map<String, Object>> rows = new ArrayList<>();
     reports
@@ -42,7 +42,7 @@
 
   List<Map<String, Object>> processRows() {
     final long nowMs = context.nowMs();
-    // Whoever asks another control node now is that one's leased process.
+    // A process that has not asked for long asks another node now.
     reports.values().removeIf(report -> nowMs - report.receivedMs > PROCESS_REPORT_EXPIRY_MS);
     final List<Map<String, Object>> rows = new ArrayList<>();
     for (final TimedReport report : reports.values()) {
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -64,7 +64,8 @@
   void onReport(final ProcessReport process) {
     final boolean isStore = NodeRole.STORE.is(process.role);
     if (!raftNode.isReadyLeader()) {
-      // Only the leader decides; stores are told of each time, edges until they have their name.
+      // Only the leader decides: reports of stores are always forwarded to it, those of edges until
+      // they have a replica id.
       final boolean relevant =
           isStore || stateMachine.clusterState().replicaId(process.address, process.life) == 0;
       if (relevant && raftNode.leader() != null && !raftNode.leader().equals(raftNode.identity())) {
@@ -72,8 +73,8 @@
         request.process = process;
         transport.connect(RaftNode.addressOf(raftNode.leader())).send(request);
       } else if (relevant) {
-        // Nobody leads yet, or this member is about to: kept until then, so that nobody has to ask
-        // again.
+        // Nobody leads yet, or this node is about to: kept until then, so that the process need not
+        // ask again.
         pendingRegistrations.put(process.address, process);
       }
       return;
@@ -107,8 +108,7 @@
   }
 
   /**
-   * As many voters as the losses to be borne need, in different zones while there are enough of
-   * them.
+   * Chooses as many stores as the tolerated losses need, in different zones if there are enough.
    */
   private void chooseFirstStores() {
     if (!stateMachine.clusterState().stores.isEmpty()) {
@@ -131,7 +131,10 @@
     }
   }
 
-  /** Fewer zones than voters, or fewer stores: begun only once late ones have had time to call. */
+  /**
+   * Adds stores of the same zones when there are too few zones, but only after late ones have had
+   * time to report.
+   */
   private boolean fillFromSameZones(final List<String> identities) {
     final long waitedMs = context.nowMs() - firstReportTimeMs();
     if (waitedMs
@@ -207,7 +210,7 @@
     return rows;
   }
 
-  /** What each store holds of one tenant's account. */
+  /** One tenant's account as each store holds it. */
   List<Map<String, Object>> balanceRows(final String tenant) {
     final List<Map<String, Object>> rows = new ArrayList<>();
     storeReports
@@ -230,16 +233,14 @@
     return recentReportOf(node) != null || stateMachine.clusterState().retirementOf(node) != null;
   }
 
-  /**
-   * Led long enough that every store in touch has called: what is not known by now is not there.
-   */
+  /** Whether this node has led for long enough that every store in contact has reported. */
   boolean allStoresHaveReported() {
     return context.nowMs() - leaderSinceMs >= STORES_REPORT_MS;
   }
 
   /**
-   * Not of the system as far as this leader can know; one that called once and is silent now is of
-   * it.
+   * Whether a node is surely none of the system: all have had time to report, and it has not within
+   * REPLICA_RETIREMENT_MS.
    */
   boolean isCertainlyUnknown(final String node) {
     return allStoresHaveReported()
@@ -250,7 +251,7 @@
                         && context.nowMs() - report.receivedMs < REPLICA_RETIREMENT_MS);
   }
 
-  /** Whether enough stores stay when this one goes. */
+  /** Whether enough stores remain when this one is retired. */
   boolean canSpare(final String node) {
     final Set<String> retiring = stateMachine.clusterState().retiringAddresses();
     final long staying =
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -35,10 +35,7 @@
   private final ClusterStatus status;
   private final ChangeQueue changeQueue;
 
-  /**
-   * What goes back: a status, a JSON body, and the address of the leader when the call belongs
-   * there.
-   */
+  /** What goes back: an HTTP status, a JSON body, and the leader's address with a 307. */
   public record Response(int status, String json, String leaderAddress) {
     static Response of(final int status, final String json) {
       return new Response(status, json, null);
@@ -49,17 +46,24 @@
     }
 
     /**
-     * Neither taken nor refused as far as is known here: the caller asks again, here or elsewhere.
+     * Neither accepted nor refused as far as is known: the caller may send the same again, here or
+     * elsewhere.
      */
     static Response unclear(final String text) {
       return error(503, "UNCLEAR", text);
     }
   }
 
-  /** Base: the header as HTTP joins it, "5, 5" when it came twice, null when it did not come. */
+  /**
+   * A call.
+   *
+   * @param baseVersion the header as HTTP joins it: "5, 5" when it came twice, null when it did not
+   *     come
+   */
   public record Request(String method, String path, String baseVersion, byte[] body) {
     /**
-     * How long its caller is thought to wait: longer for more routes, which take longer to read.
+     * Milliseconds that its caller waits at most: more for larger bodies, which take longer to
+     * parse.
      */
     public long callerTimeoutMs() {
       return CALL_TIMEOUT_MS + body.length / CALL_BYTES_PER_EXTRA_MS;
@@ -79,9 +83,7 @@
     this.registry = registry;
   }
 
-  /**
-   * Who reads large bodies, one at a time, beside the owner's thread; without one the owner does.
-   */
+  /** Sets who parses bodies, one at a time, off the agent's thread; without one the agent does. */
   public void setExecutor(final TaskExecutor executor) {
     changeQueue.setExecutor(executor);
   }
@@ -106,7 +108,7 @@
     }
   }
 
-  /** What is wrong with a call whatever the state is, null when nothing is. */
+  /** The refusal of a call that no state could make right, null when there is none. */
   private static Response refusal(final OperatorCall call, final Request request) {
     if (call == null) {
       return Response.error(404, "PATH_UNKNOWN", request.path);
@@ -138,7 +140,7 @@
       }
       case BEGIN_RETIREMENT -> {
         final String node = OperatorCall.nameIn(request.path);
-        // In turn with all changes: two that begin at once must not both count on the same spare.
+        // In the queue of all changes: two retirements at once must not count on the same spare.
         changeQueue.submit(
             request.callerTimeoutMs(), null, () -> decideRetirement(node), responder);
       }
@@ -158,10 +160,7 @@
     return new Response(307, "{}", RaftNode.addressOf(leader));
   }
 
-  /**
-   * Told once a majority has confirmed, after the call came, that this member leads: by what its
-   * state is then.
-   */
+  /** Responds by the state that is found after a majority has confirmed the leadership. */
   private void respondWhenConfirmed(
       final Supplier<Response> decider, final Consumer<Response> responder) {
     raftNode.confirmLeadership(held -> responder.accept(held ? decider.get() : notLeader()));
@@ -194,7 +193,7 @@
 
   private CallDecision decide(final ConfigurationChange change) {
     final Response accepted = Response.of(200, "{\"Ver\":" + change.version() + "}");
-    // First of all: what was taken is never refused, for whatever reason.
+    // First of all: what was accepted is never refused, for whatever reason.
     if (stateMachine.wasAccepted(change.version(), change.digest())) {
       return CallDecision.finalResponse(accepted);
     }
@@ -218,14 +217,13 @@
           () ->
               change.prepare(current != null || json == null ? current : Configuration.read(json)));
     }
-    // Looked at anew after that: another leader may have gone on meanwhile, and what builds on an
-    // old base must not be proposed.
+    // The base was checked again after the preparation: another leader may have gone on meanwhile.
     return CallDecision.propose(
         change.command(), accepted, () -> stateMachine.cacheParsed(change.result()));
   }
 
   private CallDecision decideRetirement(final String node) {
-    // Kept for good, so its repeat is known also when the machine is long gone.
+    // Retirements are kept for good, so a repeat is known even when the machine is long gone.
     if (stateMachine.clusterState().retirementOf(node) != null) {
       return CallDecision.finalResponse(Response.of(200, "{}"));
     }
@@ -248,17 +246,14 @@
   }
 
   /**
-   * A leader knows the store machines by their calls: before they have called it knows nothing
-   * against an order.
+   * A leader knows stores by their reports: before they have reported, it can say nothing against a
+   * call.
    */
   private static Response storesNotReported() {
     return Response.unclear("not all store machines have called yet, ask again");
   }
 
-  /**
-   * A tenant's terms, and its account at each store; one that is gone from the configuration may
-   * still owe.
-   */
+  /** A tenant's terms, and its account at each store; a tenant that was removed may still owe. */
   private Response showQuota(final String name) {
     final Configuration.Tenant tenant =
         stateMachine.currentConfiguration() == null
--- a/src/main/java/yewjunction/membership/FailureDetector.java
+++ b/src/main/java/yewjunction/membership/FailureDetector.java
@@ -29,12 +29,12 @@
   private final ArrayDeque<String> ownZoneQueue = new ArrayDeque<>();
   private final ArrayDeque<String> otherZonesQueue = new ArrayDeque<>();
 
-  /** By address: a datagram has no connection that would end with its sender. */
+  /** Keyed by address: a datagram has no connection that would end with its sender. */
   private final PendingRequests<String, Runnable> pendingRequests;
 
   /**
-   * Sent, for others too: what is asked for them changes the turn, or all that started together
-   * would look across together.
+   * Counts pings for others too: else all processes that started together would ping other zones at
+   * the same moment.
    */
   private long pingsSent;
 
@@ -45,7 +45,7 @@
   }
 
   void start() {
-    // Spread over a period, so that processes started together do not ping together.
+    // Spread over one interval, so that processes that started together do not ping together.
     context.schedule(context.random().nextInt((int) PING_INTERVAL_MS), this::pingNext);
   }
 
@@ -113,7 +113,7 @@
   private String nextTarget() {
     final boolean toOtherZones = pingsSent % CROSS_ZONE_PING_EVERY == CROSS_ZONE_PING_EVERY - 1;
     final String target = nextFrom(toOtherZones ? otherZonesQueue : ownZoneQueue, toOtherZones);
-    // A zone with nobody else in it looks across every time.
+    // A process that is alone in its zone pings other zones every time.
     return target != null
         ? target
         : nextFrom(toOtherZones ? ownZoneQueue : otherZonesQueue, !toOtherZones);
@@ -147,7 +147,8 @@
     Collections.shuffle(helpers, context.random());
     for (int i = 0; i < Math.min(PING_REQUEST_HELPERS, helpers.size()); i++) {
       final PingRequest pingRequest = new PingRequest();
-      // Each opinion is a question of its own: it counts from whom it was asked.
+      // Each indirect ping is a request of its own: its response counts only from the helper that
+      // was asked.
       pingRequest.requestId = pendingRequests.add(helpers.get(i), answered);
       numbers.add(pingRequest.requestId);
       pingRequest.target = target;
--- a/src/main/java/yewjunction/membership/Member.java
+++ b/src/main/java/yewjunction/membership/Member.java
@@ -11,19 +11,19 @@
   static final int LEFT = 2;
   static final int GONE = 3;
 
-  /** ip:port for peers; the key. */
+  /** ip:port for other nodes; the key. */
   public String address = "";
 
   public String node = "";
   public String zone = "";
 
-  /** edge, store or control node. */
+  /** The wire name of its {@link NodeRole}. */
   public String role = "";
 
-  /** Where clients connect, empty where they do not. */
+  /** Where clients connect; empty when they do not. */
   public String clientAddress = "";
 
-  /** Drawn at each start of the process: tells lives at one address apart. */
+  /** A number drawn at each start of the process: tells lives at one address apart. */
   public long life;
 
   public boolean ready;
@@ -31,8 +31,8 @@
   int state;
 
   /**
-   * A life's first number, above all of earlier lives where clocks are about right; where not,
-   * refuting mends it.
+   * Sets the first incarnation of this life. It should be above those of earlier lives; if not,
+   * refuting corrects it.
    */
   public void setIncarnation(final long firstNumber) {
     incarnation = firstNumber;
@@ -52,7 +52,7 @@
     return copied;
   }
 
-  /** Differs where two know different things of it. */
+  /** A hash that differs when two members know different things of this one. */
   long digest() {
     long mixed =
         (address.hashCode() * 31L + life) * 0x9e3779b97f4a7c15L + incarnation * 2 + (ready ? 1 : 0);
@@ -70,7 +70,9 @@
     return state == SUSPECT;
   }
 
-  /** Whether this news goes over what is known: a higher number wins, then the worse state. */
+  /**
+   * Whether this version wins over a known one: a higher incarnation does, then the worse state.
+   */
   boolean supersedes(final Member known) {
     return incarnation > known.incarnation
         || incarnation == known.incarnation && state > known.state;
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -57,7 +57,11 @@
     seedJoiner = new SeedJoiner(context, this);
   }
 
-  /** Seeds are peer addresses of control node processes; some may be stale. */
+  /**
+   * Starts pinging and joining.
+   *
+   * @param firstSeeds addresses of control nodes, some of which may be stale
+   */
   public void start(final List<String> firstSeeds) {
     seedJoiner.setSeeds(firstSeeds);
     seedJoiner.start();
@@ -83,7 +87,7 @@
     return Collections.unmodifiableCollection(members.values());
   }
 
-  /** Peers of a duty that are up, own zone first, without this process. */
+  /** The other members of a role that are up, those of the own zone first. */
   public List<Member> membersUp(final NodeRole role) {
     final List<Member> chosen = new ArrayList<>();
     for (final Member member : members.values()) {
@@ -116,7 +120,7 @@
     }
   }
 
-  /** Says goodbye, so that nobody suspects first. */
+  /** Tells the others that this process leaves, so that nobody has to suspect it first. */
   public void leave() {
     left = true;
     self.state = Member.LEFT;
@@ -139,7 +143,7 @@
     pendingUpdates.put(address, UPDATE_TRANSMISSIONS);
   }
 
-  /** Who explains why a member may be away: planned work, or null for none. */
+  /** Sets what names the planned work at a member; it returns null when there is none. */
   public void setPlannedWork(final Function<Member, String> explainer) {
     plannedWork = explainer;
   }
@@ -159,8 +163,8 @@
   }
 
   /**
-   * Told at once and again, so that it can refute before the time is over though datagrams get
-   * lost.
+   * Tells the member that it is suspected, several times since datagrams get lost, so that it can
+   * refute.
    */
   private void notifySuspect(final Member member) {
     if (members.get(member.address) == member && member.state == Member.SUSPECT && !left) {
@@ -192,8 +196,7 @@
 
   void send(final String address, final MembershipMessage message) {
     message.sender = self.copy();
-    // Whoever is thought to be away hears so first: a restarted or wrongly suspected one then
-    // refutes it.
+    // A receiver that is not thought to be up is told so first: if it runs, it refutes that.
     final Member receiver = members.get(address);
     if (receiver != null && receiver.state != Member.UP) {
       message.updates.add(receiver.copy());
@@ -221,11 +224,11 @@
     }
     final long numberBefore = self.incarnation;
     onUpdate(message.sender, true);
-    // Whoever asks a seed hears all of it: passing that on would cost each of a hundred that start
-    // together as many times.
+    // What comes with a whole list is not passed on: a hundred processes that start together would
+    // tell each other a hundred lists.
     message.updates.forEach(news -> onUpdate(news, !(message instanceof SyncResponse)));
     if (self.incarnation != numberBefore) {
-      // A refutation goes straight back to whoever doubted.
+      // A refutation goes straight back to whoever suspected this process.
       send(from, new Ack());
     }
     if (message instanceof SyncRequest syncRequest) {
@@ -237,7 +240,7 @@
 
   private void onUpdate(final Member news, final boolean passedOn) {
     if (news.address.equals(self.address)) {
-      // News of an earlier life, or a suspicion: refuted by a higher number.
+      // An update about an earlier life, or a suspicion: refuted by a higher incarnation.
       if (!left
           && news.incarnation >= self.incarnation
           && (news.life != self.life || news.state != Member.UP)) {
@@ -247,7 +250,7 @@
     }
     final Member known = members.get(news.address);
     if (known == null) {
-      // Someone unknown who is gone already is no news.
+      // An unknown member that is gone already is ignored.
       if (news.isUp()) {
         members.put(news.address, news);
         changedMs.put(news.address, context.nowMs());
--- a/src/main/java/yewjunction/membership/MembershipMessages.java
+++ b/src/main/java/yewjunction/membership/MembershipMessages.java
@@ -37,15 +37,18 @@
     long requestId;
   }
 
-  /** Asks the receiver for a second opinion about the target. */
+  /**
+   * Asks the receiver to ping the target. Response: {@link Ack} with the same number if the target
+   * responds.
+   */
   static final class PingRequest extends MembershipMessage {
     long requestId;
     String target;
   }
 
-  /** A new member asks for the whole membership. */
+  /** Asks for the whole list. Response: {@link SyncResponse}. */
   static final class SyncRequest extends MembershipMessage {
-    /** Of all that the sender knows, itself included: who knows the same need not tell it. */
+    /** A digest of the sender's list: a receiver with the same list need not send it. */
     long digest;
   }
 
--- a/src/main/java/yewjunction/membership/SeedJoiner.java
+++ b/src/main/java/yewjunction/membership/SeedJoiner.java
@@ -36,9 +36,9 @@
   }
 
   /**
-   * A new member asks again and again at a falling pace: the seeds themselves learn who started
-   * together with it, and news that ride on pings take tens of seconds to tell of a hundred. Later
-   * it heals a membership list that split.
+   * Asks for the list now and at growing intervals: seeds themselves learn only by and by who
+   * started together with this process, and updates on pings take tens of seconds to tell of a
+   * hundred. Later it heals a list that has split.
    */
   void start() {
     if (membership.hasLeft()) {
@@ -46,9 +46,9 @@
     }
     final List<String> others = new ArrayList<>(seeds);
     others.remove(membership.self().address);
-    // Once others are known one of the own zone knows as much, and its bytes cost nothing; the
-    // seeds now and then. Not at first: where all have started together their neighbours know as
-    // little as they do.
+    // Once others are known, a member of the own zone knows as much and its bytes cost nothing;
+    // seeds are asked now and then. Not at first: where all have started together, neighbours know
+    // as little.
     if (++syncsSent > SEED_SYNCS_AT_START && context.random().nextInt(SEED_SYNC_EVERY) > 0) {
       final List<String> near =
           membership.all().stream()
@@ -85,8 +85,8 @@
   }
 
   /**
-   * The whole membership, in datagrams of a bounded size; to one that knows the same only that this
-   * process is there.
+   * Sends the whole list, in datagrams of bounded size, or only this process to one that knows the
+   * same list.
    */
   void respond(final String from, final SyncRequest syncRequest) {
     SyncResponse syncResponse = new SyncResponse();
