--- a/src/main/java/yewjunction/control/ChangeQueue.java
+++ b/src/main/java/yewjunction/control/ChangeQueue.java
@@ -37,15 +37,15 @@
   /**
    * Creates an empty queue.
    *
-   * @param elsewhere what to answer when this node does not lead
+   * @param notLeaderResponse what to answer when this node does not lead
    */
   ChangeQueue(
       final AgentContext context,
       final RaftNode raftNode,
-      final Supplier<OperatorApi.Response> elsewhere) {
+      final Supplier<OperatorApi.Response> notLeaderResponse) {
     this.context = context;
     this.raftNode = raftNode;
-    this.notLeaderResponse = elsewhere;
+    this.notLeaderResponse = notLeaderResponse;
   }
 
   void setExecutor(final TaskExecutor chosenExecutor) {
--- a/src/main/java/yewjunction/control/Configuration.java
+++ b/src/main/java/yewjunction/control/Configuration.java
@@ -41,7 +41,13 @@
   private final Map<String, Tenant> tenantsByName = new HashMap<>();
   private int maxSubscriptions = Integer.MAX_VALUE;
 
-  /** A space of topics. */
+  /**
+   * A prefix of topics and its terms.
+   *
+   * @param timeoutMs until a publish is answered
+   * @param retentionMs for which messages are stored
+   * @param after names of routes whose earlier messages come first
+   */
   public record Route(
       String name,
       String host,
@@ -51,8 +57,8 @@
       boolean isPublic,
       Set<String> after) {
     /**
-     * Whether a message here comes to no subscriber of both before an earlier one of the other
-     * space.
+     * Whether no subscriber of both gets a message of this route before an earlier one of the
+     * other.
      */
     public boolean follows(final Route other) {
       return after.contains(other.name);
@@ -60,8 +66,10 @@
   }
 
   /**
-   * Borrow: whole messages it may owe, 0 for none; repay: millionths of its rate withheld while it
-   * owes.
+   * Who sends and subscribes by its keys.
+   *
+   * @param borrowMax whole messages it may owe, 0 for none
+   * @param repayPpm millionths of its rate withheld while it owes
    */
   public record Tenant(
       String name,
@@ -132,7 +140,7 @@
     for (final Route route : routes) {
       checkAfter(route, names);
     }
-    // The longest prefix wins: the first that fits is the one.
+    // The longest prefix wins, so the first that fits is the one.
     routes.sort((one, other) -> other.prefix.length() - one.prefix.length());
   }
 
@@ -211,7 +219,7 @@
       throw new ConfigurationException(
           CONFIG_FIELD, path + ".BorrowMax: must be a whole number from 0 to " + MAX_BORROW);
     }
-    // A share that no millionth is left of would never repay anything.
+    // A share below a millionth would never repay anything.
     if (!(repayShare >= 1e-6 && repayShare <= 1)) {
       throw new ConfigurationException(
           CONFIG_FIELD, path + ".RepayShare: must be above 0 (at least 0.000001) and at most 1");
@@ -280,13 +288,13 @@
   }
 
   /**
-   * The same for two configurations that mean the same to whoever serves by them, in whatever order
-   * they say it.
+   * A hash that is the same for two configurations with the same meaning, in whatever order they
+   * list it.
    */
   long digest() {
     long sum = version * 31 + maxSubscriptions;
     for (final Route route : routes) {
-      // Spelt out: the order in which a set lists its names differs from process to process.
+      // Sorted: the order in which a set lists its names differs from process to process.
       sum +=
           (route.name
                       + " "
--- a/src/main/java/yewjunction/control/ConfigurationChange.java
+++ b/src/main/java/yewjunction/control/ConfigurationChange.java
@@ -76,8 +76,8 @@
     } catch (final ConfigException found) {
       failure = new ConfigurationException(CONFIG_FIELD, found.getMessage(), found);
     } catch (final StackOverflowError found) {
-      // The reader calls itself for each level: a text that only opens brackets ends its stack, and
-      // nothing else.
+      // The parser is recursive: a text that only opens brackets overflows the stack, which is
+      // refused like other faults.
       failure = new ConfigurationException(CONFIG_UNREADABLE, "nested too deeply", found);
     }
   }
@@ -87,7 +87,7 @@
     return call == OperatorCall.REPLACE_CONFIGURATION ? "config replace" : "config update";
   }
 
-  /** What was read goes, the text stays: many that wait must not fill the memory. */
+  /** Drops what was parsed and keeps the text: many waiting changes must not fill the memory. */
   void discardParsed() {
     sent = null;
     replacement = null;
@@ -100,7 +100,7 @@
     return version;
   }
 
-  /** Null where it could not be read at all. */
+  /** Null when the body could not be parsed. */
   String digest() {
     return digest;
   }
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Versions only rise: what names none above its own base is taken on no base. */
+  /** Whether the version is above the base version; else the change is valid on no base. */
   boolean raisesVersion() {
     return version > baseVersion;
   }
@@ -123,8 +123,8 @@
   }
 
   /**
-   * What is to be agreed on, worked out on a base that is current, beside the owner's thread: a
-   * base's text never changes, so neither does this, nor a failure found here.
+   * Computes the command for a base, off the agent's thread. A version's text never changes, so
+   * neither does the outcome.
    */
   void prepare(final Configuration current) {
     prepared = true;
@@ -161,12 +161,12 @@
     return prepared;
   }
 
-  /** Null until it is prepared, or where it has a failure. */
+  /** The command to propose; null until it is prepared, or when the change is not valid. */
   ControlCommand command() {
     return command;
   }
 
-  /** What its base becomes by it. */
+  /** The configuration that the change leads to. */
   Configuration result() {
     return result;
   }
--- a/src/main/java/yewjunction/control/ConfigurationPatches.java
+++ b/src/main/java/yewjunction/control/ConfigurationPatches.java
@@ -24,7 +24,7 @@
 final class ConfigurationPatches {
   private ConfigurationPatches() {}
 
-  /** Adds the patch to the command where there is one that leads to exactly the same. */
+  /** Adds a patch to the command if there is one that leads to exactly the same configuration. */
   static void attachTo(
       final ControlCommand command, final Configuration before, final Configuration after) {
     if (before == null) {
@@ -39,7 +39,7 @@
         command.patchDigest = after.digest();
       }
     } catch (final ConfigException | ConfigurationException failure) {
-      // Without a patch all are told the whole: never a reason to deny what was checked already.
+      // Without a patch the whole is sent: no reason to refuse what was checked already.
       command.patch = null;
     }
   }
@@ -53,7 +53,8 @@
       final ConfigValue old = before.root().get(list);
       final ConfigValue fresh = after.root().get(list);
       if (fresh == null || fresh.valueType() != ConfigValueType.LIST) {
-        // A field as a whole, or one that went: an Upsert says it only where it is an object.
+        // An update can replace a field that is no list only if it is an object, and can remove
+        // none.
         if (!java.util.Objects.equals(old, fresh)) {
           if (fresh == null || fresh.valueType() != ConfigValueType.OBJECT) {
             return null;
@@ -106,7 +107,7 @@
 
   private static ConfigValue mergeList(
       final Config source, final String list, final Config upserts, final Config removals) {
-    // Lims is no list of named items: an Upsert of it stands for the whole of it.
+    // Lims is no list of named items: an Upsert replaces it as a whole.
     if (upserts.hasPath(list) && upserts.getValue(list).valueType() == ConfigValueType.OBJECT) {
       return upserts.getValue(list);
     }
--- a/src/main/java/yewjunction/control/RecentChanges.java
+++ b/src/main/java/yewjunction/control/RecentChanges.java
@@ -15,7 +15,10 @@
   private final ArrayDeque<VersionPatch> patches = new ArrayDeque<>();
   private final ArrayDeque<ClusterState.Change> changes = new ArrayDeque<>();
 
-  /** What makes one version of the configuration of the one before, and what the result must be. */
+  /**
+   * The update that leads from one version to the next, and the digest of the result; encoded by
+   * position.
+   */
   static final class VersionPatch {
     long baseVersion;
     long version;
@@ -25,7 +28,7 @@
 
   void add(final ControlCommand command) {
     if (command.patch == null) {
-      // Only the whole leads across this version.
+      // No patch leads to this version.
       patches.clear();
       return;
     }
@@ -54,8 +57,8 @@
   }
 
   /**
-   * Patches from that version on, in order; null when only the whole leads from there, or is not
-   * much longer.
+   * The patches from a version on, in order; null when there are not all, or the whole is not much
+   * longer.
    */
   List<VersionPatch> patchesFrom(final long version, final int wholeLength) {
     final List<VersionPatch> found = new ArrayList<>();
--- a/src/main/java/yewjunction/fanout/FanoutMessages.java
+++ b/src/main/java/yewjunction/fanout/FanoutMessages.java
@@ -31,15 +31,15 @@
   }
 
   /**
-   * An edge asks a store to be its serving store, from the last index it has processed; -1 for a
-   * fresh one.
+   * An edge asks a store to serve it from the last index it has processed; -1 for a new edge.
+   * Response: {@link AttachResponse}.
    */
   static final class AttachRequest {
     long replica;
     String node = "";
     long lastIndex;
 
-    /** The digest of the edge's own part of the set, which came just before. */
+    /** The digest of the edge's own state of the set, which was sent just before. */
     long digest;
   }
 
@@ -47,13 +47,19 @@
   static final class AttachResponse {
     boolean accepted;
 
-    /** Where the stream starts; above the asked index when older messages are gone. */
+    /**
+     * Where the stream starts; above the requested index when messages in between are no longer
+     * kept.
+     */
     long startIndex;
 
     String leader = "";
   }
 
-  /** Messages in order between two indices; an edge takes it only when from is where it stands. */
+  /**
+   * Messages in order between two indices; an edge takes it only when the first is where its stream
+   * ends.
+   */
   static final class StreamBatch {
     long previousIndex;
     long throughIndex;
@@ -61,14 +67,17 @@
     List<StoredMessage> messages = new ArrayList<>();
   }
 
-  /** Early word of a new instance of the set, and the subscription it stands for. */
+  /**
+   * Announces a new instance of the set and the subscription that it stands for. Response: {@link
+   * ReplayResponse}.
+   */
   static final class SubscribeRequest {
     long requestId;
     String topic = "";
     String client = "";
     long instance;
 
-    /** Messages behind this are wanted; -1 for new ones only. */
+    /** Messages after this index are wanted; -1 for new ones only. */
     long position;
   }
 
@@ -82,11 +91,11 @@
     long position;
     List<StoredMessage> messages = new ArrayList<>();
 
-    /** There is more up to the position: to be asked for. */
+    /** Whether there is more up to the position, to be requested. */
     boolean more;
   }
 
-  /** Asks for the next piece of a topic's older messages, behind one index and up to another. */
+  /** Asks for the next chunk of a topic's older messages. Response: {@link ReplayResponse}. */
   static final class ReplayRequest {
     long requestId;
     String topic = "";
@@ -94,42 +103,43 @@
     long throughIndex;
   }
 
-  /** An edge is still there. */
+  /** The edge is still there. */
   static final class Heartbeat {
     long lastIndex;
   }
 
-  /** Whole states of some parts of the set. */
+  /** Whole states of some replicas of the set. */
   static final class ReplicaStates {
     byte[] states = new byte[0];
 
-    /** The digest of the sending edge's own part; 0 from others. */
+    /** The digest of the sending edge's own state; 0 from others. */
     long digest;
   }
 
-  /** Digests of what the sender holds: asks for the parts that differ. */
+  /**
+   * Digests of the states that the sender holds: asks for those that differ. Response: {@link
+   * DigestResponse}.
+   */
   static final class DigestRequest {
     byte[] digests = new byte[0];
 
-    /** Cells that the answer may carry, about. */
+    /** About how many instances the response may carry. */
     int maxCells;
 
-    /** Whether the sender answers in kind. */
+    /** Whether the sender will send the states that the receiver lacks. */
     boolean mutual;
 
-    /**
-     * Only the parts of the receiver's own edges are asked for: others have theirs from elsewhere.
-     */
+    /** Whether only the states of the receiver's own edges are asked for. */
     Boolean ownEdgesOnly;
   }
 
-  /** The answer to a gauge: parts that differ, and which of the asker's are wanted. */
+  /** States that differ, and the replicas whose states are wanted in return. */
   static final class DigestResponse {
     byte[] states = new byte[0];
     List<Long> wantedReplicas = new ArrayList<>();
   }
 
-  /** A client of the edge asks how many subscribe a topic. */
+  /** A client of the edge asks how many subscribe to a topic. Response: {@link CountResponse}. */
   static final class CountRequest {
     long requestId;
     String topic = "";
--- a/src/main/java/yewjunction/fanout/StreamClient.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -43,7 +43,7 @@
   private int refusals;
   private String leader = "";
 
-  /** Told of what comes from the serving store. */
+  /** Is told of what comes from the store. */
   public interface Listener {
     /** A message, in the order of the log. */
     void onMessage(StoredMessage message);
@@ -55,18 +55,24 @@
     /** Who leads the stores now. */
     void onLeaderChange(String address);
 
-    /** The serving store hears a leader right now. */
+    /** The store hears a leader right now. */
     void onLeaderReachable();
 
-    /** A serving store took this edge: what is still open is asked again. */
+    /** A store serves this edge now: what is unanswered has to be requested again. */
     void onAttached();
 
-    /** Messages this edge should have had are gone: its clients must take up their cursors anew. */
+    /**
+     * Messages that this edge should have had are no longer kept: its clients have to resume by
+     * their cursors.
+     */
     void onStreamGap();
   }
 
   /**
-   * Stores: addresses, the own zone's first. Changed: something of the set may have been merged.
+   * Creates a client that is attached to no store.
+   *
+   * @param stores their addresses, those of the own zone first
+   * @param changed called when states of the set may have been merged
    */
   public StreamClient(
       final AgentContext context,
@@ -97,10 +103,9 @@
     context.scheduleAtFixedRate(
         STREAM_HEARTBEAT_INTERVAL_MS / 3,
         () -> {
-          // Without a serving store clients wait: looked for at a faster pace than a serving store
-          // is kept at.
+          // Without a store clients wait: it is looked for more often than heartbeats are sent.
           if (server != null && context.nowMs() - lastContactMs > STREAM_TIMEOUT_MS) {
-            // An unreachable machine resets nothing: silence is all there is to go by.
+            // A machine that is cut off resets no connection: silence is the only sign.
             detach();
             attempt++;
           }
@@ -111,7 +116,7 @@
         });
   }
 
-  /** ms without a serving store, 0 while there is one. */
+  /** Milliseconds without a store, 0 while attached. */
   public long detachedMs() {
     return attached ? 0 : context.nowMs() - detachedMs;
   }
@@ -132,9 +137,7 @@
     }
   }
 
-  /**
-   * The own zone's store is nearest: an edge that fled goes back once that has been up for a while.
-   */
+  /** Goes back to the store of the own zone once that has been up for a while. */
   private void returnToOwnZone(final long nowMs) {
     final List<String> addresses = stores.get();
     if (addresses.isEmpty() || addresses.get(0).equals(server.remoteAddress())) {
@@ -155,7 +158,7 @@
     }
     server = transport.connect(addresses.get(Math.floorMod(attempt, addresses.size())));
     lastContactMs = context.nowMs();
-    // Its own part of the set comes first, so that the stream starts with all this edge's
+    // The edge's own state of the set is sent first, so that the stream starts with all its
     // subscriptions.
     sync.sendStates(
         server, List.of(subscriptions.self()), subscriptions.digest(subscriptions.self()));
@@ -171,10 +174,7 @@
     return syncClient;
   }
 
-  /**
-   * What was said under the old name counts no more: attached anew under the new one, as soon as
-   * there is one.
-   */
+  /** Attaches anew under the new replica id, as soon as there is one. */
   public void onReplicaIdChanged() {
     detach();
     attach();
@@ -189,16 +189,15 @@
         detachedMs = context.nowMs();
         LogEvent.STORE_DETACHED.info(left.remoteAddress());
       }
-      // Closed, so that nothing of the old stream can arrive any more.
+      // Closed, so that nothing of the old stream arrives any more.
       left.close();
     }
   }
 
   private void onClose(final PeerConnection connection) {
     if (connection == server) {
-      // A connection that broke may be the connection's own trouble: the same serving store is
-      // asked first, and only one that does not take this edge again is given up for another
-      // zone's.
+      // The fault may lie with the connection alone: the same store is asked first, and another one
+      // only if it does not take this edge again.
       if (!attached) {
         attempt++;
       }
@@ -215,7 +214,8 @@
     if (!response.accepted) {
       detach();
       attempt++;
-      // Each store is asked once a heartbeat: the next one at once, the same again a little later.
+      // Each store is asked once a heartbeat interval: the next one at once, the same one a little
+      // later.
       if (++refusals < stores.get().size()) {
         attach();
       }
@@ -246,7 +246,7 @@
       return;
     }
     lastContactMs = context.nowMs();
-    // Each piece names its predecessor: a gap shows, and the stream is taken up anew.
+    // Each batch names the index before it: after a gap the edge attaches anew.
     if (batch.previousIndex != lastIndex) {
       LogEvent.STREAM_GAP.warn("at " + lastIndex + ", piece from " + batch.previousIndex);
       detach();
--- a/src/main/java/yewjunction/fanout/StreamServer.java
+++ b/src/main/java/yewjunction/fanout/StreamServer.java
@@ -43,18 +43,21 @@
   private long upToDateMs;
   private boolean closing;
 
-  /** One attached edge. */
+  /** What this store knows of an edge that is attached to it. */
   private static final class AttachedEdge {
     String node;
     long replica;
 
-    /** The edge was told of everything up to here. */
+    /** Index up to which batches were sent. */
     long sentIndex;
 
-    /** Up to here nothing else is wanted. */
+    /** Index up to which messages were looked at for this edge. */
     long scannedIndex;
 
-    /** Instances told ahead of the set, by topic; used only until w covers them. */
+    /**
+     * Instances that the edge announced before the set had them, by topic; used only until w(s)
+     * covers them.
+     */
     final Map<String, Long> announcedInstances = new HashMap<>();
   }
 
@@ -83,7 +86,7 @@
     context.scheduleAtFixedRate(STREAM_HEARTBEAT_INTERVAL_MS, this::heartbeat);
   }
 
-  /** The attached edges' replicas. */
+  /** The replica ids of the attached edges. */
   Map<PeerConnection, Long> replicaByConnection() {
     final Map<PeerConnection, Long> edges = new LinkedHashMap<>();
     attachedEdges.forEach((connection, edge) -> edges.put(connection, edge.replica));
@@ -100,7 +103,7 @@
 
   private void onAttachRequest(final PeerConnection connection, final AttachRequest request) {
     final AttachResponse response = new AttachResponse();
-    // One that hears no leader, or lags behind what the edge has seen, is a poor serving store.
+    // A store that hears no leader, or lags behind what the edge has seen, does not serve it.
     response.accepted = !closing && isUpToDate() && raftNode.appliedIndex() >= request.lastIndex;
     response.leader = leader();
     if (response.accepted) {
@@ -127,10 +130,10 @@
     if (edge == null) {
       return;
     }
-    // The stream first: what is behind the position and on its way already stays in order.
+    // Streams first, so that what lies behind the position stays in order.
     streamTo(connection, edge, false);
-    // The client has come to this edge: what it held at others is cancelled, which the edge itself
-    // may not know of.
+    // The client has moved to this edge: its instances at other edges are cancelled, which this
+    // edge may not know of.
     subscriptions.moveTo(request.topic, request.client, edge.replica);
     edge.announcedInstances.merge(request.topic, request.instance, Math::max);
     final ReplayResponse response = new ReplayResponse();
@@ -142,7 +145,9 @@
     connection.send(response);
   }
 
-  /** A piece of bounded size; the asker comes back for the next one when it has room for it. */
+  /**
+   * Adds messages up to a bounded size; the edge asks for the next chunk when it has room for it.
+   */
   private void addMessages(
       final ReplayResponse response, final String topic, final long after, final long upTo) {
     final List<StoredMessage> behind = messageStore.messagesAfter(topic, after);
@@ -164,8 +169,8 @@
     if (!attachedEdges.containsKey(connection)) {
       return;
     }
-    // Named by another serving store that was ahead of this one: answered once as much is applied
-    // here.
+    // The index was named by another store that was ahead of this one: answered once as much is
+    // applied here.
     if (raftNode.appliedIndex() < request.throughIndex) {
       context.schedule(
           STREAM_HEARTBEAT_INTERVAL_MS / 10, () -> onReplayRequest(connection, request));
@@ -187,7 +192,7 @@
       return false;
     }
     if (early <= subscriptions.observed(edge.replica)) {
-      // The set has caught up and says no: the subscription was given up since.
+      // The set has caught up, and the subscription has ended since.
       edge.announcedInstances.remove(topic);
       return false;
     }
@@ -237,7 +242,7 @@
     if (isUpToDate()) {
       upToDateMs = nowMs;
     }
-    // Cut off from the others, or behind them, for long: the edges do better elsewhere.
+    // Cut off from the leader, or behind it, for long: another store serves the edges better.
     if (nowMs - upToDateMs > 2 * STREAM_TIMEOUT_MS) {
       detachAll();
       closing = false;
@@ -245,12 +250,12 @@
     attachedEdges.forEach((connection, edge) -> streamTo(connection, edge, true));
   }
 
-  /** Edges hear of a new leader at once: their messages wait for it. */
+  /** Tells the edges of a new leader at once: their messages wait for it. */
   public void onLeaderChange() {
     attachedEdges.forEach((connection, edge) -> streamTo(connection, edge, true));
   }
 
-  /** Sends the edges elsewhere. */
+  /** Closes the streams, and takes no edge any more: they attach to other stores. */
   public void detachAll() {
     closing = true;
     List.copyOf(attachedEdges.keySet()).forEach(PeerConnection::close);
--- a/src/main/java/yewjunction/fanout/SubscriptionSync.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSync.java
@@ -25,7 +25,10 @@
   private final Supplier<Collection<Long>> ownReplicas;
 
   /**
-   * Own: the replicas that this process hears of first. Changed: something may have been merged.
+   * Registers the handlers.
+   *
+   * @param own the replicas that this process hears of first
+   * @param changed called when states may have been merged
    */
   SubscriptionSync(
       final AgentContext context,
@@ -56,13 +59,17 @@
     connection.send(states);
   }
 
-  /** Asks for what differs there; with mutual set, what differs here is given too. */
+  /**
+   * Asks for the states that differ.
+   *
+   * @param mutual whether the states that differ are sent in return
+   */
   void requestDifferences(
       final PeerConnection connection, final int mostCells, final boolean mutual) {
     connection.send(digestRequest(mostCells, mutual));
   }
 
-  /** Asks for the parts of that serving store's own edges, where they differ. */
+  /** Asks a store for the states of its own edges that differ. */
   void requestOwnEdges(final PeerConnection connection) {
     final DigestRequest request = digestRequest(MAX_SYNC_CELLS, false);
     request.ownEdgesOnly = true;
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
@@ -82,7 +82,10 @@
     }
   }
 
-  /** How many subscribe, from the serving store; false when it can't be asked. */
+  /**
+   * Asks the store how many clients subscribe to a topic; returns false when there is no store to
+   * ask.
+   */
   public boolean requestCount(final String topic, final IntConsumer response) {
     final PeerConnection server = attachedServer.get();
     if (server == null) {
@@ -95,10 +98,7 @@
     return server.send(request);
   }
 
-  /**
-   * Questions that the serving store has not answered in time are answered from here: -1 asks the
-   * asker to do so.
-   */
+  /** Ends requests that were not answered in time with -1. */
   public void expireCounts() {
     final long nowMs = context.nowMs();
     for (final Iterator<PendingCount> each = pendingCounts.values().iterator(); each.hasNext(); ) {
@@ -110,7 +110,10 @@
     }
   }
 
-  /** Early word of a new instance, and the subscription it stands for. */
+  /**
+   * Announces a new subscription, so that messages are streamed for it before the set has been
+   * exchanged.
+   */
   public void announceSubscription(
       final long requestId,
       final String topic,
@@ -129,7 +132,7 @@
     }
   }
 
-  /** The next piece of older messages. */
+  /** Asks for the next chunk of older messages. */
   public void requestReplay(
       final long requestId, final String topic, final long after, final long upTo) {
     final PeerConnection server = attachedServer.get();
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -37,7 +37,7 @@
   private final SubscriptionSync sync;
   private final LongPredicate liveReplicas;
 
-  /** What each edge holds of its own part, by the digest it named. */
+  /** The digest of each edge's own state, as the edge has named it. */
   private final Map<PeerConnection, Long> digestByConnection = new HashMap<>();
 
   private long rounds;
@@ -74,7 +74,8 @@
         });
     transport.onMessage(CountRequest.class, this::onCountRequest);
     transport.onClose(digestByConnection::remove);
-    // Started together, they would all pause for it in the same second.
+    // Begins at a random round, so that stores that started together do not sync everything
+    // together.
     rounds = context.random().nextInt(FULL_SYNC_EVERY);
     context.scheduleAtFixedRate(SYNC_INTERVAL_MS, this::syncRound);
   }
@@ -83,7 +84,8 @@
     final boolean first = context.nowMs() - lastCountMs > COUNT_INTEREST_MS;
     lastCountMs = context.nowMs();
     if (first) {
-      // Nobody asked for long, so little is known here of other zones: the next questions find it.
+      // Nobody has asked for long, so little is known here of other zones: it will be for the next
+      // requests.
       syncOwnEdgesOfOtherZones();
     }
     final CountResponse response = new CountResponse();
@@ -94,7 +96,7 @@
 
   private void syncRound() {
     rounds++;
-    // Other serving stores look for those that have edges: the rest need not know the set.
+    // A store without edges need not know the set: others find by this which ones to sync with.
     membership.setReady(!streamServer.replicaByConnection().isEmpty());
     streamServer
         .replicaByConnection()
@@ -112,9 +114,9 @@
   }
 
   /**
-   * Inside the zone with one other serving store a round. Across zones, where bytes are dear,
-   * seldom; while somebody asks for counts each serving store tells of its own edges, and no more:
-   * with clients coming and going every part changes every second.
+   * Syncs with one other store of the zone each round, and seldom with other zones, where bytes are
+   * expensive. While clients ask for counts, stores of other zones are asked for the states of
+   * their own edges only: with clients that come and go, all states change every second.
    */
   private void syncWithServers() {
     final Map<String, Member> partners = new HashMap<>();
@@ -129,8 +131,7 @@
     partners.forEach(
         (zone, member) -> {
           final boolean inside = zone.equals(membership.self().zone);
-          // Both sides give and take; across zones only a little of what no serving store tells of
-          // itself.
+          // Both sides send what differs; across zones only a little of it.
           if (inside || heals) {
             sync.requestDifferences(
                 transport.connect(member.address),
@@ -143,7 +144,7 @@
     }
   }
 
-  /** Each serving store of another zone tells of its own edges. */
+  /** Asks the stores of other zones for the states of their own edges. */
   private void syncOwnEdgesOfOtherZones() {
     membership.membersUp(NodeRole.STORE).stream()
         .filter(member -> member.ready && !member.zone.equals(membership.self().zone))
--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -26,7 +26,7 @@
  * delivered under an expired lease. All calls on the agent's thread.
  */
 public final class ClientRegistry implements StreamClient.Listener {
-  /** turns; more than this held back under a lapsed lease is given up. */
+  /** Deliveries: more than this held back under an expired lease are given up. */
   private static final int MAX_STALLED_DELIVERIES = 20_000;
 
   private final AgentContext context;
@@ -69,7 +69,7 @@
     subscriptionManager.setStreamClient(chosenStreamClient);
   }
 
-  /** Which replicas count as there. */
+  /** Sets which replicas' clients count as connected. */
   public void setLiveReplicas(final LongPredicate chosenLive) {
     liveReplicas = chosenLive;
   }
@@ -91,7 +91,7 @@
     return subscriptionManager;
   }
 
-  /** Breaks of the declared order met here. */
+  /** Violations of a declared order met here. */
   public OrderViolationCounters violations() {
     return violations;
   }
@@ -105,7 +105,10 @@
     return new ArrayList<>(sessionByClient.values());
   }
 
-  /** How many subscribe, from the serving store, or from here when that does not answer. */
+  /**
+   * Answers how many clients subscribe: from the store, or from this edge's replica when the store
+   * does not respond.
+   */
   void requestCount(final ClientSession session, final String topic) {
     final boolean asked =
         streamClient != null
@@ -126,7 +129,7 @@
 
   void onHello(final ClientSession session) {
     final ClientSession older = sessionByClient.put(session.client, session);
-    // The newest connection owns the client: the older one gets nothing more.
+    // The newest connection owns the client; the older one gets nothing more.
     if (older != null) {
       older.connection.close();
     }
@@ -176,7 +179,10 @@
     deliverUnderLease(() -> subscriptionManager.deliver(message, context.nowMs()));
   }
 
-  /** Nothing is delivered under a lapsed lease; what came meanwhile follows in its order. */
+  /**
+   * Runs a delivery under a valid lease: what comes while it has expired is held back and follows
+   * in order.
+   */
   void deliverUnderLease(final Runnable delivery) {
     if (stalledDeliveries.isEmpty() && leaseClient.isHeld()) {
       delivery.run();
@@ -194,8 +200,8 @@
   }
 
   /**
-   * Each subscription is taken up by its own cursor, here or elsewhere, or is told that it can't
-   * be.
+   * Closes all sessions: each client resumes by its cursors, here or elsewhere, or is told that it
+   * cannot.
    */
   @Override
   public void onStreamGap() {
@@ -236,7 +242,8 @@
   }
 
   /**
-   * Another edge took a client over: its instance here is cancelled, so the old connection goes.
+   * A client whose instance here was cancelled has moved to another edge: its old connection is
+   * closed.
    */
   public void onSubscriptionsMerged() {
     for (final ClientSession session : sessions()) {
@@ -257,11 +264,11 @@
     if (leaseClient.isHeld()) {
       leaseHeldMs = nowMs;
     } else if (nowMs - leaseHeldMs > CLOSE_CLIENTS_AFTER_LEASE_EXPIRY_MS) {
-      // A client that only listens would never notice that nothing can come here.
+      // A client that only listens would not notice that nothing can reach it here.
       closeAllSessions();
     }
     if (streamClient.detachedMs() > DETACHED_NOT_READY_MS) {
-      // The same without a serving store; whoever has only just come may still see one found.
+      // The same without a store; a client that has only just come may still see one found.
       sessions().stream()
           .filter(session -> nowMs - session.helloMs > DETACHED_NOT_READY_MS)
           .forEach(session -> session.connection.close());
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -22,10 +22,10 @@
   final ClientConnection connection;
   final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
 
-  /** Looks at each message once more before it is written. */
+  /** The last check before a message is written. */
   final OrderingGuard guard = new OrderingGuard();
 
-  /** When this client's messages to a route were last not accepted. */
+  /** When a message of this client to a route was last refused. */
   private final Map<String, Long> refusedMs = new HashMap<>(2);
 
   private final ClientRegistry clientRegistry;
@@ -50,9 +50,9 @@
   }
 
   /**
-   * What may be said of a number that is not sent on. RETRY promises that it never was nor will be:
-   * true only of a number's first try. A client brings what it sent on other connections right
-   * after its HELLO, and numbers only rise.
+   * Whether a number is sent for the first time. Only then may RETRY be answered without the
+   * leader, since it promises that the number never was accepted. A client repeats what it sent on
+   * other connections right after HELLO, and numbers only rise.
    */
   boolean isFirstTry(final long number) {
     final boolean first =
@@ -68,8 +68,8 @@
   }
 
   /**
-   * A message of this route was sent, most likely, before its sender heard that one it is to follow
-   * was not accepted.
+   * Whether a message was most likely sent before its sender heard that an earlier one, which it
+   * follows, was refused.
    */
   boolean followsRefused(final Configuration.Route route, final long nowMs) {
     return route.after().stream()
@@ -116,7 +116,7 @@
 
   private void onProtocolError(final RefuseReason reason) {
     LogEvent.CLIENT_PROTOCOL_ERROR.info(client);
-    // The word can be told only when it stands there whole.
+    // The command can be named only if it was received whole.
     if (parser.count() > 0 && !parser.text(0).isEmpty()) {
       sendRefuse(parser.text(0), "", "", reason);
     }
@@ -135,7 +135,7 @@
 
   private void endLine(final WriteBuffer out) {
     out.put(LINE_END, 0, 2);
-    // A client that reads slowly is cut; it takes up its cursors when it comes back.
+    // A client that reads slowly is closed; it resumes by its cursors.
     if (connection.queuedBytes() > MAX_CLIENT_QUEUE_BYTES) {
       LogEvent.CLIENT_SLOW.info(client);
       connection.close();
@@ -196,7 +196,7 @@
   void sendMessage(final StoredMessage message) {
     final String violation = guard.violation(message, clientRegistry.nowMs());
     if (violation != null) {
-      // Never written out of place: the client's cursor decides what it gets when it comes back.
+      // Never written out of order: the client's cursors decide what it gets when it comes back.
       clientRegistry.violations().onViolation(message.topic, client, violation);
       connection.close();
       return;
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -14,7 +14,7 @@
  * agent's thread.
  */
 final class CommandHandler {
-  /** bytes; a cursor of this system is a number and never longer. */
+  /** Characters: a cursor of this system is a number and never longer. */
   private static final int MAX_CURSOR_CHARS = 18;
 
   private final List<PendingHello> pendingHellos = new ArrayList<>();
@@ -22,7 +22,7 @@
   private final LeaseClient leaseClient;
   private final AddWinsSet subscriptions;
 
-  /** A HELLO that this edge can't answer yet. */
+  /** A HELLO that this edge cannot answer yet. */
   private record PendingHello(
       ClientSession session, String client, String secret, long receivedMs) {}
 
@@ -60,8 +60,7 @@
     } else if (canServe()) {
       greet(session, client, secret);
     } else {
-      // Starting, or the lease is being renewed: served as soon as that is done, which takes
-      // moments.
+      // The edge is starting, or its lease is being renewed: answered as soon as that is done.
       pendingHellos.add(new PendingHello(session, client, secret, clientRegistry.nowMs()));
     }
   }
@@ -103,7 +102,7 @@
     clientRegistry.moveIfDraining(session);
   }
 
-  /** Why this client may not use the topic right now, or null when it may. */
+  /** Why this client may not use the topic right now; null when it may. */
   RefuseReason refusalReason(final ClientSession session, final String topic) {
     if (!leaseClient.isHeld() || subscriptions.self() == 0) {
       return RefuseReason.RETRY;
@@ -114,7 +113,7 @@
   static RefuseReason configuredRefusal(
       final Configuration configuration, final String secret, final String topic) {
     final Configuration.Route route = configuration.routeOf(topic);
-    // The key comes first: a key that was taken away opens nothing, not even what is public.
+    // The key comes first: a revoked key opens nothing, not even what is public.
     if (!secret.isEmpty() && configuration.tenantOfKey(secret) == null) {
       return RefuseReason.DENIED;
     }
@@ -139,7 +138,7 @@
     try {
       filter = patterns.isEmpty() ? null : Filter.parse(patterns);
     } catch (final FilterException failure) {
-      // A filter that is in force stays so.
+      // The filter in force stays.
       session.sendRefuse(
           "SUB",
           topic,
@@ -171,7 +170,7 @@
     }
   }
 
-  /** The index a cursor names, -1 for none, -2 for one this system never gave. */
+  /** The index that a cursor names, -1 for none, -2 for a cursor that this system never gave. */
   private static long parseCursor(final String cursor) {
     if (cursor.isEmpty()) {
       return -1;
--- a/src/main/java/yewjunction/gateway/CommandParser.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -16,7 +16,7 @@
   static final int INCOMPLETE = 0;
   static final int COMPLETE = 1;
 
-  /** Readable as a message, but not valid: refused, and the stream goes on. */
+  /** A whole command that is not valid: it is refused, and the stream goes on. */
   static final int INVALID = 2;
 
   static final int TOO_BIG = 3;
@@ -50,8 +50,7 @@
       return INCOMPLETE;
     }
     end = at + 1;
-    // A line that does not end with CRLF means that the two sides no longer agree where messages
-    // begin.
+    // A line that does not end with CRLF: the two sides no longer agree where commands begin.
     if (at == offset || buffer.getByte(at - 1) != '\r' || !split(offset, at - 1)) {
       return UNRECOVERABLE;
     }
--- a/src/main/java/yewjunction/gateway/ConnectionDrainer.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -47,7 +47,7 @@
     if (finished) {
       return;
     }
-    // Armed first: a step that fails must not be the last one.
+    // Scheduled first, so that draining goes on if this step throws.
     context.schedule(DRAIN_MOVE_INTERVAL_MS, this::step);
     final long sinceMs = context.nowMs() - startMs;
     final List<ClientSession> staying = new ArrayList<>();
@@ -56,13 +56,12 @@
         staying.add(session);
       }
     }
-    // So many a step that all are gone when the span is over; those with nothing under way first.
+    // As many a step as needed to finish in time; those with nothing in flight first.
     staying.sort((one, other) -> Integer.compare(one.publishesInFlight, other.publishesInFlight));
     final long stepsLeft = Math.max(1, (DRAIN_MOVE_DURATION_MS - sinceMs) / DRAIN_MOVE_INTERVAL_MS);
     final long chosen = (staying.size() + stepsLeft - 1) / stepsLeft;
     staying.stream().limit(chosen).forEach(this::move);
-    // New connections keep coming until the platform has seen that this node is not ready: it
-    // listens to the end.
+    // New connections keep coming until the platform has noticed that this node is not ready.
     if (sinceMs >= DRAIN_TIMEOUT_MS
         || clientRegistry.sessions().isEmpty()
             && sinceMs >= DRAIN_TIMEOUT_MS - DRAIN_MOVE_DURATION_MS / 2) {
--- a/src/main/java/yewjunction/gateway/DisconnectedClients.java
+++ b/src/main/java/yewjunction/gateway/DisconnectedClients.java
@@ -23,7 +23,7 @@
     subscriptions.setDisconnected(client, false);
   }
 
-  /** A cut is no unsubscribe: the set keeps the client, marked as away. */
+  /** A lost connection is no UNSUB: the set keeps the client, marked as disconnected. */
   void onDisconnected(final String client, final long nowMs) {
     subscriptions.setDisconnected(client, true);
     disconnectedSinceMs.put(client, nowMs);
--- a/src/main/java/yewjunction/gateway/Filter.java
+++ b/src/main/java/yewjunction/gateway/Filter.java
@@ -15,19 +15,16 @@
  * patterns there are.
  */
 final class Filter {
-  /** Sorted. */
+  /** Whole keys, sorted. */
   private final byte[][] exact;
 
   /**
-   * Sorted, and none the beginning of another: then only the nearest one at or before a key can
-   * begin it.
+   * Prefixes, sorted, none the beginning of another: then only the nearest one at or before a key
+   * can be a prefix of it.
    */
   private final byte[][] prefixes;
 
-  /**
-   * As the client wrote it: answers name it, so that a client knows which of its filters one speaks
-   * of.
-   */
+  /** The filter as the client wrote it; answers repeat it. */
   final String text;
 
   private Filter(final String text, final byte[][] exact, final byte[][] beginnings) {
@@ -37,8 +34,10 @@
   }
 
   /**
-   * Reads patterns with commas between them: a key, the beginning of a key and '*', or '*' alone
+   * Parses patterns with commas between them: a key, the beginning of a key and '*', or '*' alone
    * for all.
+   *
+   * @throws FilterException when a pattern is malformed or there are too many
    */
   static Filter parse(final String text) {
     final String[] patterns = text.split(",", -1);
@@ -88,7 +87,7 @@
 
   private static int keyLength(final byte[] body) {
     int length = 0;
-    // No pattern is longer: what lies behind can't matter, except that the key goes on.
+    // No pattern is longer: what lies behind matters only in that the key goes on.
     while (length < body.length && body[length] != ' ' && length <= MAX_FILTER_BYTES) {
       length++;
     }
@@ -107,7 +106,7 @@
     return before >= 0 && startsWith(prefixes[before], body, keyLength);
   }
 
-  /** The place of the last one that is not behind the key, -1 for none. */
+  /** The place of the last one that is not after the key, -1 for none. */
   private static int floor(final byte[][] sorted, final byte[] body, final int keyLength) {
     int low = 0;
     int high = sorted.length - 1;
--- a/src/main/java/yewjunction/gateway/OrderViolationCounters.java
+++ b/src/main/java/yewjunction/gateway/OrderViolationCounters.java
@@ -11,7 +11,7 @@
 
 /** Breaks of the declared order that this edge met since its start, by channel. */
 public final class OrderViolationCounters {
-  /** Where all further channels are counted together. */
+  /** Counts all channels beyond MAX_VIOLATION_CHANNELS. */
   private static final String OTHER_CHANNELS = "*";
 
   private final Map<String, OrderViolations> byTopic = new TreeMap<>();
@@ -35,7 +35,7 @@
     LogEvent.ORDER_VIOLATION.warn(topic + " to " + client + ": " + breach);
   }
 
-  /** What the client lacks is no longer kept: nothing can close the gap behind its cursor. */
+  /** What a client lacks is no longer kept, so its subscription cannot be resumed. */
   void onGap(final String topic, final String client, final long position) {
     counterOf(topic).gaps++;
     LogEvent.CURSOR_EXPIRED.info(
--- a/src/main/java/yewjunction/gateway/OrderingConstraints.java
+++ b/src/main/java/yewjunction/gateway/OrderingConstraints.java
@@ -11,7 +11,7 @@
  * (docs/order.md).
  */
 final class OrderingConstraints {
-  /** Some channel follows another: where none does, nothing here costs anything. */
+  /** Whether any route follows another; else nothing here costs anything. */
   private boolean anyDeclared;
 
   void setConfiguration(final Configuration configuration) {
@@ -39,7 +39,7 @@
   }
 
   /**
-   * A client that comes back names its subscriptions one after another: those it follows may not
+   * Whether the client is still sending its SUBs after HELLO: those that this one follows may not
    * have been read yet.
    */
   boolean inSubscribeBurst(final Subscription subscription, final long nowMs) {
--- a/src/main/java/yewjunction/gateway/OrderingGuard.java
+++ b/src/main/java/yewjunction/gateway/OrderingGuard.java
@@ -17,7 +17,7 @@
 final class OrderingGuard {
   private final Map<String, WrittenMessages> writtenByTopic = new HashMap<>();
 
-  /** Messages written to this connection: tells what was written before a subscription began. */
+  /** Number of messages written to this connection. */
   private long writes;
 
   /** What was written of one subscription. */
@@ -28,8 +28,8 @@
     long lastWrite;
 
     /**
-     * The senders' last numbers and when they came: bounded, so it may forget, and never accuses
-     * wrongly.
+     * The senders' last numbers and when they came. Bounded: it may forget, and never reports a
+     * violation wrongly.
      */
     final Map<String, long[]> senders =
         new LinkedHashMap<>(8, 0.75f, true) {
@@ -53,7 +53,7 @@
     writtenByTopic.remove(topic);
   }
 
-  /** Another configuration: what the channel declares from now on. */
+  /** The topic belongs to another route from now on. */
   void onRouteChanged(final String topic, final Route route) {
     final WrittenMessages written = writtenByTopic.get(topic);
     if (written != null) {
@@ -61,7 +61,10 @@
     }
   }
 
-  /** What writing it would break, or null: then it counts as written. */
+  /**
+   * The order that writing a message would violate; null when it violates none, and then it counts
+   * as written.
+   */
   String violation(final StoredMessage message, final long nowMs) {
     final WrittenMessages written = writtenByTopic.get(message.topic);
     if (written == null) {
@@ -84,8 +87,8 @@
     }
     for (final Map.Entry<String, WrittenMessages> other : writtenByTopic.entrySet()) {
       final WrittenMessages later = other.getValue();
-      // Whoever follows this channel may have written only what is earlier, since this one was
-      // subscribed.
+      // A subscription that follows this one may have written only earlier messages since this one
+      // began.
       if (later.lastIndex > message.index
           && later.lastWrite > written.firstWrite
           && later.route != null
--- a/src/main/java/yewjunction/gateway/PublishDependencies.java
+++ b/src/main/java/yewjunction/gateway/PublishDependencies.java
@@ -16,7 +16,7 @@
 final class PublishDependencies {
   private final Map<PendingPublish, Set<PendingPublish>> predecessors = new LinkedHashMap<>();
 
-  /** True when it waits for some of those under way. */
+  /** Holds a message back if it follows some of those under way; returns whether it does. */
   boolean holdIfDependent(final PendingPublish publish, final Collection<PendingPublish> underWay) {
     final Set<PendingPublish> earlier = new HashSet<>();
     for (final PendingPublish other : underWay) {
@@ -40,7 +40,7 @@
     predecessors.remove(publish);
   }
 
-  /** One that waited no longer does: those that have nothing left to wait for. */
+  /** A message was accepted: returns those that wait for nothing any more. */
   List<PendingPublish> onAccepted(final PendingPublish publish) {
     final List<PendingPublish> free = new ArrayList<>();
     predecessors.forEach(
@@ -53,7 +53,7 @@
     return free;
   }
 
-  /** What they were to follow was not accepted: they must not go either. */
+  /** A message was refused: returns those that follow it, which are held no longer. */
   List<PendingPublish> dependentsOf(final PendingPublish publish) {
     final List<PendingPublish> bereft = new ArrayList<>();
     predecessors.forEach(
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -43,12 +43,12 @@
   private long newestRequestId;
   private int inFlight;
 
-  /** No offers before this: whoever said that it does not lead is not asked at once again. */
+  /** Nothing is sent before this moment: a store that does not lead is not asked again at once. */
   private long backoffUntilMs;
 
   private long backoffMs = MIN_PUBLISH_BACKOFF_MS;
 
-  /** Since when messages wait without any answer of a leader; 0 while none do. */
+  /** Since when messages wait without any response of a leader; 0 when none do. */
   private long unansweredSinceMs;
 
   private boolean leaderUnreachable;
@@ -85,7 +85,7 @@
     final PendingPublish publish =
         new PendingPublish(++newestRequestId, session, message, tenant, context.nowMs(), route);
     publish.maybeSent = !firstTry;
-    // No prospect: said at once, and the client may try where there is more.
+    // Without prospect it is refused at once: the client may succeed elsewhere.
     final boolean follows = !route.after().isEmpty();
     final boolean followsRefused = follows && session.followsRefused(route, publish.receivedMs);
     publish.revoked = followsRefused && publish.maybeSent;
@@ -106,7 +106,7 @@
     sendQueued();
   }
 
-  /** Tenants in turn, a message each, up to the window; within a tenant in the order of arrival. */
+  /** Sends queued messages up to the window: tenants in turn, a message each. */
   private void sendQueued() {
     final long nowMs = context.nowMs();
     if (leader.isEmpty() || nowMs < backoffUntilMs) {
@@ -131,8 +131,8 @@
   }
 
   /**
-   * What was offered and not answered goes back to its place: the same numbers again, which a
-   * leader knows how to take.
+   * Puts messages that were sent and not answered back into the queue: they are sent again under
+   * the same numbers, which a leader recognises.
    */
   private void requeueInFlight() {
     inFlight = 0;
@@ -147,8 +147,7 @@
   }
 
   /**
-   * A growing pause with some chance in it, so that edges do not come back all together to a store
-   * in trouble.
+   * Backs off for a growing and partly random time, so that edges do not all come back together.
    */
   private void backOff() {
     backoffUntilMs = context.nowMs() + backoffMs + context.random().nextInt((int) backoffMs);
@@ -166,7 +165,7 @@
     sendQueued();
   }
 
-  /** The serving store hears a leader: worth a try, also where none answered here. */
+  /** The store hears a leader: sending is worth a try, even if none responded here. */
   void onLeaderReachable() {
     if (leaderUnreachable) {
       markLeaderReachable();
@@ -184,15 +183,15 @@
 
   private void onAdmitResponse(final PeerConnection connection, final AdmitResponse response) {
     final PendingPublish publish = pendingOffers.complete(response.requestId, connection);
-    // Bad news on an earlier offer binds nobody once another leader, or the same one anew, has been
-    // asked.
+    // A denial counts only for the newest request: another leader, or the same one again, may have
+    // been asked since.
     if (publish == null
         || response.outcome != AdmissionMessages.ACCEPTED
             && !publish.isNewestRequest(response.requestId)) {
       return;
     }
     if (response.outcome == AdmissionMessages.NOT_LEADER) {
-      // Not leading, or not yet: the first word says it all.
+      // Not leading, or not yet: the first such response says it for all.
       if (connection == leaderConnection && inFlight > 0) {
         requeueInFlight();
         backOff();
@@ -223,18 +222,17 @@
     }
   }
 
-  /** Not accepted here, as far as is known: RETRY promises that it never left this edge. */
+  /** Refuses a message whose fate is not known: RETRY promises that it never left this edge. */
   private void giveUp(final PendingPublish publish) {
     refuse(publish, publish.maybeSent ? RefuseReason.UNKNOWN : RefuseReason.RETRY);
   }
 
   private void refuse(final PendingPublish publish, final RefuseReason reason) {
     publish.session.onRefused(publish.route, context.nowMs());
-    // What was to follow it must not get a place in the log before it.
+    // Messages that follow it must not be accepted without it.
     for (final PendingPublish later : dependencies.dependentsOf(publish)) {
       if (later.maybeSent) {
-        // Another edge may have sent it on: the leader says what became of it, and that nothing
-        // more will.
+        // Another edge may have sent it: the leader says what became of it.
         later.revoked = true;
         publishQueue.requeue(later);
       } else {
@@ -250,7 +248,7 @@
   void check(final long nowMs) {
     for (final PendingPublish publish : new ArrayList<>(publishes.values())) {
       final long heldMs = nowMs - publish.receivedMs;
-      // What never left is promised away early; of the rest nothing is known here.
+      // What never left this edge is refused earlier than what may have been accepted.
       if (heldMs
           > publish.timeoutMs
               * (publish.maybeSent ? SENT_PUBLISH_DEADLINE_SHARE : UNSENT_PUBLISH_DEADLINE_SHARE)) {
@@ -269,19 +267,19 @@
     sendQueued();
   }
 
-  /** Messages that wait for a leader's answer. */
+  /** How many messages wait for a leader's response. */
   public int waitingCount() {
     return publishes.size();
   }
 
-  /** No leader answers: new messages are denied at once. */
+  /** Whether no leader responds, so that new messages are refused at once. */
   public boolean isLeaderUnreachable() {
     return leaderUnreachable;
   }
 
   /**
-   * A connection is gone: its messages are not sent again from here, since the client will do so
-   * elsewhere.
+   * A session has ended: its messages are not sent again from here, since the client will repeat
+   * them elsewhere.
    */
   void onSessionClosed(final ClientSession session) {
     publishes.values().stream()
--- a/src/main/java/yewjunction/gateway/PublishQueue.java
+++ b/src/main/java/yewjunction/gateway/PublishQueue.java
@@ -22,7 +22,7 @@
   private int size;
   private long bytes;
 
-  /** One message of a client, until it has its final answer. */
+  /** One message of a client, until it is answered. */
   static final class PendingPublish {
     final long id;
     final ClientSession session;
@@ -32,22 +32,19 @@
     final Route route;
     final long timeoutMs;
 
-    /** On its way to a leader right now. */
+    /** Whether it is on its way to a leader right now. */
     boolean inFlight;
 
-    /**
-     * Each offer is a question of its own: only the newest one's denial binds, for another leader
-     * may have been asked since.
-     */
+    /** Ids of all requests for it; only a denial of the newest one counts. */
     final List<Long> requestIds = new ArrayList<>(1);
 
     /**
-     * Left this edge, or may have left another, at least once: then only the leader may promise
+     * Whether it has left this edge, or may have left another: then only the leader may promise
      * that it was not accepted.
      */
     boolean maybeSent;
 
-    /** It must not be accepted any more, and only a leader may promise that. */
+    /** Whether it must not be accepted any more, which only a leader can promise. */
     boolean revoked;
 
     PendingPublish(
@@ -66,7 +63,7 @@
       timeoutMs = route.timeoutMs();
     }
 
-    /** Goes to a leader; the number that its verdict is to repeat. */
+    /** Notes that it is sent to a leader; returns the id of the request. */
     long onSent(
         final PendingRequests<PeerConnection, PendingPublish> pendingRequests,
         final PeerConnection connection) {
@@ -82,7 +79,7 @@
     }
   }
 
-  /** False when there is no room. */
+  /** Adds a message; returns false when there is no room. */
   boolean add(final PendingPublish publish) {
     if (size >= MAX_QUEUED_PUBLISHES || bytes >= MAX_QUEUED_PUBLISH_BYTES) {
       return false;
@@ -91,16 +88,14 @@
     return true;
   }
 
-  /** One that had its place already. */
+  /** Adds a message that had a place already. */
   void requeue(final PendingPublish publish) {
     queueByTenant.computeIfAbsent(publish.tenant, key -> new ArrayDeque<>()).add(publish);
     size++;
     bytes += publish.message.body.length;
   }
 
-  /**
-   * The next one of the tenant whose turn it is; the tenant then waits until all others had theirs.
-   */
+  /** Takes the next message of the tenant whose turn it is. */
   PendingPublish next() {
     final Map.Entry<String, ArrayDeque<PendingPublish>> first =
         queueByTenant.entrySet().iterator().next();
--- a/src/main/java/yewjunction/gateway/ReplayScheduler.java
+++ b/src/main/java/yewjunction/gateway/ReplayScheduler.java
@@ -30,23 +30,27 @@
   private int written;
   private boolean heldByOrder;
 
-  /** One tenant's subscriptions that catch up, and what of its last turn it may still use. */
+  /** One tenant's subscriptions that catch up, and the bytes it may still write. */
   private static final class TenantReplays {
     final ArrayDeque<Subscription> subscriptions = new ArrayDeque<>();
     int remainingBytes;
   }
 
-  /** Asker: fetches the next piece of a subscription's older messages. */
+  /**
+   * Creates a scheduler.
+   *
+   * @param fetcher requests the next chunk of a subscription's older messages
+   */
   ReplayScheduler(
       final AgentContext context,
       final OrderingConstraints constraints,
-      final Consumer<Subscription> asker) {
+      final Consumer<Subscription> fetcher) {
     this.context = context;
     this.constraints = constraints;
-    this.fetcher = asker;
+    this.fetcher = fetcher;
   }
 
-  /** What one subscription may write at once: a short replay needs no turns. */
+  /** Whether messages may be written at once, without taking turns. */
   static boolean isShort(final Iterable<StoredMessage> messages) {
     int bytes = 0;
     for (final StoredMessage message : messages) {
@@ -59,7 +63,7 @@
     return message.body.length + message.topic.length() + message.client.length() + 24;
   }
 
-  /** The subscription has something to write, or a next piece to ask for. */
+  /** Adds a subscription that has something to write, or a next chunk to request. */
   void add(final Subscription subscription) {
     subscription.catchingUp = true;
     final TenantReplays replays =
@@ -73,11 +77,11 @@
     }
   }
 
-  /** A new message for a subscription that still catches up waits behind the older ones. */
+  /** Holds a new message back behind the older ones. */
   void holdLive(final Subscription subscription, final StoredMessage message) {
     subscription.live.add(message);
     if (subscription.live.size() > REPLAY_MAX_LIVE_MESSAGES) {
-      // It takes up its cursors again, which asks for pieces in place of holding them here.
+      // The client resumes by its cursors, which requests chunks in place of holding messages here.
       subscription.session.connection.close();
     }
   }
@@ -105,8 +109,8 @@
     }
     turnScheduled = !replaysByTenant.isEmpty();
     if (turnScheduled) {
-      // Between two turns the agent serves what came meanwhile; when all wait for slow readers it
-      // looks seldom.
+      // Between two turns the agent serves other work; when all wait for slow readers, turns are
+      // rare.
       context.schedule(
           written > 0
               ? REPLAY_TURN_INTERVAL_MS
@@ -115,10 +119,7 @@
     }
   }
 
-  /**
-   * The channel follows others: whether earlier messages of those are still to be written, or may
-   * be named yet.
-   */
+  /** Whether a message has to wait for earlier ones of the channels that its own follows. */
   private boolean mustWait(
       final Subscription subscription, final StoredMessage message, final long nowMs) {
     final boolean waits =
@@ -131,13 +132,16 @@
     heldByOrder = true;
     subscription.heldSinceMs = subscription.heldSinceMs == 0 ? nowMs : subscription.heldSinceMs;
     if (nowMs - subscription.heldSinceMs > MAX_ORDER_WAIT_MS) {
-      // It would wait without end: taken up anew by the cursors.
+      // It might wait for ever: the client resumes by its cursors.
       subscription.session.connection.close();
     }
     return true;
   }
 
-  /** True while the subscription still has something to write. */
+  /**
+   * Writes within the tenant's share; returns whether the subscription still has something to
+   * write.
+   */
   private boolean writeSome(
       final Subscription subscription, final TenantReplays replays, final long nowMs) {
     if (!subscription.session.connection.isOpen()
@@ -145,8 +149,7 @@
       return false;
     }
     while (replays.remainingBytes > 0 && subscription.session.connection.isOpen()) {
-      // A client that reads slowly is not written to ahead: its own replay waits for it, and only
-      // its own.
+      // A client that reads slowly delays its own replay only.
       if (subscription.session.connection.queuedBytes() > REPLAY_MAX_UNREAD_BYTES) {
         return true;
       }
--- a/src/main/java/yewjunction/gateway/SlowReaderLimit.java
+++ b/src/main/java/yewjunction/gateway/SlowReaderLimit.java
@@ -11,10 +11,7 @@
 final class SlowReaderLimit {
   private SlowReaderLimit() {}
 
-  /**
-   * Readers that stall in numbers would fill the memory together: those that are furthest behind
-   * are cut.
-   */
+  /** Closes the slowest readers while all of them together use too much memory. */
   static void closeSlowest(final Collection<ClientSession> sessions) {
     final List<ClientSession> slow = new ArrayList<>();
     long waiting = 0;
--- a/src/main/java/yewjunction/gateway/Subscription.java
+++ b/src/main/java/yewjunction/gateway/Subscription.java
@@ -12,50 +12,51 @@
   final ClientSession session;
   final String topic;
 
-  /** Whose turn its catching up takes. */
+  /** The tenant in whose turn it catches up. */
   final String tenant;
 
-  /** What the client gave, -1 for none. */
+  /** The position that the client gave, -1 for none. */
   final long position;
 
   final long subscribedMs;
 
-  /** What its channel declares, by the configuration in force. */
+  /** The topic's route by the configuration in force. */
   Route route;
 
   long instance;
 
-  /** Messages up to here were judged: delivered, or not wanted. */
+  /** Index up to which messages were delivered or filtered out. */
   long judgedIndex;
 
   boolean open;
 
-  /** Null for everything, as a client that knows no filters wants it. */
+  /** Null for all messages. */
   private Filter filter;
 
-  /** Changes asked for while the subscription was still joining: each is owed an answer. */
+  /** Changes of the filter before the store responded: each is owed an answer. */
   private int pendingFilterChanges;
 
-  /** The newest cursor that the client holds, and since when. */
+  /** The newest cursor that the client was sent, and when. */
   private long cursor;
 
   private long cursorSentMs;
 
   /**
-   * Older messages on their way: those that came, those that come meanwhile and wait, and whether
-   * more are to be asked.
+   * Older messages to be written; new ones that wait behind them; and whether it is catching up.
    */
   final ArrayDeque<StoredMessage> replay = new ArrayDeque<>();
 
   final ArrayDeque<StoredMessage> live = new ArrayDeque<>();
   boolean catchingUp;
 
-  /** Where the older messages end that are still to be asked for; 0 when none are. */
+  /** Up to which index older messages are still to be requested; 0 when none are. */
   long replayThrough;
 
   boolean fetching;
 
-  /** Since when its next message waits for an earlier one of another channel; 0 while none does. */
+  /**
+   * Since when its next message waits for an earlier one of another channel; 0 when it does not.
+   */
   long heldSinceMs;
 
   Subscription(
@@ -75,7 +76,7 @@
     this.subscribedMs = sinceMs;
   }
 
-  /** No message before this index is still to be written here. */
+  /** Messages before this index have all been written here. */
   long pendingFrom() {
     if (!open) {
       return position + 1;
@@ -92,7 +93,7 @@
     return filter != null;
   }
 
-  /** The answer to SUB: from here on what is behind its position is delivered. */
+  /** Answers SUB: from now on messages after its position are delivered. */
   void open(final long startPosition, final long nowMs) {
     open = true;
     judgedIndex = startPosition;
@@ -109,7 +110,7 @@
   }
 
   /**
-   * Asked once more on the same connection: a filter replaces the one in force, from the named
+   * SUB again on the same connection: the filter replaces the one in force, from the answered
    * position on.
    */
   void resubscribe(final Filter newFilter, final long nowMs) {
@@ -123,9 +124,9 @@
     }
   }
 
-  /** Each message is judged once, in its order, by the filter in force at that moment. */
+  /** Delivers a message, or filters it out by the filter in force now. */
   void deliver(final StoredMessage message, final long nowMs) {
-    // Invariant of the stream: each index once and in order, whichever way it came.
+    // Invariant: each index once and in order, whichever way it came.
     if (open && message.index > judgedIndex) {
       judgedIndex = message.index;
       if (filter == null || filter.matches(message.body)) {
@@ -137,8 +138,8 @@
   }
 
   /**
-   * A filter that lets nothing through would leave the client a cursor that expires though it lacks
-   * nothing.
+   * Sends the cursor again if much was filtered out since: else it would expire though the client
+   * lacks nothing.
    */
   void renewCursor(final long nowMs, final long paceMs) {
     if (open && filter != null && judgedIndex > cursor && nowMs - cursorSentMs > paceMs) {
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -30,15 +30,12 @@
   private final Map<String, List<Subscription>> byTopic = new HashMap<>();
   private final Map<Long, Subscription> pendingById = new LinkedHashMap<>();
 
-  /**
-   * Of those that join: which the serving store was asked about, and which wait for their turn to
-   * be.
-   */
+  /** Of the pending ones: those that were requested from the store, and those that wait to be. */
   private final Set<Long> requested = new HashSet<>();
 
   private final ArrayDeque<Long> queued = new ArrayDeque<>();
 
-  /** Subscriptions for which the serving store was asked for a next piece. */
+  /** Subscriptions for which the next chunk was requested. */
   private final Map<Long, Subscription> fetching = new LinkedHashMap<>();
 
   private final Set<Subscription> filtered = new HashSet<>();
@@ -59,7 +56,7 @@
     streamClient = chosenStreamClient;
   }
 
-  /** What the channels declare from now on. */
+  /** Which routes the topics belong to from now on. */
   void setConfiguration(final Configuration configuration) {
     constraints.setConfiguration(configuration);
     for (final ClientSession session : clientRegistry.sessions()) {
@@ -85,7 +82,8 @@
     subscription.session.subscriptions.put(subscription.topic, subscription);
     subscription.session.subscribedMs = context.nowMs();
     subscription.session.guard.onSubscribed(subscription.topic, subscription.route);
-    // Taken up from another edge: that edge's instance is cancelled by the set's own operations.
+    // The client comes from another edge: its instance there is removed before the new one is
+    // added.
     if (subscriptions.isActiveElsewhere(subscription.topic, subscription.session.client)) {
       subscriptions.remove(subscription.topic, subscription.session.client);
     }
@@ -97,9 +95,8 @@
   }
 
   /**
-   * So many questions at a time: after a mass reconnect all clients of an edge come with old
-   * cursors at once, and a serving store that gets all of it answers nobody in time, is left as
-   * silent, and is asked everything again.
+   * Requests queued subscriptions, so many at a time: after a mass reconnect all clients of an edge
+   * come with old cursors at once, and a store that got all of it would answer nobody in time.
    */
   private void requestQueued() {
     while (requested.size() < MAX_SUBSCRIBES_IN_FLIGHT && !queued.isEmpty()) {
@@ -112,7 +109,7 @@
     }
   }
 
-  /** Asked once more on the same connection, with a filter or without. */
+  /** SUB again on the same connection, with a filter or without. */
   void resubscribe(final Subscription subscription, final Filter filter) {
     if (filter != null) {
       filtered.add(subscription);
@@ -120,7 +117,7 @@
     subscription.resubscribe(filter, context.nowMs());
   }
 
-  /** A new serving store knows nothing of what the old one was asked. */
+  /** Requests everything again from a new store. */
   void requestAllAgain() {
     requested.clear();
     queued.clear();
@@ -158,10 +155,7 @@
             subscription.replayThrough);
   }
 
-  /**
-   * A serving store's word on a subscription: where it starts, and the first piece of what lies
-   * behind its cursor.
-   */
+  /** The store's response: where the subscription starts, and the first chunk of older messages. */
   void onReplay(
       final long request,
       final boolean expired,
@@ -215,7 +209,7 @@
   }
 
   void deliver(final StoredMessage message, final long nowMs) {
-    // Copied: a slow client's connection may be cut while it is written to.
+    // Copied: a slow client's connection may be closed while it is written to.
     for (final Subscription subscription : new ArrayList<>(subscribersOf(message.topic))) {
       if (subscription.catchingUp) {
         replayScheduler.holdLive(subscription, message);
@@ -235,7 +229,7 @@
     subscription.session.sendRefuse("SUB", subscription.topic, "", reason);
   }
 
-  /** The connection is gone, or the client gave the topic up: nothing more is delivered. */
+  /** Ends a subscription: nothing more is delivered. */
   void remove(final Subscription subscription) {
     if (subscription.session.subscriptions.remove(subscription.topic, subscription)) {
       subscription.session.guard.onUnsubscribed(subscription.topic);
--- a/src/main/java/yewjunction/node/EdgeNode.java
+++ b/src/main/java/yewjunction/node/EdgeNode.java
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Stores, the own zone's first: those the membership list knows, and before it knows any, those
-   * the control group has named.
+   * Addresses of stores, those of the own zone first: from the membership list, and before that
+   * knows any, from the control group.
    */
   private List<String> storeAddresses() {
     final Set<String> addresses = new LinkedHashSet<>();
@@ -151,9 +151,8 @@
     subscriptions.self(name);
     subscriptions.setReplicas(clusterState.newestReplicaId(), clusterState.liveReplicaIds());
     if (before != 0 && name != before) {
-      // Given up while this process was away, or for an earlier life's late message: under that
-      // name nobody is told of its clients any more. They come again, and what it says of them
-      // stands under the new one.
+      // The id was retired while this process was away, or for a late message of an earlier life.
+      // Nobody hears of its clients under that id any more: they come again, under the new one.
       LogEvent.REPLICA_ID_LOST.warn(before + " now " + name);
       clientRegistry.onStreamGap();
       streamClient.onReplicaIdChanged();
--- a/src/main/java/yewjunction/node/Node.java
+++ b/src/main/java/yewjunction/node/Node.java
@@ -10,18 +10,18 @@
 
 /** One process's duty. All calls on the owner's thread. */
 public interface Node {
-  /** Takes up the node's duties. */
+  /** Starts the node. */
   void start();
 
-  /** Gives up its duties, then calls back when nothing is owed any more. */
+  /** Hands over what the node is responsible for, and calls back when that is done. */
   void stop(Runnable ended);
 
   /** The settings file changed. */
   default void onSettingsChanged(final Settings fresh) {}
 
   /**
-   * Control nodes, nearest first; before the membership list knows any, those on the seeds'
-   * machines.
+   * Addresses of control nodes, those of the own zone first; before the membership list knows any,
+   * those of the seeds.
    */
   static List<String> controlNodeAddresses(
       final MembershipList membership, final Settings settings) {
@@ -29,14 +29,14 @@
     return known.isEmpty() ? settings.controlNodeAddresses() : known;
   }
 
-  /** Peer addresses of a duty, own zone first, as the membership list knows them now. */
+  /** Addresses of the members of a role that are up, those of the own zone first. */
   static List<String> addresses(final MembershipList membership, final NodeRole role) {
     return membership.membersUp(role).stream().map(member -> member.address).toList();
   }
 
   /**
-   * Whether a replica's clients count as there: its process is up, as far as the membership list
-   * knows.
+   * Whether a replica's clients count as connected: its process is up, as far as the membership
+   * list knows.
    */
   static boolean isLive(
       final long replica,
--- a/src/main/java/yewjunction/node/StoreNode.java
+++ b/src/main/java/yewjunction/node/StoreNode.java
@@ -29,7 +29,7 @@
  * edges.
  */
 public final class StoreNode implements Node, MessageStore.Listener, LeaseClient.Listener {
-  /** Group number of the stores' log; a field everywhere, so that there can be more. */
+  /** The number of the stores' group. */
   private static final int GROUP = 1;
 
   private final MessageStore messageStore;
@@ -107,19 +107,24 @@
     return raftNode.isReadyLeader();
   }
 
-  /** What this store keeps. */
+  /** The messages that this store holds. */
   public MessageStore messageStore() {
     return messageStore;
   }
 
-  /** Until the first voters are chosen there is nothing to join. */
+  /**
+   * Addresses of the other stores; empty until the first voters are chosen, since there is nothing
+   * to join.
+   */
   private List<String> storeAddresses() {
     return leaseClient.clusterState().stores().isEmpty()
         ? List.of()
         : Node.addresses(membership, NodeRole.STORE);
   }
 
-  /** Says how far it is, and empties what the control group wants emptied. */
+  /**
+   * Reports how far this store is, and, at the leader, which retiring nodes hold no vote any more.
+   */
   private void reportAndRetire() {
     leaseClient.setAppliedIndex(raftNode.appliedIndex());
     leaseClient.setBalances(messageStore.balances());
@@ -135,8 +140,8 @@
     final List<String> emptied = new ArrayList<>();
     for (final String one : retiring) {
       final String node = leaseClient.clusterState().nodeRetiringAt(one);
-      // Only once the change is committed: then a majority of those that stay holds all that was
-      // ever acknowledged.
+      // Only once the change of voters is committed: then a majority of those that stay holds all
+      // that was acknowledged.
       if (node != null
           && !raftNode.reconfiguration().changeInProgress()
           && voters.stream().noneMatch(voter -> RaftNode.addressOf(voter).equals(one))) {
@@ -148,7 +153,8 @@
 
   @Override
   public void stop(final Runnable ended) {
-    // Edges leave first; the vote goes to a spare, and the lead to a member that holds everything.
+    // Edges are sent away first; then the vote goes to a spare and the leadership to a member with
+    // the whole log.
     streamServer.detachAll();
     raftNode
         .groupMembership()
@@ -169,8 +175,8 @@
   public void onClusterStateChanged(final ClusterState clusterState) {
     subscriptions.setReplicas(clusterState.newestReplicaId(), clusterState.liveReplicaIds());
     if (clusterState.retiringAddresses().contains(address)) {
-      // It may be taken away the moment it is empty: its edges find another serving store while it
-      // still answers.
+      // The machine may be taken away as soon as it is emptied: its edges attach elsewhere while it
+      // still responds.
       streamServer.detachAll();
     }
     if (clusterState.stores().contains(raftNode.identity())) {
--- a/src/main/java/yewjunction/server/BlockingTaskExecutor.java
+++ b/src/main/java/yewjunction/server/BlockingTaskExecutor.java
@@ -23,10 +23,14 @@
   private final ExecutorService pool =
       Executors.newSingleThreadExecutor(task -> DaemonThreads.newThread(task, "disk"));
 
-  /** Ending ends the process with a code, at once. */
-  BlockingTaskExecutor(final AgentContext context, final IntConsumer ending) {
+  /**
+   * Creates the thread.
+   *
+   * @param exit ends the process at once with an exit code
+   */
+  BlockingTaskExecutor(final AgentContext context, final IntConsumer exit) {
     this.context = context;
-    this.exit = ending;
+    this.exit = exit;
   }
 
   @Override
@@ -37,9 +41,8 @@
             runRetryingFullDisk(blocking);
             context.execute(continuation);
           } catch (final Throwable failure) {
-            // A disk that fails a sync can no longer be trusted: better down than wrong. An error
-            // too, as of memory: the pool would go on with another thread, and the owner would wait
-            // for this work for ever.
+            // A disk that failed a sync can no longer be trusted. An {@link Error} too ends the
+            // process: the pool would go on with another thread, and the agent would wait for ever.
             try {
               LogEvent.DISK_FAILED.warn(String.valueOf(failure.getMessage()), failure);
             } finally {
@@ -49,10 +52,7 @@
         });
   }
 
-  /**
-   * A full disk takes nothing and nothing is acknowledged; once there is room the very same is
-   * written.
-   */
+  /** Runs work again and again while the disk is full: nothing is acknowledged meanwhile. */
   private static void runRetryingFullDisk(final Runnable blocking) throws InterruptedException {
     boolean told = false;
     while (true) {
--- a/src/main/java/yewjunction/server/HttpEndpoint.java
+++ b/src/main/java/yewjunction/server/HttpEndpoint.java
@@ -38,8 +38,8 @@
 
   private static HttpServer server(
       final String address, final HttpHandler handler, final Executor pool) {
-    // Read by the server when it is made: else a caller that was cut off half way would keep its
-    // thread.
+    // Read when a server is created: without these, a caller that was cut off half way would keep
+    // its thread.
     System.setProperty("sun.net.httpserver.maxReqTime", String.valueOf(MAX_CALL_TRANSFER_S));
     System.setProperty("sun.net.httpserver.maxRspTime", String.valueOf(MAX_CALL_TRANSFER_S));
     try {
@@ -53,9 +53,9 @@
     }
   }
 
-  /** Says whether the node takes clients. */
+  /** Serves the readiness check: 200 when the node takes clients, else 503. */
   static HttpServer readiness(final String address, final BooleanSupplier ready) {
-    // Not on the one thread that takes connections: half a request would hold up every later look.
+    // Not on the thread that accepts connections: half a request would block every later check.
     return server(
         address,
         exchange -> {
@@ -65,14 +65,14 @@
         pool("ready", MAX_READINESS_THREADS));
   }
 
-  /** What the owner of the tables does with a call; it answers once, maybe later. */
+  /** Handles a call on the agent's thread; responds once, maybe later. */
   interface Owner {
     void handle(OperatorApi.Request request, Consumer<OperatorApi.Response> responder);
   }
 
   /**
-   * The operator's calls, each handed to the owner of the tables; a thread is held only while bytes
-   * travel.
+   * Serves the operator's calls: each is handed to the agent, and a thread is held only while bytes
+   * are read or written.
    */
   static HttpServer operator(final String address, final AgentContext context, final Owner owner) {
     final Executor pool = pool("call", MAX_CALL_THREADS);
@@ -96,7 +96,7 @@
         pool);
   }
 
-  /** Reads large bodies on a thread of its own, which shares nothing with the owner. */
+  /** Runs the parsing of large bodies on a thread of its own. */
   static TaskExecutor reader(final AgentContext context) {
     final Executor pool = pool("reader", 1);
     return (blocking, continuation) ->
@@ -132,7 +132,7 @@
       final int count = in.read(rest);
       more = count < 0 ? MAX_DISCARDED_BODY_BYTES : more + count;
     }
-    // As HTTP joins a header that was sent more than once: whoever reads it sees that.
+    // Joined as HTTP does for a header that was sent more than once.
     final List<String> bases = exchange.getRequestHeaders().get("Base-Version");
     return new OperatorApi.Request(
         exchange.getRequestMethod(),
@@ -156,7 +156,7 @@
       }
       answer(exchange, response.status(), response.json());
     } catch (final IOException failure) {
-      // Its caller has gone, and asks again where it wants to know.
+      // The caller has gone.
       exchange.close();
     }
   }
--- a/src/main/java/yewjunction/server/ServerProcess.java
+++ b/src/main/java/yewjunction/server/ServerProcess.java
@@ -49,7 +49,7 @@
   private String calendar;
   private boolean stopping;
 
-  /** Written by the owner before it ends, read by whoever awaited that. */
+  /** Written by the agent before {@code ended} counts down, and read after that. */
   private RuntimeException startFailure;
 
   /**
@@ -64,7 +64,7 @@
     final String address =
         settings.address(
             role == NodeRole.CONTROL ? Settings.CONTROL_PORT_OFFSET : Settings.DATA_PORT_OFFSET);
-    // Drawn anew at each start: tells two lives at one address apart.
+    // Drawn at each start: tells two lives at one address apart.
     final long life = new java.security.SecureRandom().nextLong() >>> 1;
     agent = new EventLoopAgent(life ^ System.nanoTime());
     final MessageCodec codec = new MessageCodec();
@@ -100,13 +100,13 @@
     return new BlockingTaskExecutor(agent, Runtime.getRuntime()::halt);
   }
 
-  /** Whose signals it takes; those of a process of its own. */
+  /** Takes the signals of the JVM; for a process that has the JVM to itself. */
   public ServerProcess withSignals(final SignalHandlers chosenSignals) {
     signals = chosenSignals;
     return this;
   }
 
-  /** Planned work from calendar files; read again with the settings. */
+  /** Names planned work in events, from calendar files that are read again with the settings. */
   public ServerProcess withCalendar(final String chosenCalendar) {
     calendar = chosenCalendar;
     readCalendar();
@@ -128,7 +128,7 @@
         : new LocalDisk(Path.of(settings.dataFolder()));
   }
 
-  /** Opens the doors to the outside that this duty has. */
+  /** Opens the addresses for clients or operators that this role has. */
   private void listen() {
     if (node instanceof ControlNode controlNode) {
       controlNode.operatorApi().setExecutor(HttpEndpoint.reader(agent));
@@ -140,7 +140,7 @@
     }
   }
 
-  /** Runs until told to stop. */
+  /** Runs until a signal stops it. Returns the exit code. */
   public int run() {
     final AgentRunner runner =
         new AgentRunner(
@@ -149,7 +149,7 @@
             null,
             agent);
     agent.execute(this::start);
-    // Behind the start: a signal that came early finds a process that has started.
+    // Behind the start, so that a signal which came early finds a process that has started.
     signals.setReceiver(
         kind -> agent.execute(kind == SignalHandlers.Kind.STOP ? this::stopOnce : this::onHangUp));
     agent.scheduleAtFixedRate(
@@ -178,7 +178,7 @@
       listen();
       LogEvent.STARTED.info(settings.node() + " " + settings.role());
     } catch (final RuntimeException failure) {
-      // A process without its doors serves nobody, and nobody would notice: it ends and says why.
+      // A process that cannot listen serves nobody: it ends and says why.
       stopping = true;
       startFailure = failure;
       ended.countDown();
@@ -186,15 +186,15 @@
   }
 
   /**
-   * What one turn can't contain: after an error tables may be half changed, and only the disk says
-   * what was promised.
+   * Takes what a turn of the agent could not contain. After an {@link Error} state may be half
+   * changed, and only the disk says what was promised.
    */
-  static void onAgentError(final Throwable failure, final IntConsumer ending) {
+  static void onAgentError(final Throwable failure, final IntConsumer exit) {
     try {
       LogEvent.UNEXPECTED_ERROR.warn("agent", failure);
     } finally {
       if (failure instanceof Error) {
-        ending.accept(ExitCode.UNEXPECTED_ERROR);
+        exit.accept(ExitCode.UNEXPECTED_ERROR);
       }
     }
   }
@@ -206,8 +206,7 @@
       try {
         node.stop(this::end);
       } catch (final RuntimeException failure) {
-        // What it could not give up in order ends as by a kill, and at once rather than after the
-        // platform's grace.
+        // What cannot be handed over in order ends as by a kill, at once.
         LogEvent.UNEXPECTED_ERROR.warn("stop", failure);
         end();
       }
@@ -215,8 +214,8 @@
   }
 
   private void end() {
-    // One more turn, so that what is written in this one leaves; armed first, so that it ends
-    // whatever fails here.
+    // One more turn, so that what is written in this one goes out; scheduled first, so that the
+    // process ends whatever fails here.
     agent.schedule(20, ended::countDown);
     membership.leave();
     LogEvent.STOPPED.info(settings.node() + " " + settings.role());
--- a/src/main/java/yewjunction/store/AcceptedNumbers.java
+++ b/src/main/java/yewjunction/store/AcceptedNumbers.java
@@ -15,7 +15,7 @@
 final class AcceptedNumbers {
   private final Map<String, SenderHistory> histories = new HashMap<>();
 
-  /** One client on one topic. */
+  /** The numbers of one client on one topic; encoded by position. */
   static final class SenderHistory {
     String key = "";
     long highest;
@@ -31,7 +31,7 @@
   void accept(final String client, final String topic, final long number, final long nowMs) {
     final SenderHistory history =
         histories.computeIfAbsent(key(client, topic), key -> new SenderHistory());
-    // Invariant: numbers of a client rise on a topic; the gate lets nothing else through.
+    // Invariant: numbers of a client rise on a topic; nothing else is admitted.
     if (number <= history.highest) {
       throw new IllegalStateException(
           "number " + number + " after " + history.highest + " of " + client + " on " + topic);
@@ -61,7 +61,8 @@
         history.recent.remove(0);
         history.recentReceivedMs.remove(0);
       }
-      // The highest number outlives the list: a much later low one must still be denied.
+      // The highest number is kept for longer than the list: a much later low one must still be
+      // denied.
       if (history.recent.isEmpty() && nowMs - history.lastReceivedMs > 10 * NUMBER_RETENTION_MS) {
         each.remove();
       }
--- a/src/main/java/yewjunction/store/AdmissionController.java
+++ b/src/main/java/yewjunction/store/AdmissionController.java
@@ -63,7 +63,7 @@
   }
 
   private void onAdmitRequest(final PeerConnection connection, final AdmitRequest request) {
-    // What an edge says of accounts counts for nothing: only the leader stamps.
+    // Log time is set by the leader alone, whatever an edge has sent.
     request.message.logTimeMs = null;
     request.message.termsChange = null;
     final Requester requester = new Requester(connection, request.requestId);
@@ -79,7 +79,11 @@
     }
   }
 
-  /** In turn: it waited until all that paid had passed, and may borrow now. */
+  /**
+   * Decides about a message.
+   *
+   * @param inTurn whether it has waited for its turn to borrow
+   */
   private void decide(
       final Requester requester, final StoredMessage message, final boolean inTurn) {
     if (!raftNode.isReadyLeader()) {
@@ -100,7 +104,7 @@
         <= Math.max(
             messageStore.acceptedNumbers.highest(message.client, message.topic),
             highestInFlight.getOrDefault(senderTopic, 0L))) {
-      // Never accepted and below an accepted one: it would break the sender's order.
+      // Never accepted, and below an accepted number: it would break the sender's order.
       deny(key, requester);
     } else if (borrowing.hasAccount(message.tenant)) {
       decideByAccount(key, senderTopic, message, requester, inTurn);
@@ -144,8 +148,8 @@
               final List<Requester> waitingRequesters = inFlight.remove(key);
               highestInFlight.remove(senderTopic, message.sequenceNumber);
               borrowing.onSettled();
-              // Without a clear end nothing is said: the edge asks the next leader with the same
-              // number.
+              // Without a clear outcome nothing is answered: the edge asks the next leader with the
+              // same number.
               if (done && waitingRequesters != null) {
                 waitingRequesters.forEach(one -> respond(one, ACCEPTED));
               }
@@ -161,7 +165,7 @@
     }
   }
 
-  /** The promise is remembered for longer than a copy of the number can be under way. */
+  /** Denies a number, and remembers that for longer than any copy of it can be on its way. */
   private void deny(final String key, final Requester requester) {
     final long nowMs = context.nowMs();
     deniedMs.put(key, nowMs);
@@ -181,12 +185,12 @@
     requester.connection.send(response);
   }
 
-  /** Whether this leader admitted the message itself. */
+  /** Whether this leader has proposed the message itself. */
   public boolean isInFlight(final StoredMessage message) {
     return inFlight.containsKey(key(message));
   }
 
-  /** The leadership changed: what was in flight is the log's matter now. */
+  /** The leadership changed: what was in flight is decided by the log. */
   public void onLeaderChange() {
     inFlight.clear();
     highestInFlight.clear();
--- a/src/main/java/yewjunction/store/AdmissionMessages.java
+++ b/src/main/java/yewjunction/store/AdmissionMessages.java
@@ -11,10 +11,10 @@
 
   public static final int ACCEPTED = 1;
 
-  /** A promise: this number is not accepted and never will be. */
+  /** Denied: this number was not accepted and never will be. */
   public static final int DENIED = 2;
 
-  /** Not the leader: nothing was done here. */
+  /** This store does not lead; nothing was done. */
   public static final int NOT_LEADER = 3;
 
   /** Registers all messages under their numbers. */
@@ -30,8 +30,8 @@
     public StoredMessage message;
 
     /**
-     * Not to be accepted any more: asks for the leader's promise that it never will be, or for its
-     * word that it was.
+     * Set when the message must not be accepted any more: the response says whether it was, or
+     * promises that it never will be.
      */
     public Boolean revoked;
   }
--- a/src/main/java/yewjunction/store/BorrowingAccount.java
+++ b/src/main/java/yewjunction/store/BorrowingAccount.java
@@ -8,15 +8,15 @@
  * entries holds the same account. Encoded by position.
  */
 final class BorrowingAccount {
-  /** Thousandths that make a message. */
+  /** Thousandths in a message. */
   static final long THOUSANDTHS = 1_000;
 
-  /** Millionths that make the whole of a share. */
+  /** Millionths in a whole share. */
   private static final long MILLIONTHS = 1_000_000;
 
   /**
-   * Thousandths a second, times ms, reckoned at once: its product with a share stays far inside a
-   * long.
+   * Largest product of rate and milliseconds that is computed at once: times a share, it stays well
+   * inside a long.
    */
   private static final long MAX_STEP = 1_000_000_000_000_000L;
 
@@ -26,15 +26,18 @@
   long borrowed;
   long repaid;
 
-  /** What was too little to count yet: of a thousandth that grows, and of one that is repaid. */
+  /**
+   * Remainders too small to count: of the thousandth that grows, and of the one that is being
+   * repaid.
+   */
   private long growthRemainder;
 
   private long repaymentRemainder;
 
-  /** Log time up to which it has grown. */
+  /** Log time up to which the account has been refilled, in milliseconds. */
   long refilledToMs;
 
-  /** The entry that touched it last. */
+  /** Index of the entry that changed it last. */
   long lastIndex;
 
   BorrowingAccount copy() {
@@ -52,8 +55,8 @@
   }
 
   /**
-   * Grows with time. It does not matter in how many steps: remainders are kept, so the leader may
-   * look in between.
+   * Refills the account up to a log time. Remainders are kept, so the number of steps makes no
+   * difference and the leader may look in between.
    */
   void refill(final long toMs) {
     while (terms.ratePerSecond > 0 && refilledToMs < toMs) {
@@ -81,7 +84,7 @@
     tokens = Math.min(terms.bucketDepth, tokens + kept);
   }
 
-  /** A message may pass without borrowing. */
+  /** Whether a message can be paid for without borrowing. */
   boolean canPay() {
     return tokens >= THOUSANDTHS;
   }
@@ -90,14 +93,14 @@
     return debt + THOUSANDTHS <= terms.borrowMax;
   }
 
-  /** Takes one message, borrowed where there is no token for it. */
+  /** Takes one message, and borrows for it when there is no token. */
   void charge(final long stampMs) {
     refill(stampMs);
     if (canPay()) {
       tokens -= THOUSANDTHS;
       return;
     }
-    // Invariant: the leader admits a message only where the account bears it, by this same
+    // Invariant: the leader admits a message only if the account allows it, by this same
     // arithmetic.
     if (!canBorrow()) {
       throw new IllegalStateException(terms.tenant + " owes " + debt + " of " + terms.borrowMax);
@@ -109,7 +112,7 @@
 
   void updateTerms(final BorrowingTerms newTerms) {
     terms = newTerms;
-    // A lower limit leaves the debt as it is and allows no more.
+    // A lower limit leaves the debt as it is.
     tokens = Math.min(tokens, terms.bucketDepth);
   }
 
--- a/src/main/java/yewjunction/store/BorrowingAccounts.java
+++ b/src/main/java/yewjunction/store/BorrowingAccounts.java
@@ -17,16 +17,18 @@
 final class BorrowingAccounts {
   private final Map<String, BorrowingAccount> byTenant = new TreeMap<>();
 
-  /** The configuration whose terms are in force. */
+  /** Version of the configuration whose terms are in force. */
   private long version;
 
-  /** The newest log time, and when this store heard it by its own steady clock. */
+  /**
+   * The newest log time, and when this store applied it by its own steady clock, in milliseconds.
+   */
   private long stampMs;
 
   private long stampReceivedMs;
 
   /**
-   * Told of an account that ends, with what it held; null in a leader's copy, which also logs
+   * Called for an account that ends, with what it held; null in the leader's copy, which also logs
    * nothing.
    */
   private final BiConsumer<String, Long> onAccountEnded;
@@ -35,7 +37,7 @@
     this.onAccountEnded = ended;
   }
 
-  /** As a snapshot holds it. */
+  /** The state as a snapshot holds it; encoded by position. */
   static final class Snapshot {
     long version;
     long stampMs;
@@ -59,17 +61,15 @@
   }
 
   /**
-   * Log time as far as this store can tell: the newest stamp and what has passed here since. What
-   * was not counted, as between two leaders or while all were down, makes a debt fall later, never
-   * sooner.
+   * Log time as far as this store can tell: the newest stamp and what has passed here since. Time
+   * that was not counted, as between two leaders or while all were down, makes a debt fall later
+   * and never sooner.
    */
   long logTimeMs(final long nowMs) {
     return stampMs + Math.max(0, nowMs - stampReceivedMs);
   }
 
-  /**
-   * What the accounts will be once all that is in flight is applied; its time goes on from here.
-   */
+  /** A copy for the leader, to which it applies at once what it proposes. */
   BorrowingAccounts copyForLeader() {
     final BorrowingAccounts copy = new BorrowingAccounts(null);
     byTenant.forEach((tenant, account) -> copy.byTenant.put(tenant, account.copy()));
@@ -80,7 +80,8 @@
   }
 
   /**
-   * An entry that was admitted while the tenant had no account bears no stamp and changes nothing.
+   * Applies an entry. One that was admitted while the tenant had no account has no log time and
+   * changes nothing.
    */
   void apply(final long index, final StoredMessage message, final long nowMs) {
     if (message.logTimeMs == null) {
@@ -168,7 +169,7 @@
     return balances;
   }
 
-  /** Null where nobody has borrowed yet: snapshots are then as they were. */
+  /** Null when nobody has borrowed yet, so that snapshots of earlier releases stay the same. */
   Snapshot snapshot() {
     if (stampMs == 0 && byTenant.isEmpty()) {
       return null;
--- a/src/main/java/yewjunction/store/BorrowingTerms.java
+++ b/src/main/java/yewjunction/store/BorrowingTerms.java
@@ -10,17 +10,19 @@
 final class BorrowingTerms {
   String tenant = "";
 
-  /** A second. */
+  /** Thousandths of a message a second. */
   long ratePerSecond;
 
   long bucketDepth;
   long borrowMax;
   long repayPpm;
 
-  /** What a new account begins with: what the tenant's bucket held at the leader. */
+  /**
+   * What a new account starts with, in thousandths: what the tenant's bucket held at the leader.
+   */
   long firstTokens;
 
-  /** Whether both say the same to an account that there is already. */
+  /** Whether both mean the same for an account that exists already. */
   boolean sameTerms(final BorrowingTerms other) {
     return tenant.equals(other.tenant)
         && ratePerSecond == other.ratePerSecond
@@ -40,11 +42,11 @@
   }
 
   /**
-   * An entry of the stores' log: the terms of all tenants that borrow or owe, or only that time has
-   * passed.
+   * What an entry changes: the terms of all tenants that borrow or owe, or only that time has
+   * passed. Encoded by position.
    */
   static final class TermsChange {
-    /** Of the configuration that the terms were read from; 0 when only time has passed. */
+    /** Version of the configuration that the terms are from; 0 when only time has passed. */
     long version;
 
     List<BorrowingTerms> terms = new ArrayList<>();
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -54,7 +54,7 @@
     List<TopicFloor> floors = new ArrayList<>();
     long lastDroppedIndex;
 
-    /** Null while nobody borrows ahead. */
+    /** Null as long as nobody borrows ahead. */
     BorrowingAccounts.Snapshot accounts;
   }
 
@@ -64,9 +64,12 @@
     long lastDroppedIndex;
   }
 
-  /** Told of what is new here. */
+  /** Is told of what was applied here. */
   public interface Listener {
-    /** Whether this store admitted it in its present leadership, so that it is counted already. */
+    /**
+     * Whether this store admitted the message itself in its current leadership, so that it is
+     * counted already.
+     */
     boolean isAdmittedHere(StoredMessage message);
 
     /** All entries up to this index are applied. */
@@ -111,7 +114,7 @@
     message.receivedMs = context.nowMs();
     accounts.apply(index, message, message.receivedMs);
     if (message.termsChange != null) {
-      // Of the accounts alone: no client sent it, and none gets it.
+      // An entry that changes accounts only: no client sent it, and none gets it.
       return;
     }
     acceptedNumbers.accept(
@@ -127,12 +130,12 @@
     byTopic.computeIfAbsent(message.topic, key -> new TopicMessages()).messages.add(message);
   }
 
-  /** Messages with an index above the one and up to the other, in order. */
+  /** The messages with an index above the first and up to the second argument, in order. */
   public Collection<StoredMessage> between(final long after, final long upTo) {
     return after >= upTo ? List.of() : byIndex.subMap(after, false, upTo, true).values();
   }
 
-  /** A topic's messages behind a position, or null when one behind it was dropped. */
+  /** A topic's messages after a position, or null when one of them has been dropped. */
   public List<StoredMessage> messagesAfter(final String topic, final long position) {
     final TopicMessages topicMessages = byTopic.get(topic);
     if (topicMessages == null) {
@@ -178,7 +181,8 @@
 
   private long retentionMs(final String topic) {
     final Configuration.Route route = configuration == null ? null : configuration.routeOf(topic);
-    // Without a configuration nothing may be dropped; of a route that is gone nothing is owed.
+    // Without a configuration nothing may be dropped; messages of a route that was removed are owed
+    // to nobody.
     return configuration == null
         ? Long.MAX_VALUE
         : (route == null ? 0 : route.retentionMs()) + RETENTION_SLACK_MS;
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -36,7 +36,7 @@
   private long lastChangeMs;
   private int inFlight;
 
-  /** What an account says to one message. */
+  /** What is decided about one message. */
   enum Decision {
     PAY,
     BORROW,
@@ -51,7 +51,10 @@
     this.messageStore = messageStore;
   }
 
-  /** Only at the leader, which has applied all that others admitted before it. */
+  /**
+   * The accounts with all that this leader has proposed. Used only at the leader, which has applied
+   * all that others admitted before.
+   */
   private BorrowingAccounts accountsAhead() {
     if (accountsAhead == null) {
       accountsAhead = messageStore.accounts.copyForLeader();
@@ -64,17 +67,22 @@
         && accountsAhead().accountOf(tenant) != null;
   }
 
-  /** Log time now: stamped on what is proposed in this turn. */
+  /** Log time for what is proposed in this turn, in milliseconds. */
   long logTimeMs() {
     return accountsAhead().logTimeMs(context.nowMs());
   }
 
-  /** In turn: it is this message's turn to borrow, after all that paid. */
+  /**
+   * Decides about one message.
+   *
+   * @param inTurn whether it has waited for its turn to borrow, behind all messages that are paid
+   *     for
+   */
   Decision decide(final String tenant, final long stampMs, final boolean inTurn) {
     final BorrowingAccount account = accountsAhead().accountOf(tenant);
     account.refill(stampMs);
     if (!inTurn && waitingByTenant.containsKey(tenant)) {
-      // A tenant's own order never changes.
+      // A tenant's messages keep their order.
       return waitOrDeny(tenant);
     }
     if (account.canPay()) {
@@ -92,7 +100,7 @@
     if (!inTurn) {
       return waitOrDeny(tenant);
     }
-    // Lent only while nobody else is held up by it.
+    // Lent only while it delays nobody else.
     return inFlight < MAX_IN_FLIGHT_TO_LEND
             && raftNode.commitTracker().oldestPendingWriteMs() < MAX_DISK_LAG_TO_LEND_MS
         ? Decision.BORROW
@@ -106,7 +114,7 @@
         : Decision.DENY;
   }
 
-  /** Looks again when it is this tenant's turn to borrow. */
+  /** Decides again when it is this tenant's turn to borrow. */
   void await(final String tenant, final Runnable look) {
     waitingByTenant.computeIfAbsent(tenant, key -> new ArrayDeque<>()).add(look);
     if (!turnScheduled) {
--- a/src/main/java/yewjunction/store/TenantRateLimiter.java
+++ b/src/main/java/yewjunction/store/TenantRateLimiter.java
@@ -29,7 +29,10 @@
     long refilledMs;
   }
 
-  /** Window, excess and slack: by how much the count of a window may pass a tenant's limit. */
+  /**
+   * Creates full buckets as far as the start allows. Excess and slack say by how much the count of
+   * a window may exceed a tenant's limit.
+   */
   TenantRateLimiter(
       final double windowS, final double excess, final double slack, final long nowMs) {
     this.windowS = windowS;
@@ -43,8 +46,9 @@
   }
 
   /**
-   * A denial below the limit is service lost, and clocks and arrivals differ a little; so a part of
-   * what may pass is given to the bucket, and the rest is kept for changes of the leader.
+   * Depth of a tenant's bucket. A denial below the limit is service lost, and clocks and arrivals
+   * differ a little: so the bucket gets a part of the tolerated excess, and the rest is kept for
+   * changes of the leader.
    */
   private double bucketDepth(final Tenant tenant) {
     return tenant.burst()
@@ -52,7 +56,7 @@
             * (excess * (tenant.ratePerSecond() * windowS + tenant.burst()) + slack);
   }
 
-  /** What may pass once, whatever happened before a start or a change of the leader. */
+  /** What may pass once after a start, whatever happened before. */
   private double startupAllowance(final Tenant tenant) {
     return STARTUP_EXCESS_SHARE
         * (excess * (tenant.ratePerSecond() * windowS + tenant.burst()) + slack);
@@ -69,7 +73,8 @@
             tenantName,
             key -> {
               final TokenBucket newBucket = new TokenBucket();
-              // Nothing is known of the time before the start: the bucket has filled from then on.
+              // Nothing is known of the time before the start: the bucket has been filling since
+              // then.
               newBucket.tokens =
                   Math.min(
                       depth,
@@ -86,7 +91,7 @@
   }
 
   /**
-   * A borrowing tenant's terms, in whole thousandths; a new account begins with what its bucket
+   * A borrowing tenant's terms, in whole thousandths; a new account starts with what the bucket
    * holds.
    */
   BorrowingTerms borrowingTerms(final Tenant tenant, final long nowMs) {
@@ -100,7 +105,7 @@
     return terms;
   }
 
-  /** The tenant's account has ended: its bucket goes on with what that held. */
+  /** The tenant's account has ended: its bucket goes on with what the account held. */
   void continueFrom(final String tenantName, final long thousandths, final long nowMs) {
     final TokenBucket bucket = refill(tenantName, nowMs);
     if (bucket != null) {
@@ -108,7 +113,7 @@
     }
   }
 
-  /** The state came from elsewhere, with messages that were not counted here. */
+  /** Caps all buckets after a snapshot, since its messages were not counted here. */
   void capAfterRestore() {
     buckets.forEach(
         (name, bucket) -> {
@@ -117,12 +122,11 @@
         });
   }
 
-  /** Takes one message's worth, or says no. */
+  /** Takes one token; returns false when there is none. */
   boolean tryAcquire(final String tenantName, final long nowMs) {
     final TokenBucket bucket = refill(tenantName, nowMs);
     if (bucket == null) {
-      // No tenant stands behind a message of a public space; a tenant that is gone gets nothing
-      // more.
+      // A message of a public route has no tenant; a tenant that was removed gets nothing more.
       return tenantName.isEmpty();
     }
     if (bucket.tokens < 1) {
@@ -132,9 +136,9 @@
     return true;
   }
 
-  /** A message that another leader admitted: it counts here too, for the day this store leads. */
+  /** Counts a message that another leader admitted, in case this store leads later. */
   void recordAcceptedElsewhere(final String tenantName, final long nowMs) {
-    // What the log brings back right after a start was counted before it.
+    // What is applied right after the start was counted before it.
     final TokenBucket bucket =
         nowMs - startMs < STARTUP_REPLAY_MS ? null : refill(tenantName, nowMs);
     if (bucket != null) {
--- a/src/main/java/yewjunction/transport/ClientConnection.java
+++ b/src/main/java/yewjunction/transport/ClientConnection.java
@@ -17,16 +17,16 @@
   /** Whether it has not been closed by either side. */
   boolean isOpen();
 
-  /** Reads what came. */
+  /** Handles what a client sends. */
   interface Handler {
-    /** Consumes whole messages from the start; answers how many bytes it took. */
+    /** Consumes whole commands from the start of the buffer; returns how many bytes it consumed. */
     int onReceived(byte[] bytes, int length);
 
     /** The connection has ended; called once. */
     void onClosed();
   }
 
-  /** Makes an owner for each new line. */
+  /** Creates a handler for each new connection. */
   interface HandlerFactory {
     /** The handler of a new connection. */
     Handler newHandler(ClientConnection connection);
--- a/src/main/java/yewjunction/transport/CommandQueue.java
+++ b/src/main/java/yewjunction/transport/CommandQueue.java
@@ -11,7 +11,7 @@
  */
 final class CommandQueue<T> {
   // Not Agrona's many-to-one queue: there a put that is half done hides finished ones behind it
-  // (InboxTest).
+  // (CommandQueueTest).
   private final ConcurrentLinkedQueue<T> queue = new ConcurrentLinkedQueue<>();
   private final AtomicBoolean wakeupRequested = new AtomicBoolean();
 
@@ -19,10 +19,7 @@
     queue.add(command);
   }
 
-  /**
-   * After a put: whether this caller must wake the owner. One wake-up serves however many wait:
-   * each is charged.
-   */
+  /** Whether the caller of a put has to wake the owner. One wake-up serves all that wait. */
   boolean shouldWakeOwner() {
     return wakeupRequested.compareAndSet(false, true);
   }
@@ -32,8 +29,8 @@
   }
 
   /**
-   * By the owner only. The flag goes down first: a put that finds it still up is seen by the look
-   * that follows.
+   * Takes all commands; called by the owner only. The flag is cleared first, so that a put which
+   * finds it still set is seen by the loop that follows.
    */
   List<T> takeAll() {
     wakeupRequested.set(false);
--- a/src/main/java/yewjunction/transport/EventLoopAgent.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Takes a ready key. */
+  /** Handles a channel that is ready. */
   interface ReadyHandler {
     void ready(SelectionKey key) throws IOException;
   }
@@ -61,7 +61,10 @@
     return selector;
   }
 
-  /** Runs once at the end of this turn: connections gather what a turn wrote into one write. */
+  /**
+   * Runs a task once at the end of this turn, so that all that a turn writes goes out in one system
+   * call.
+   */
   void flushAtEndOfTurn(final Runnable flush) {
     flushes.add(flush);
   }
@@ -79,7 +82,7 @@
   @Override
   public void execute(final Runnable command) {
     commands.put(command);
-    // The owner itself is awake: it looks at the queue again before it waits.
+    // The owner itself is awake and looks at the queue again before it waits.
     if (Thread.currentThread() != ownerThread && commands.shouldWakeOwner()) {
       selector.wakeup();
     }
@@ -141,9 +144,9 @@
     try {
       turn.run();
     } catch (final IOException | RuntimeException | StackOverflowError failure) {
-      // One broken turn must not end the process: state is changed only after checks. What nests
-      // too deep fails in the same way, and whoever sent it must not be able to end node after
-      // node. Other errors end the process.
+      // One task that throws must not end the process: state is changed only after checks. The same
+      // goes for a stack overflow: whoever sends what nests too deep must not end node after node.
+      // Other errors end the process.
       LogEvent.UNEXPECTED_ERROR.warn(String.valueOf(failure.getMessage()), failure);
     }
   }
--- a/src/main/java/yewjunction/transport/TcpClientConnection.java
+++ b/src/main/java/yewjunction/transport/TcpClientConnection.java
@@ -84,7 +84,7 @@
       return;
     }
     if (filled == 0) {
-      // An idle line holds no buffer: there are many lines, and memory is priced.
+      // An idle connection holds no buffer: there are many of them.
       input = null;
     } else if (taken > 0) {
       System.arraycopy(input, taken, input, 0, filled);
--- a/src/main/java/yewjunction/transport/TcpPeerConnection.java
+++ b/src/main/java/yewjunction/transport/TcpPeerConnection.java
@@ -93,7 +93,7 @@
     outbox.putInt(bytes.length);
     outbox.put(bytes, 0, bytes.length);
     lastSentMs = agent.nowMs();
-    // A peer that does not read is cut, never waited for.
+    // A peer that does not read is disconnected, never waited for.
     if (outbox.size() > MAX_PEER_QUEUE_BYTES) {
       LogEvent.CONNECTION_SLOW.warn(remote);
       close();
@@ -178,7 +178,7 @@
       larger.put(input);
       input = larger;
     } else if (input.position() == 0 && input.capacity() > 16 * INITIAL_PEER_BUFFER_BYTES) {
-      // A large message came once; memory at its peak is dear, so the buffer shrinks again.
+      // After a large message the buffer shrinks again: peak memory is expensive.
       input = ByteBuffer.allocate(INITIAL_PEER_BUFFER_BYTES);
     }
   }
@@ -188,7 +188,7 @@
     try {
       message = codec.decode(input.array(), start, length);
     } catch (final YewjunctionException failure) {
-      // A kind this release does not know is skipped, so that releases can mix.
+      // A type that this release does not know is skipped, so that releases can mix.
       if (failure.code() == MESSAGE_UNKNOWN) {
         return;
       }
--- a/src/main/java/yewjunction/transport/TcpPeerTransport.java
+++ b/src/main/java/yewjunction/transport/TcpPeerTransport.java
@@ -65,7 +65,7 @@
     SocketChannel channel = null;
     try {
       channel = channel();
-      // The own address as source: the platform's connections belong to the machine's address.
+      // Bound to the own address: the machine may have others.
       channel.bind(new InetSocketAddress(localAddress.getAddress(), 0));
       connection = new TcpPeerConnection(this, agent, codec, channel, address);
       connections.add(connection);
@@ -73,8 +73,8 @@
       connection.connect();
     } catch (final IOException failure) {
       if (connection == null) {
-        // No descriptor is left, perhaps: a connection that broke at once. Whoever dialled has more
-        // to do in this turn.
+        // Perhaps no descriptor is left. Reported as a connection that broke at once: the caller
+        // has more to do in this turn.
         closeQuietly(channel);
         final PeerConnection lost = new FailedConnection(address);
         agent.execute(() -> closeHandlers.forEach(closer -> closer.accept(lost)));
@@ -91,7 +91,7 @@
         channel.close();
       }
     } catch (final IOException ignored) {
-      // It was of no use anyway.
+      // The channel is of no use any more.
     }
   }
 
@@ -150,7 +150,7 @@
     if (connection.targetAddress() != null) {
       connectionByAddress.remove(connection.targetAddress(), connection);
     }
-    // Told on a later turn, so that nobody's table changes while it is being walked.
+    // Reported on a later turn, so that no table changes while it is being iterated.
     agent.execute(() -> closeHandlers.forEach(closer -> closer.accept(connection)));
   }
 }
--- a/src/main/java/yewjunction/transport/UdpTransport.java
+++ b/src/main/java/yewjunction/transport/UdpTransport.java
@@ -12,7 +12,7 @@
 
 /** Datagrams between nodes, one message each. All calls on the agent's thread. */
 public final class UdpTransport {
-  /** bytes; above any datagram the membership list sends. */
+  /** Bytes: above any datagram that the membership list sends. */
   private static final int MAX_DATAGRAM_BYTES = 8 << 10;
 
   private final DatagramChannel channel;
@@ -49,7 +49,7 @@
     try {
       channel.send(ByteBuffer.wrap(codec.encode(message)), SocketAddresses.parse(address));
     } catch (final IOException ignored) {
-      // A datagram may be lost anyway: the protocol above sends again.
+      // A datagram may be lost anyway; the protocol above repeats it.
     }
   }
 
--- a/src/main/java/yewjunction/transport/WriteBuffer.java
+++ b/src/main/java/yewjunction/transport/WriteBuffer.java
@@ -9,7 +9,7 @@
 
 /** Bytes that wait to be written; grows as needed, shrinks when empty. */
 public final class WriteBuffer {
-  /** bytes; read ones in front of unread ones that are worth moving. */
+  /** Bytes already written in front of the others that are worth moving them. */
   private static final int COMPACT_BYTES = 64 << 10;
 
   private final int firstBytes;
@@ -55,7 +55,7 @@
     return end - start;
   }
 
-  /** Takes all that waits, for lines that are no sockets. */
+  /** Takes all that waits, for connections that are no sockets. */
   public byte[] take() {
     final byte[] taken = new byte[size()];
     if (taken.length > 0) {
@@ -66,13 +66,13 @@
     return taken;
   }
 
-  /** True when all is written. */
+  /** Writes as much as the channel takes; returns whether all is written. */
   public boolean write(final SocketChannel channel) throws IOException {
     if (size() > 0) {
       start += channel.write(ByteBuffer.wrap(buffer.byteArray(), start, end - start));
     }
     if (start < end) {
-      // A reader that never quite catches up: what it has read gives its room back.
+      // A reader that never quite catches up: what it has read is dropped from the buffer.
       if (start > COMPACT_BYTES && start > size()) {
         buffer.putBytes(0, buffer, start, size());
         end -= start;
@@ -82,7 +82,7 @@
     }
     start = 0;
     end = 0;
-    // An idle connection holds no buffer: there are many connections, and memory is priced.
+    // An idle connection holds no buffer: there are many of them.
     if (buffer != null && buffer.capacity() > 2 * firstBytes) {
       buffer = null;
     }
