--- a/src/main/java/yewjunction/doctor/BorrowingCheck.java
+++ b/src/main/java/yewjunction/doctor/BorrowingCheck.java
@@ -1,71 +1,74 @@
 package yewjunction.doctor;
 
 import com.typesafe.config.Config;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import yewjunction.doctor.Finding.Code;
 
-/** What the stores say of the accounts of tenants that borrow ahead, held against one another. */
+/**
+ * The accounts of tenants that borrow ahead, as each store holds them, compared with one another.
+ */
 final class BorrowingCheck {
-  private BorrowingCheck() {}
+  private final Findings findings;
+  private final Map<String, String> amountsByEntry = new TreeMap<>();
+  private final Map<String, Config> newestByTenant = new TreeMap<>();
 
-  /** Rows of stores as the leading control node shows them. */
-  static List<Finding> check(final List<? extends Config> stores) {
-    final List<Finding> findings = new ArrayList<>();
-    final Map<String, String> told = new TreeMap<>();
-    final Map<String, Config> newest = new TreeMap<>();
+  BorrowingCheck(final Findings findings) {
+    this.findings = findings;
+  }
+
+  void run(final List<? extends Config> stores) {
     for (final Config store : stores) {
-      for (final Config account :
-          store.hasPath("Accounts") ? store.getConfigList("Accounts") : List.<Config>of()) {
-        final String tenant = account.getString("Tenant");
-        final String place = tenant + " at entry " + account.getLong("Index");
-        final String held =
-            account.getDouble("Tokens")
-                + " left, "
-                + account.getDouble("Debt")
-                + " owed, "
-                + account.getDouble("Borrowed")
-                + " borrowed, "
-                + account.getDouble("Repaid")
-                + " repaid";
-        // Accounts that the same entry touched last must be the same, whoever holds them.
-        final String other = told.putIfAbsent(place, held);
-        if (other != null && !other.equals(held)) {
-          findings.add(
-              new Finding(
-                  Code.ACCOUNTS_DIFFER,
-                  place
-                      + ": "
-                      + store.getString("Nodename")
-                      + " holds "
-                      + held
-                      + ", another store "
-                      + other,
-                  "report it with both log files; empty the folder of the store that a third one contradicts"));
-        }
-        // A store that lags says what was; the newest word counts.
-        newest.merge(
-            tenant, account, (one, two) -> two.getLong("Index") > one.getLong("Index") ? two : one);
+      if (store.hasPath("Accounts")) {
+        store.getConfigList("Accounts").forEach(account -> compare(store, account));
       }
     }
-    newest.forEach(
-        (tenant, account) -> {
-          if (account.getDouble("Debt") > 0
-              && account.getDouble("Debt") + 1 > account.getDouble("BorrowMax")) {
-            findings.add(
-                new Finding(
-                    Code.BORROW_AT_LIMIT,
-                    tenant
-                        + " owes "
-                        + account.getDouble("Debt")
-                        + " of "
-                        + account.getDouble("BorrowMax")
-                        + " and is denied more",
-                    "nothing; or a higher RatePerS or BorrowMax"));
-          }
-        });
-    return findings;
+    newestByTenant.forEach(this::checkLimit);
+  }
+
+  private void compare(final Config store, final Config account) {
+    final String tenant = account.getString("Tenant");
+    final String entry = tenant + " at entry " + account.getLong("Index");
+    final String amounts = amounts(account);
+    // Accounts that the same entry changed last must be the same, whoever holds them.
+    final String others = amountsByEntry.putIfAbsent(entry, amounts);
+    if (others != null && !others.equals(amounts)) {
+      findings.add(
+          Code.ACCOUNTS_DIFFER,
+          entry
+              + ": "
+              + store.getString("Nodename")
+              + " holds "
+              + amounts
+              + ", another store "
+              + others,
+          "report it with both log files; empty the folder of the store that a third one contradicts");
+    }
+    // A store that lags shows an earlier state; the newest one counts.
+    newestByTenant.merge(
+        tenant, account, (one, two) -> two.getLong("Index") > one.getLong("Index") ? two : one);
+  }
+
+  private static String amounts(final Config account) {
+    return account.getDouble("Tokens")
+        + " left, "
+        + account.getDouble("Debt")
+        + " owed, "
+        + account.getDouble("Borrowed")
+        + " borrowed, "
+        + account.getDouble("Repaid")
+        + " repaid";
+  }
+
+  private void checkLimit(final String tenant, final Config account) {
+    final double debt = account.getDouble("Debt");
+    final double limit = account.getDouble("BorrowMax");
+    if (debt > 0 && debt + 1 > limit) {
+      findings.add(
+          Code.BORROW_AT_LIMIT,
+          tenant + " owes " + debt + " of " + limit + " and is denied more",
+          "nothing; or a higher RatePerS or BorrowMax");
+    }
   }
 }
