--- a/src/test/java/yewjunction/control/ControlWireFormatTest.java
+++ b/src/test/java/yewjunction/control/ControlWireFormatTest.java
@@ -12,7 +12,7 @@
  * those of release 0.1.0.
  */
 class ControlWireFormatTest {
-  static ControlCommand deed(final int kind) {
+  static ControlCommand command(final int kind) {
     final ControlCommand command = new ControlCommand(kind);
     command.json = "{\"Ver\":8}";
     command.version = 8;
@@ -104,7 +104,7 @@
     final ClusterState.Change change = new ClusterState.Change();
     change.previousNumber = 54;
     change.index = 55;
-    change.command = deed(ControlCommand.BEGIN_RETIREMENT);
+    change.command = command(ControlCommand.BEGIN_RETIREMENT);
     leaseResponse.changes.add(change);
     messages.put("51", leaseResponse);
     final LeaseMessages.ConfirmLeadershipRequest confirmRequest =
@@ -136,7 +136,7 @@
     for (int kind = ControlCommand.SET_CONFIGURATION;
         kind <= ControlCommand.FINISH_RETIREMENT;
         kind++) {
-      examples.put("command-" + kind, ControlStateMachine.encode(deed(kind)));
+      examples.put("command-" + kind, ControlStateMachine.encode(command(kind)));
     }
     final ControlStateMachine stateMachine = ControlStateFixture.core();
     ControlStateFixture.apply(stateMachine, 1);
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -27,7 +27,7 @@
   ModelDisk disk;
   RaftNode raftNode;
   ModelTransport post;
-  RecordingStateMachine tale;
+  RecordingStateMachine recording;
 
   /** How often this machine has had an empty disk. */
   int wipes;
@@ -59,27 +59,27 @@
 
   /** A machine that only remembers. */
   static final class RecordingStateMachine implements StateMachine {
-    final TreeMap<Long, Long> told = new TreeMap<>();
+    final TreeMap<Long, Long> applied = new TreeMap<>();
     long restoredTo;
 
     @Override
     public void apply(final long index, final byte[] data) {
-      told.put(index, ByteBuffer.wrap(data).getLong());
+      applied.put(index, ByteBuffer.wrap(data).getLong());
     }
 
     @Override
     public byte[] snapshot() {
-      final ByteBuffer bytes = ByteBuffer.allocate(16 * told.size());
-      told.forEach((index, value) -> bytes.putLong(index).putLong(value));
+      final ByteBuffer bytes = ByteBuffer.allocate(16 * applied.size());
+      applied.forEach((index, value) -> bytes.putLong(index).putLong(value));
       return bytes.array();
     }
 
     @Override
     public void restore(final long index, final byte[] state) {
-      told.clear();
+      applied.clear();
       final ByteBuffer bytes = ByteBuffer.wrap(state);
       while (bytes.hasRemaining()) {
-        told.put(bytes.getLong(), bytes.getLong());
+        applied.put(bytes.getLong(), bytes.getLong());
       }
       restoredTo = index;
     }
@@ -101,8 +101,8 @@
       forgetVotes();
     }
     post = new ModelTransport(this);
-    tale = new RecordingStateMachine();
-    raftNode = new RaftNode(7, this, post, disk, this::work, "ledger", tale);
+    recording = new RecordingStateMachine();
+    raftNode = new RaftNode(7, this, post, disk, this::work, "ledger", recording);
     raftNode.registerHandlers();
     raftNode
         .reconfiguration()
--- a/src/test/java/yewjunction/raft/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -65,9 +65,10 @@
     final RaftNode raftNode = host.raftNode;
     // Applied index, restored index, term led.
     final long[] last = seen.computeIfAbsent(host, key -> new long[3]);
-    if (host.tale.restoredTo > last[1]) {
-      last[1] = host.tale.restoredTo;
-      host.tale.told.forEach((index, value) -> same(host, index, history.get(index), value));
+    if (host.recording.restoredTo > last[1]) {
+      last[1] = host.recording.restoredTo;
+      host.recording.applied.forEach(
+          (index, value) -> same(host, index, history.get(index), value));
     }
     if (raftNode.isLeader()) {
       if (raftNode.currentTerm() >= newestTerm) {
@@ -217,7 +218,7 @@
     for (final ModelHost host : world.hosts) {
       if (host.up()
           && host.raftNode.appliedIndex() >= index
-          && !Long.valueOf(value).equals(host.tale.told.get(index))) {
+          && !Long.valueOf(value).equals(host.recording.applied.get(index))) {
         broken.add(
             "acknowledged is applied: "
                 + value
@@ -226,7 +227,7 @@
                 + ", "
                 + host.address
                 + " has "
-                + host.tale.told.get(index));
+                + host.recording.applied.get(index));
       }
     }
   }
--- a/src/test/java/yewjunction/raft/ModelStep.java
+++ b/src/test/java/yewjunction/raft/ModelStep.java
@@ -19,7 +19,7 @@
   static final int HAND = 11;
   static final int DRAIN = 12;
   static final int LEAVE = 13;
-  private static final String LETTERS = "tsdrxkbwfpch*l";
+  private static final String KIND_CODES = "tsdrxkbwfpch*l";
 
   private ModelStep() {}
 
@@ -51,7 +51,7 @@
     final int kind = kind(step);
     return kind == DRAIN
         ? "*"
-        : LETTERS.substring(kind, kind + 1)
+        : KIND_CODES.substring(kind, kind + 1)
             + member(step)
             + (pair(kind) ? ">" + other(step) : "")
             + (which(step) == 0 ? "" : "." + which(step));
@@ -62,7 +62,7 @@
   }
 
   private static char parsed(final String text) {
-    final int kind = LETTERS.indexOf(text.charAt(0));
+    final int kind = KIND_CODES.indexOf(text.charAt(0));
     if (kind < 0) {
       throw new IllegalArgumentException("step " + text);
     }
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -19,8 +19,8 @@
 class RaftSimulation {
   static final List<String> SPARES = List.of("a:2", "a:3", "b:2", "d:1", "d:2");
   final List<String> addresses = List.of("a:1", "b:1", "c:1");
-  final Map<String, RaftNode> ledgers = new TreeMap<>();
-  final Map<String, RecordingStateMachine> tales = new HashMap<>();
+  final Map<String, RaftNode> members = new TreeMap<>();
+  final Map<String, RecordingStateMachine> recordings = new HashMap<>();
 
   /** What any member applied at an index, over the whole run. */
   private final Map<Long, Long> history = new TreeMap<>();
@@ -54,7 +54,7 @@
 
   /** A machine that only remembers. */
   final class RecordingStateMachine implements StateMachine {
-    final TreeMap<Long, Long> told = new TreeMap<>();
+    final TreeMap<Long, Long> applied = new TreeMap<>();
     private long last;
 
     @Override
@@ -65,7 +65,7 @@
     }
 
     private void put(final long index, final long value) {
-      told.put(index, value);
+      applied.put(index, value);
       final Long known = history.putIfAbsent(index, value);
       assertTrue(known == null || known == value, "two values at " + index);
     }
@@ -75,15 +75,15 @@
       snapshots++;
       // As the stores' state does, it differs from one moment to the next without any entry:
       // stamped at both ends.
-      final ByteBuffer bytes = ByteBuffer.allocate(20 + 16 * told.size() + ballast);
-      bytes.putLong(network.nowMs()).putInt(told.size());
-      told.forEach((index, value) -> bytes.putLong(index).putLong(value));
+      final ByteBuffer bytes = ByteBuffer.allocate(20 + 16 * applied.size() + ballast);
+      bytes.putLong(network.nowMs()).putInt(applied.size());
+      applied.forEach((index, value) -> bytes.putLong(index).putLong(value));
       return bytes.putLong(bytes.limit() - 8, network.nowMs()).array();
     }
 
     @Override
     public void restore(final long index, final byte[] state) {
-      told.clear();
+      applied.clear();
       final ByteBuffer bytes = ByteBuffer.wrap(state);
       assertEquals(
           bytes.getLong(), bytes.getLong(state.length - 8), "a snapshot put together from two");
@@ -98,9 +98,9 @@
     final SimulatedHost host = network.host(address);
     final SimulatedTransport post = host.boot();
     host.messageFilter = tampering;
-    final RecordingStateMachine tale = new RecordingStateMachine();
+    final RecordingStateMachine recording = new RecordingStateMachine();
     final RaftNode raftNode =
-        new RaftNode(7, host, post, host.disk, host.executor(), "ledger", tale);
+        new RaftNode(7, host, post, host.disk, host.executor(), "ledger", recording);
     raftNode.registerHandlers();
     raftNode
         .reconfiguration()
@@ -116,12 +116,12 @@
         .groupMembership()
         .start(
             () ->
-                ledgers.keySet().stream()
+                members.keySet().stream()
                     .filter(one -> !one.equals(address) && !forgotten.contains(one))
                     .toList(),
             () -> true);
-    ledgers.put(address, raftNode);
-    tales.put(address, tale);
+    members.put(address, raftNode);
+    recordings.put(address, recording);
   }
 
   void begin(final long seed) {
@@ -130,8 +130,8 @@
     network.every(
         7,
         () -> {
-          final List<String> all = List.copyOf(ledgers.keySet());
-          final RaftNode raftNode = ledgers.get(all.get(network.random.nextInt(all.size())));
+          final List<String> all = List.copyOf(members.keySet());
+          final RaftNode raftNode = members.get(all.get(network.random.nextInt(all.size())));
           if (!quiet
               && network.host(RaftNode.addressOf(raftNode.identity())).up()
               && raftNode.isReadyLeader()) {
@@ -144,7 +144,7 @@
                   }
                 });
           }
-          for (final RaftNode one : ledgers.values()) {
+          for (final RaftNode one : members.values()) {
             if (one.isLeader() && network.host(RaftNode.addressOf(one.identity())).up()) {
               final String known = leaders.putIfAbsent(one.currentTerm(), one.identity());
               assertTrue(
@@ -164,7 +164,7 @@
   }
 
   RaftNode leader() {
-    return ledgers.values().stream()
+    return members.values().stream()
         .filter(one -> network.host(RaftNode.addressOf(one.identity())).up() && one.isReadyLeader())
         .findFirst()
         .orElse(null);
@@ -182,7 +182,7 @@
     assertTrue(
         network.runUntil(() -> acknowledged.size() > before + 20, 20_000),
         "no progress when all is well again "
-            + ledgers.values().stream().map(RaftNodeText::of).toList());
+            + members.values().stream().map(RaftNodeText::of).toList());
     network.runFor(2_000);
     // The load goes on: what is acknowledged this very moment is told to the others within a
     // heartbeat.
@@ -190,10 +190,10 @@
     network.runFor(100);
     for (final String address : addresses) {
       assertTrue(
-          tales.get(address).told.values().containsAll(owed),
+          recordings.get(address).applied.values().containsAll(owed),
           address + " lacks an acknowledged entry");
       assertTrue(
-          leader().voters().contains(ledgers.get(address).identity()),
+          leader().voters().contains(members.get(address).identity()),
           address + " does not vote again");
     }
   }
--- a/src/test/java/yewjunction/raft/RaftSimulationTest.java
+++ b/src/test/java/yewjunction/raft/RaftSimulationTest.java
@@ -41,7 +41,7 @@
             network.cut(victim, other);
           }
         }
-        case 4 -> ledgers.get(victim).reconfiguration().transferLeadership(() -> {});
+        case 4 -> members.get(victim).reconfiguration().transferLeadership(() -> {});
         default -> addresses.forEach(address -> network.host(address).powerOff());
       }
       network.runFor(200 + network.random.nextInt(2_000));
@@ -136,11 +136,11 @@
     network.runFor(2_000);
     final int length = network.host("a:1").disk.read("ledger").length;
     assertTrue(length < 14 << 20, "file of " + length);
-    final List<Long> before = new ArrayList<>(tales.get("a:1").told.values());
+    final List<Long> before = new ArrayList<>(recordings.get("a:1").applied.values());
     network.host("a:1").kill();
     boot("a:1", false);
     network.runFor(3_000);
-    assertTrue(tales.get("a:1").told.values().containsAll(before));
+    assertTrue(recordings.get("a:1").applied.values().containsAll(before));
     assertNotNull(leader());
     checkAll();
   }
--- a/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
+++ b/src/test/java/yewjunction/raft/ReadIndexRequestsTest.java
@@ -73,7 +73,7 @@
 
   private void late(final RaftNode leader, final String from, final long round) {
     final AppendEntriesResponse response = new AppendEntriesResponse();
-    response.from = ledgers.get(from).identity();
+    response.from = members.get(from).identity();
     response.term = leader.currentTerm();
     response.accepted = true;
     response.round = round;
@@ -127,10 +127,10 @@
     final AppendEntriesRequest old = appends.get("c:1");
     old.from = leader.identity();
     old.to = 0;
-    ledgers
+    members
         .get("c:1")
         .followerState()
-        .onAppendEntries(ledgers.get("c:1").transport().connect("a:1"), old);
+        .onAppendEntries(members.get("c:1").transport().connect("a:1"), old);
     network.runFor(50);
     final List<AppendEntriesResponse> refusals =
         told.stream().filter(response -> !response.accepted).toList();
--- a/src/test/java/yewjunction/raft/SnapshotChunksTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotChunksTest.java
@@ -23,7 +23,7 @@
     network.runFor(8_000);
     final long numbers = snapshots;
     leader().leaderState().snapshotTransfer().abandonAll();
-    final boolean whole = network.runUntil(() -> ledgers.get("d:1").appliedIndex() > 0, 60_000);
+    final boolean whole = network.runUntil(() -> members.get("d:1").appliedIndex() > 0, 60_000);
     assertEquals(numbers + 1, snapshots);
     return whole;
   }
@@ -57,7 +57,7 @@
     begin(10);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
     final RaftNode follower =
-        ledgers.values().stream().filter(one -> !one.isLeader()).findFirst().orElseThrow();
+        members.values().stream().filter(one -> !one.isLeader()).findFirst().orElseThrow();
     assertTrue(
         network.runUntil(() -> follower.log().lastIndex() > follower.commitIndex() + 1, 10_000));
     final long last = follower.log().lastIndex();
@@ -68,7 +68,7 @@
     request.lastTerm = follower.log().termAt(request.lastIndex);
     request.snapshotNumber = 1;
     // All of it in one piece: to be installed, were the entries not here.
-    request.chunk = tales.get(RaftNode.addressOf(leader().identity())).snapshot();
+    request.chunk = recordings.get(RaftNode.addressOf(leader().identity())).snapshot();
     request.totalBytes = request.chunk.length;
     follower
         .followerState()
--- a/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulationTest.java
@@ -19,7 +19,7 @@
   private static final List<String> LATE = List.of("d:1", "e:1");
 
   private boolean caughtUp(final String address) {
-    final long applied = ledgers.get(address).appliedIndex();
+    final long applied = members.get(address).appliedIndex();
     return leader() != null && applied > 0 && applied + 100 >= leader().appliedIndex();
   }
 
@@ -44,7 +44,7 @@
     network.every(
         1_000,
         () ->
-            ledgers
+            members
                 .values()
                 .forEach(raftNode -> raftNode.leaderState().snapshotTransfer().abandonAll()));
     LATE.forEach(address -> boot(address, false));
@@ -75,7 +75,7 @@
     final String address = RaftNode.addressOf(cutting.identity());
     network.host(address).powerOff();
     boot(address, false);
-    assertEquals(base, ledgers.get(address).log().snapshotIndex());
+    assertEquals(base, members.get(address).log().snapshotIndex());
   }
 
   @Test
@@ -98,7 +98,7 @@
     boot("d:1", false);
     network.runFor(8_000);
     assertTrue(
-        leader().leaderState().snapshotTransfer().isSendingTo(ledgers.get("d:1").identity()),
+        leader().leaderState().snapshotTransfer().isSendingTo(members.get("d:1").identity()),
         "not under way");
     return leader();
   }
@@ -108,7 +108,8 @@
     assertEquals(built, snapshots, "snapshots built");
     final List<Long> owed = List.copyOf(acknowledged);
     network.runFor(500);
-    assertTrue(tales.get("d:1").told.values().containsAll(owed), "lacks what was acknowledged");
+    assertTrue(
+        recordings.get("d:1").applied.values().containsAll(owed), "lacks what was acknowledged");
   }
 
   @Test
@@ -146,7 +147,7 @@
   void aReceiverWhoseDiskIsLostIsAnotherOne() {
     final RaftNode sender = halfWay(6);
     final int built = snapshots;
-    final String before = ledgers.get("d:1").identity();
+    final String before = members.get("d:1").identity();
     network.host("d:1").powerOff();
     network.host("d:1").wipe();
     boot("d:1", false);
@@ -155,7 +156,7 @@
     assertFalse(
         sender.leaderState().snapshotTransfer().isSendingTo(before),
         "a snapshot is held for a name that is gone");
-    assertFalse(sender.leaderState().snapshotTransfer().isSendingTo(ledgers.get("d:1").identity()));
+    assertFalse(sender.leaderState().snapshotTransfer().isSendingTo(members.get("d:1").identity()));
   }
 
   @ParameterizedTest
@@ -165,7 +166,7 @@
     final int built = snapshots;
     // The whole is there, and on its way to a disk that takes a second for it.
     network.host("d:1").syncMicros = 1_000_000;
-    assertTrue(network.runUntil(() -> ledgers.get("d:1").appliedIndex() > 0, 30_000));
+    assertTrue(network.runUntil(() -> members.get("d:1").appliedIndex() > 0, 30_000));
     network.runFor(lateMs);
     network.host("d:1").powerOff();
     network.host("d:1").syncMicros = 2_000;
@@ -173,7 +174,7 @@
     boot("d:1", false);
     // Whoever leads may go once all pieces are there: where the new is lost the next leader builds
     // one, and nobody else.
-    final boolean kept = ledgers.get("d:1").appliedIndex() > 0;
+    final boolean kept = members.get("d:1").appliedIndex() > 0;
     assertTrue(network.runUntil(() -> caughtUp("d:1"), 60_000), "not caught up");
     finishes(kept ? built : built + (int) (leader().currentTerm() - term));
   }
--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -40,7 +40,8 @@
     beginWith(1, "a:2", "b:2");
     assertEquals(addresses, voters());
     // It learns all the same, but for what is on its way right now.
-    final long learnt = acknowledged.stream().filter(tales.get("a:2").told::containsValue).count();
+    final long learnt =
+        acknowledged.stream().filter(recordings.get("a:2").applied::containsValue).count();
     assertTrue(
         learnt > 50 && learnt >= acknowledged.size() - 5, learnt + " of " + acknowledged.size());
   }
@@ -70,8 +71,8 @@
     awaitProgress(50, 5_000);
     final String last = addresses.get((int) ((seed + 2) % 3));
     assertTrue(
-        tales.get(last).told.values().containsAll(acknowledged)
-            || tales.get("d:9").told.values().containsAll(acknowledged),
+        recordings.get(last).applied.values().containsAll(acknowledged)
+            || recordings.get("d:9").applied.values().containsAll(acknowledged),
         "an acknowledged entry is gone");
     assertTrue(!voters().contains(gone), "the departed address votes");
   }
@@ -84,7 +85,7 @@
             .filter(one -> !one.equals(RaftNode.addressOf(leader().identity())))
             .findFirst()
             .orElseThrow();
-    ledgers.keySet().forEach(other -> network.cut(away, other));
+    members.keySet().forEach(other -> network.cut(away, other));
     assertTrue(network.runUntil(() -> voters().contains("d:1"), 5_000));
     // Long enough for the leader to forget it altogether.
     network.runFor(25_000);
@@ -95,9 +96,10 @@
     // The load goes on: what is acknowledged this very moment reaches it within a heartbeat.
     final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
     network.runFor(100);
-    assertTrue(tales.get(away).told.values().containsAll(owed), "it was not brought up to date");
     assertTrue(
-        !ledgers.get(away).voters().contains(ledgers.get(away).identity()),
+        recordings.get(away).applied.values().containsAll(owed), "it was not brought up to date");
+    assertTrue(
+        !members.get(away).voters().contains(members.get(away).identity()),
         "it still thinks that it votes");
   }
 
@@ -148,7 +150,7 @@
                 .findFirst()
                 .orElseThrow();
     final boolean[] ended = new boolean[1];
-    ledgers
+    members
         .get(gone)
         .groupMembership()
         .leaveGroup(
@@ -180,7 +182,7 @@
     final java.util.Set<Long> owed = java.util.Set.copyOf(acknowledged);
     network.runFor(100);
     assertTrue(
-        tales.get(RaftNode.addressOf(leader().identity())).told.values().containsAll(owed),
+        recordings.get(RaftNode.addressOf(leader().identity())).applied.values().containsAll(owed),
         "an acknowledged entry is gone");
   }
 
@@ -213,7 +215,7 @@
             .findFirst()
             .orElseThrow();
     final boolean[] ended = new boolean[1];
-    ledgers.get(gone).groupMembership().leaveGroup(() -> ended[0] = true);
+    members.get(gone).groupMembership().leaveGroup(() -> ended[0] = true);
     network.runFor(1);
     assertTrue(ended[0], "it waits for nothing");
     assertEquals(addresses, voters());
@@ -248,7 +250,7 @@
         addresses.stream()
             .filter(one -> !one.equals(RaftNode.addressOf(leader().identity())))
             .toList();
-    ledgers.keySet().forEach(other -> network.cut(others.get(0), other));
+    members.keySet().forEach(other -> network.cut(others.get(0), other));
     network.runFor(awayMs);
     network.host(others.get(1)).powerOff();
     network.host(others.get(1)).wipe();
@@ -256,7 +258,11 @@
     network.join();
     awaitProgress(50, 12_000);
     assertTrue(
-        tales.get(RaftNode.addressOf(leader().identity())).told.values().containsAll(acknowledged),
+        recordings
+            .get(RaftNode.addressOf(leader().identity()))
+            .applied
+            .values()
+            .containsAll(acknowledged),
         "an acknowledged entry is gone");
   }
 
@@ -265,7 +271,7 @@
     beginWith(3, "d:1");
     network.loss = 0;
     network.runFor(1_000);
-    assertTrue(ledgers.get("d:1").groupMembership().lagMs() < 100, "behind while all is well");
+    assertTrue(members.get("d:1").groupMembership().lagMs() < 100, "behind while all is well");
     // It hears how far the others are, but not the entries.
     network.host("d:1").messageFilter =
         message -> {
@@ -276,8 +282,8 @@
             response.entries.clear();
           }
         };
-    assertTrue(network.runUntil(() -> ledgers.get("d:1").groupMembership().lagMs() > 1_000, 3_000));
+    assertTrue(network.runUntil(() -> members.get("d:1").groupMembership().lagMs() > 1_000, 3_000));
     network.host("d:1").messageFilter = message -> {};
-    assertTrue(network.runUntil(() -> ledgers.get("d:1").groupMembership().lagMs() == 0, 3_000));
+    assertTrue(network.runUntil(() -> members.get("d:1").groupMembership().lagMs() == 0, 3_000));
   }
 }
--- a/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelaySimulationTest.java
@@ -15,7 +15,7 @@
     return leader()
         .leaderState()
         .progressByMember()
-        .get(ledgers.get(address).identity())
+        .get(members.get(address).identity())
         .relayAddress;
   }
 
@@ -24,7 +24,7 @@
     final long known = acknowledged.size();
     for (final String spare : SPARES) {
       final long learnt =
-          acknowledged.stream().filter(tales.get(spare).told::containsValue).count();
+          acknowledged.stream().filter(recordings.get(spare).applied::containsValue).count();
       assertTrue(learnt >= known - 10, when + ": " + spare + " knows " + learnt + " of " + known);
     }
   }
@@ -46,7 +46,7 @@
     SPARES.forEach(
         spare ->
             assertTrue(
-                leader().reconfiguration().isCaughtUp(ledgers.get(spare).identity()), spare));
+                leader().reconfiguration().isCaughtUp(members.get(spare).identity()), spare));
   }
 
   @Test
@@ -97,7 +97,7 @@
     tampering = chosenTampering;
     beginWithSpares(seed);
     network.loss = 0.03;
-    final List<String> all = List.copyOf(ledgers.keySet());
+    final List<String> all = List.copyOf(members.keySet());
     for (int round = 0; round < 12; round++) {
       final String victim = all.get(network.random.nextInt(all.size()));
       switch (network.random.nextInt(4)) {
@@ -123,7 +123,7 @@
     assertTrue(leader() != null, "nobody leads");
     for (final String address : all) {
       final long learnt =
-          acknowledged.stream().filter(tales.get(address).told::containsValue).count();
+          acknowledged.stream().filter(recordings.get(address).applied::containsValue).count();
       assertTrue(
           learnt >= acknowledged.size() - 10,
           address + " knows " + learnt + " of " + acknowledged.size());
--- a/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
+++ b/src/test/java/yewjunction/raft/ZoneRelayTermsTest.java
@@ -24,7 +24,7 @@
    */
   private long termAfterALateAppend(final boolean named) {
     beginWithSpares(1);
-    final RaftNode spare = ledgers.get("b:2");
+    final RaftNode spare = members.get("b:2");
     final String former = leader().identity();
     final long term = spare.currentTerm();
     final long prevIndex = spare.log().lastIndex();
@@ -67,7 +67,7 @@
   void oneHistoryUnderKillsAndCuts(final long seed) {
     beginWithSpares(seed);
     network.loss = 0.03;
-    final List<String> all = List.copyOf(ledgers.keySet());
+    final List<String> all = List.copyOf(members.keySet());
     for (int round = 0; round < 12; round++) {
       final String victim = all.get(network.random.nextInt(all.size()));
       if (network.random.nextInt(4) < 3) {
--- a/src/test/java/yewjunction/server/ServerProcessTest.java
+++ b/src/test/java/yewjunction/server/ServerProcessTest.java
@@ -24,7 +24,8 @@
     return Files.createTempDirectory(Path.of("target"), "process");
   }
 
-  private static ServerProcess crux(final Path folder, final int controlPort) throws Exception {
+  private static ServerProcess controlProcess(final Path folder, final int controlPort)
+      throws Exception {
     try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.9"))) {
       final int port = Math.min(probe.getLocalPort(), 65_000);
       final Path file =
@@ -50,7 +51,7 @@
   @Test
   void aProcessThatCannotOpenItsDoorEnds() throws Exception {
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.9"))) {
-      final ServerProcess process = crux(folder(), taken.getLocalPort());
+      final ServerProcess process = controlProcess(folder(), taken.getLocalPort());
       assertThrows(
           UncheckedIOException.class,
           () -> assertTimeoutPreemptively(Duration.ofSeconds(20), process::run));
@@ -68,7 +69,7 @@
     signals.onSignal(SignalHandlers.Kind.STOP);
     signals.onSignal(SignalHandlers.Kind.STOP);
     final Path folder = folder();
-    final ServerProcess process = crux(folder, port).withSignals(signals);
+    final ServerProcess process = controlProcess(folder, port).withSignals(signals);
     assertEquals(ExitCode.OK, assertTimeoutPreemptively(Duration.ofSeconds(20), process::run));
     // It had started before it stopped: what it is called stands on its disk.
     assertTrue(Files.size(folder.resolve("data").resolve("charter")) > 0);
--- a/src/test/java/yewjunction/system/ConcurrentOperators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -35,7 +35,7 @@
     random = new Random(seed);
   }
 
-  /** The real desk of a control node, where its process is up. */
+  /** The real operator API of a control node, where its process is up. */
   static void ask(
       final SimulatedCluster cluster,
       final String controlNode,
--- a/src/test/java/yewjunction/system/DeliveryChecker.java
+++ b/src/test/java/yewjunction/system/DeliveryChecker.java
@@ -58,12 +58,12 @@
     long deniedMs;
 
     /** When it was last said, on which connection. */
-    long saidMs;
+    long lastSentMs;
   }
 
   /** One subscription. */
   private static final class Reading {
-    long sinceMs = -1;
+    long subscribedMs = -1;
     long untilMs = Long.MAX_VALUE;
     long lastPosition = -1;
     final Set<String> bodies = new HashSet<>();
@@ -125,8 +125,8 @@
 
   void subscribed(final String client, final String topic, final long nowMs) {
     final Reading reading = reading(client, topic);
-    if (reading.sinceMs < 0) {
-      reading.sinceMs = nowMs;
+    if (reading.subscribedMs < 0) {
+      reading.subscribedMs = nowMs;
     }
   }
 
@@ -170,7 +170,7 @@
             + position
             + " "
             + reading.filters);
-    assertTrue(reading.sinceMs >= 0, "delivered before the answer to SUB");
+    assertTrue(reading.subscribedMs >= 0, "delivered before the answer to SUB");
     assertTrue(reading.bodies.add(body), client + " got twice: " + body);
     assertTrue(
         position > reading.lastPosition,
@@ -193,8 +193,8 @@
         final Reading reading = entry.getValue();
         if (one.acked
             && topic.equals(one.topic)
-            && reading.sinceMs >= 0
-            && one.firstMs > reading.sinceMs
+            && reading.subscribedMs >= 0
+            && one.firstMs > reading.subscribedMs
             && reading.untilMs == Long.MAX_VALUE
             && (reading.filters.isEmpty() || reading.wants(positions.get(one.body), one.body))) {
           owed++;
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -8,7 +8,7 @@
 import yewjunction.settings.Settings;
 import yewjunction.simulation.SimulatedHost;
 
-/** What can be done to a town's machines, each command noted. */
+/** What can be done to a system's machines, each command noted. */
 abstract class FaultInjector {
   /** ms; for so long a machine that came back still counts as lost. */
   static final long SYNC_MS = 4_000;
@@ -44,7 +44,7 @@
     return on(machine).stream().map(cluster.network::host).toList();
   }
 
-  List<String> core() {
+  List<String> controlNodes() {
     return cluster.nodes.keySet().stream()
         .filter(address -> !machine(address).endsWith(".2"))
         .map(RandomFaults::machine)
@@ -67,13 +67,13 @@
     return leastMs + random.nextInt(mostMs - leastMs);
   }
 
-  void back() {
+  void restoreAll() {
     cluster.bootAll();
   }
 
   void lost(final long forMs) {
     cluster.network.runFor(forMs);
-    back();
+    restoreAll();
     cluster.network.runFor(SYNC_MS);
   }
 
@@ -84,7 +84,7 @@
   void pair() {
     final List<String> from =
         random.nextInt(3) == 0
-            ? core()
+            ? controlNodes()
             : (random.nextBoolean() ? cluster.all(NodeRole.STORE) : cluster.all(NodeRole.CONTROL))
                 .stream().map(FaultInjector::machine).toList();
     final String first =
@@ -92,16 +92,16 @@
             ? machine(leader())
             : from.get(random.nextInt(from.size()));
     final List<String> others = from.stream().filter(one -> !one.equals(first)).toList();
-    strike(first);
+    apply(first);
     cluster.network.runFor(random.nextInt(3) * span(1, 900));
-    strike(others.get(random.nextInt(others.size())));
+    apply(others.get(random.nextInt(others.size())));
     cluster.network.runFor(span(300, 6_000));
     cluster.network.join();
     cluster.nodes.keySet().forEach(address -> cluster.network.host(address).thaw());
     lost(0);
   }
 
-  private void strike(final String victim) {
+  private void apply(final String victim) {
     final int kind = random.nextInt(6);
     note(
         "of two: "
@@ -126,11 +126,11 @@
 
   void killWhileCutOff(final String victim, final long forMs) {
     note("killed while cut off " + victim + " " + forMs);
-    core().forEach(other -> cluster.network.cut(victim + ":", other + ":"));
+    controlNodes().forEach(other -> cluster.network.cut(victim + ":", other + ":"));
     cluster.network.runFor(forMs / 2);
     on(victim).forEach(cluster::kill);
     cluster.network.runFor(forMs / 4);
-    back();
+    restoreAll();
     cluster.network.runFor(forMs / 4);
     cluster.network.join();
     lost(0);
@@ -166,7 +166,7 @@
             + forMs);
     for (final String other :
         fromCoreOnly
-            ? core()
+            ? controlNodes()
             : cluster.nodes.keySet().stream().map(RandomFaults::machine).distinct().toList()) {
       if (!other.equals(victim) && ways != 2) {
         cluster.network.cutOneWay(victim + ":", other + ":");
--- a/src/test/java/yewjunction/system/FilterSimulationTest.java
+++ b/src/test/java/yewjunction/system/FilterSimulationTest.java
@@ -26,7 +26,7 @@
       final SimulatedClient client =
           new SimulatedClient(
               cluster, checker, "c" + i, "zone" + (1 + i % 3), i % 2 == 0 ? "key" : "other");
-      // The first three read everything and tell the judge where each message stands.
+      // The first three read everything and tell the checker where each message stands.
       for (int topic = 0; topic < 3; topic++) {
         if (i >= 3) {
           client.filters.put("s.t" + topic, FILTERS.get(i % FILTERS.size()));
@@ -107,7 +107,7 @@
     final SimulatedClient reader = cluster.clients.get(3);
     reader.filter("s.t0", "key-1");
     cluster.network.runFor(500);
-    // The customer notes a filter only when told that it is in force.
+    // The client notes a filter only when told that it is in force.
     reader.filter("s.t0", "key-*x");
     cluster.network.runFor(500);
     reader.filter("s.t0", "k".repeat(1_100));
--- a/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
@@ -17,13 +17,13 @@
 import yewjunction.node.ControlNode;
 import yewjunction.system.OperatorCalls.Call;
 
-/** What the operator's desk says while leaders are cut off, deposed and new. */
+/** What the operator API says while leaders are cut off, deposed and new. */
 class OperatorApiSimulationTest {
   private static final String REPLACE = "/-/config/replace";
   private SimulatedCluster cluster;
   private OperatorCalls orders;
 
-  /** What stands before the real desks: nothing, or a fault that the test is to find. */
+  /** What stands before the real operator APIs: nothing, or a fault that the test is to find. */
   private Function<SimulatedCluster, ConcurrentOperators.Gate> plant = FaultyOperatorApi::real;
 
   private void begin(final long seed) {
@@ -100,8 +100,8 @@
       final String path = bodies[step].contains("Upsert") ? "/-/config/update" : REPLACE;
       final String leader = orders.leader();
       orders.send(leader, "POST", path, "" + (step + 1), bodies[step]);
-      // Strikes before, while and after the order is on its way to the others' disks; its answer
-      // counts as lost.
+      // The fault comes before, while and after the order is on its way to the others' disks; its
+      // answer counts as lost.
       cluster.network.runFor(cluster.network.random.nextInt(9));
       switch (cluster.network.random.nextInt(3)) {
         case 0 -> cluster.kill(leader);
--- a/src/test/java/yewjunction/system/OperatorCalls.java
+++ b/src/test/java/yewjunction/system/OperatorCalls.java
@@ -40,7 +40,7 @@
     controlNodes = cluster.all(NodeRole.CONTROL);
   }
 
-  /** A town that has settled and taken version 1. */
+  /** A system that has settled and taken version 1. */
   static OperatorCalls begun(
       final long seed, final Function<SimulatedCluster, ConcurrentOperators.Gate> plant) {
     final SimulatedCluster cluster = new SimulatedCluster(seed, true);
--- a/src/test/java/yewjunction/system/OrderSimulationTest.java
+++ b/src/test/java/yewjunction/system/OrderSimulationTest.java
@@ -105,7 +105,7 @@
       // Who hears that the earlier one was refused, and then sends the later one under its old
       // number, wants it so.
       if (pair.later.acked
-          && !(pair.earlier.denied && pair.later.saidMs >= pair.earlier.deniedMs)) {
+          && !(pair.earlier.denied && pair.later.lastSentMs >= pair.earlier.deniedMs)) {
         final String both =
             pair.earlier.client + " " + pair.earlier.number + " and " + pair.later.number;
         assertTrue(
--- a/src/test/java/yewjunction/system/RandomFaults.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -41,7 +41,7 @@
         span(600, 3_500),
         () -> {
           if (!quiet && edgesUnderWay < 2) {
-            strikeEdge(
+            applyToEdge(
                 cluster.all(NodeRole.EDGE).stream()
                     .filter(edge -> machine(edge).endsWith(".2"))
                     .toList()
@@ -51,7 +51,7 @@
         });
   }
 
-  private void strikeEdge(final String edge) {
+  private void applyToEdge(final String edge) {
     final SimulatedHost host = cluster.network.host(edge);
     if (!host.up() || host.frozen()) {
       return;
@@ -87,14 +87,14 @@
 
   // --- machines with a disk: one at a time ---
 
-  /** Strikes once, and returns when nothing counts as lost any more. */
+  /** Injects one fault, and returns when nothing counts as lost any more. */
   void next() {
     // As many as are to be borne, and that may be two.
     if (cluster.losses > 1 && random.nextInt(2) == 0) {
       pair();
       return;
     }
-    final List<String> core = core();
+    final List<String> core = controlNodes();
     final String machine = core.get(random.nextInt(core.size()));
     final String victim = random.nextInt(3) == 0 ? machine(leader()) : machine;
     final long forMs = span(300, 6_000);
@@ -146,13 +146,13 @@
         hosts(victim).forEach(host -> host.stallDisk(forMs));
         lost(forMs);
       }
-      case 13 -> herd(random.nextBoolean(), random.nextBoolean());
+      case 13 -> killMany(random.nextBoolean(), random.nextBoolean());
       case 14 -> afterAck(random.nextBoolean());
       case 15 -> retireOrAdd();
       case 16, 17 -> afterOrder(random.nextBoolean());
       case 18 -> {
         note("links reset on all of the core");
-        core().forEach(one -> hosts(one).forEach(SimulatedHost::resetConnections));
+        controlNodes().forEach(one -> hosts(one).forEach(SimulatedHost::resetConnections));
       }
       case 19 -> killWhileCutOff(victim, forMs);
       default -> killAsItWakes(victim, forMs);
@@ -160,13 +160,13 @@
     cluster.network.runFor(span(0, 1_500));
   }
 
-  private void herd(final boolean power, final boolean withEdges) {
+  private void killMany(final boolean power, final boolean withEdges) {
     note("all " + (power ? "lose power" : "are killed") + (withEdges ? ", edges too" : ""));
     cluster.nodes.keySet().stream()
         .filter(address -> withEdges || !machine(address).endsWith(".2"))
         .forEach(power ? cluster::powerOff : cluster::kill);
     cluster.network.runFor(span(300, 2_500));
-    back();
+    restoreAll();
     cluster.network.runFor(SYNC_MS);
   }
 
@@ -248,7 +248,7 @@
                     "one is wiped",
                     "one is wiped, the rest lose power")
                 .get(kind));
-    final List<String> core = core();
+    final List<String> core = controlNodes();
     final String wiped =
         random.nextBoolean() ? machine(leader()) : core.get(random.nextInt(core.size()));
     switch (kind) {
@@ -269,6 +269,6 @@
     }
     cluster.network.runFor(span(300, 3_000));
     quiet = true;
-    back();
+    restoreAll();
   }
 }
--- a/src/test/java/yewjunction/system/SimulatedClient.java
+++ b/src/test/java/yewjunction/system/SimulatedClient.java
@@ -95,7 +95,7 @@
     if (wire != null && nowMs - heardMs > 3_000) {
       cut();
     } else if (wire != null && nowMs - heardMs > 1_000) {
-      wire.say("PING\r\n");
+      wire.receive("PING\r\n");
     }
     if (wire == null) {
       List<String> ready = cluster.readyEdges(zone);
@@ -110,7 +110,7 @@
     wire = new SimulatedClientConnection(cluster, this, edge);
     greeted = false;
     heardMs = cluster.network.nowMs();
-    wire.say("HELLO " + name + " " + key + "\r\n");
+    wire.receive("HELLO " + name + " " + key + "\r\n");
   }
 
   void subscribe(final String topic) {
@@ -119,7 +119,7 @@
       final String filter = filters.getOrDefault(topic, "");
       final String cursor =
           cursors.get(topic).isEmpty() && !filter.isEmpty() ? "-" : cursors.get(topic);
-      wire.say(("SUB " + topic + " " + cursor + " " + filter).trim() + "\r\n");
+      wire.receive(("SUB " + topic + " " + cursor + " " + filter).trim() + "\r\n");
     }
   }
 
@@ -135,15 +135,15 @@
         checker.sent(name, topic, number, cluster.network.nowMs(), padding);
     open.put(number, sent);
     if (greeted && wire != null) {
-      say(sent);
+      send(sent);
     }
     return sent;
   }
 
-  private void say(final DeliveryChecker.Sent sent) {
+  private void send(final DeliveryChecker.Sent sent) {
     sent.tries++;
-    sent.saidMs = cluster.network.nowMs();
-    wire.say(
+    sent.lastSentMs = cluster.network.nowMs();
+    wire.receive(
         "PUB "
             + sent.topic
             + " "
@@ -161,7 +161,7 @@
         if (fields[1].equals("HELLO")) {
           greeted = true;
           new ArrayList<>(cursors.keySet()).forEach(this::subscribe);
-          new ArrayList<>(open.values()).forEach(this::say);
+          new ArrayList<>(open.values()).forEach(this::send);
         } else if (fields[1].equals("SUB")) {
           cursors.put(fields[2], fields[3]);
           if (fields.length > 4) {
@@ -200,7 +200,7 @@
           sent.deniedMs = cluster.network.nowMs();
         }
       } else if (open.containsKey(number) && wire != null) {
-        say(open.get(number));
+        send(open.get(number));
       }
     } else if (fields[1].equals("SUB")) {
       checker.refused(name, fields[2], fields[4], cluster.network.nowMs());
--- a/src/test/java/yewjunction/system/SimulatedClientConnection.java
+++ b/src/test/java/yewjunction/system/SimulatedClientConnection.java
@@ -28,7 +28,7 @@
     life = host.life();
   }
 
-  void say(final String words) {
+  void receive(final String words) {
     cluster.network.after(
         1,
         () ->
--- a/src/test/java/yewjunction/system/SystemSimulation.java
+++ b/src/test/java/yewjunction/system/SystemSimulation.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * One simulated day: a town with a configuration and ready edges, a judge, and an end at which all
- * must be well.
+ * One simulated day: a system with a configuration and ready edges, a checker, and an end at which
+ * all must be well.
  */
 abstract class SystemSimulation {
   SimulatedCluster cluster;
@@ -13,7 +13,7 @@
   /** No more messages are sent. */
   boolean quiet;
 
-  /** Starts a town and waits for its edges. */
+  /** Starts a system and waits for its edges. */
   void open(final long seed, final String tenants) {
     open(seed, 1, tenants);
   }
@@ -33,7 +33,7 @@
         "edges not ready");
   }
 
-  /** A random customer that has few messages open publishes on one of the first topics. */
+  /** A random client that has few messages open publishes on one of the first topics. */
   void publishEvery(final long ms, final int topics) {
     cluster.network.runFor(2_000);
     cluster.network.every(
