--- a/src/main/java/yewjunction/control/ClusterStatus.java
+++ b/src/main/java/yewjunction/control/ClusterStatus.java
@@ -71,7 +71,7 @@
     }
     page.put("Siblings", peers);
     // Only the leader has reports of all stores; on the others the list is empty.
-    page.put("Vaults", registry.storeRows());
+    page.put("Vaults", registry.storeReports().storeRows());
     page.put("DiskOwedMs", raftNode.commitTracker().oldestPendingWriteMs());
     // The processes with leases from this node: mostly those of its zone.
     page.put("Wards", processes.processRows());
--- a/src/main/java/yewjunction/control/NodeRegistry.java
+++ b/src/main/java/yewjunction/control/NodeRegistry.java
@@ -2,7 +2,6 @@
 
 import static yewjunction.limits.LeaseLimits.FIRST_STORES_WAIT_MS;
 import static yewjunction.limits.LeaseLimits.REPLICA_RETIREMENT_MS;
-import static yewjunction.limits.LeaseLimits.STORES_REPORT_MS;
 import static yewjunction.limits.RaftLimits.REGISTRATION_INTERVAL_MS;
 
 import java.util.ArrayList;
@@ -22,9 +21,9 @@
 import yewjunction.raft.RaftNode;
 
 /**
- * The leader's decisions about processes: replica ids of edges, the first voters among the stores,
- * and retirements. A leader knows the stores by their reports alone, so a new one decides nothing
- * against an operator before all had time to report.
+ * The leader's decisions about processes: which replica ids edges get and lose, which stores are
+ * the first voters, and when a retirement is finished. Other nodes forward reports to the leader.
+ * What a leader knows of stores: {@link StoreReports}.
  *
  * <p>Owned by {@link ControlService}; all calls on the agent's thread.
  */
@@ -35,15 +34,12 @@
   private final RaftNode raftNode;
   private final MembershipList membership;
   private final int voterCount;
-  private final Map<String, StoreReport> storeReports = new TreeMap<>();
+  private final StoreReports storeReports;
   private final Map<String, Long> missingSinceMs = new HashMap<>();
   private long firstReportMs = -1;
-  private long leaderSinceMs;
   private final Map<String, ProcessReport> pendingRegistrations = new TreeMap<>();
   private final Set<String> proposalsInFlight = new HashSet<>();
 
-  private record StoreReport(ProcessReport process, long receivedMs) {}
-
   NodeRegistry(
       final AgentContext context,
       final PeerTransport transport,
@@ -57,10 +53,17 @@
     this.raftNode = raftNode;
     this.membership = membership;
     this.voterCount = voterCount;
+    storeReports = new StoreReports(context, stateMachine::clusterState);
     transport.onMessage(RegisterRequest.class, (connection, request) -> onReport(request.process));
     context.scheduleAtFixedRate(REGISTRATION_INTERVAL_MS, this::retireMissingReplicas);
   }
 
+  /** What is known of the stores. */
+  StoreReports storeReports() {
+    return storeReports;
+  }
+
+  /** Takes a report that came to this node, or that another one has forwarded. */
   void onReport(final ProcessReport process) {
     final boolean isStore = NodeRole.STORE.is(process.role);
     if (!raftNode.isReadyLeader()) {
@@ -80,7 +83,7 @@
       return;
     }
     if (isStore) {
-      storeReports.put(process.address, new StoreReport(process, context.nowMs()));
+      storeReports.put(process);
       chooseFirstStores();
       process.emptiedNodes.forEach(this::onNodeEmptied);
     } else if (stateMachine.clusterState().replicaId(process.address, process.life) == 0) {
@@ -93,7 +96,7 @@
   }
 
   void onLeaderChange() {
-    leaderSinceMs = context.nowMs();
+    storeReports.onLeaderChange();
     final List<ProcessReport> registrations = new ArrayList<>(pendingRegistrations.values());
     pendingRegistrations.clear();
     registrations.forEach(this::onReport);
@@ -116,17 +119,16 @@
     }
     final List<String> identities = new ArrayList<>();
     final Set<String> zones = new HashSet<>();
-    for (final StoreReport report : storeReports.values()) {
-      if (identities.size() < voterCount && zones.add(report.process.zone)) {
-        identities.add(report.process.identity);
+    for (final ProcessReport store : storeReports.processes()) {
+      if (identities.size() < voterCount && zones.add(store.zone)) {
+        identities.add(store.identity);
       }
     }
     if (identities.size() >= voterCount || fillFromSameZones(identities)) {
       final ControlCommand command = new ControlCommand(ControlCommand.SET_FIRST_STORES);
       command.identities = identities;
       identities.forEach(
-          identity ->
-              command.zones.add(storeReports.get(RaftNode.addressOf(identity)).process.zone));
+          identity -> command.zones.add(storeReports.zoneOf(RaftNode.addressOf(identity))));
       proposeOnce("stores", command);
     }
   }
@@ -143,9 +145,9 @@
             : 6 * REGISTRATION_INTERVAL_MS)) {
       return false;
     }
-    for (final StoreReport report : storeReports.values()) {
-      if (identities.size() < voterCount && !identities.contains(report.process.identity)) {
-        identities.add(report.process.identity);
+    for (final ProcessReport store : storeReports.processes()) {
+      if (identities.size() < voterCount && !identities.contains(store.identity)) {
+        identities.add(store.identity);
       }
     }
     return true;
@@ -179,96 +181,16 @@
     }
   }
 
-  // --- emptying store machines ---
-
-  private StoreReport recentReportOf(final String node) {
-    for (final StoreReport report : storeReports.values()) {
-      if (report.process.node.equals(node)
-          && context.nowMs() - report.receivedMs < 10 * REGISTRATION_INTERVAL_MS) {
-        return report;
-      }
-    }
-    return null;
-  }
-
-  List<Map<String, Object>> storeRows() {
-    final List<Map<String, Object>> rows = new ArrayList<>();
-    storeReports
-        .values()
-        .forEach(
-            report ->
-                rows.add(
-                    Map.of(
-                        "Nodename",
-                        report.process.node,
-                        "Applied",
-                        report.process.appliedIndex,
-                        "SeenMs",
-                        context.nowMs() - report.receivedMs,
-                        "Accounts",
-                        report.process.balances.stream().map(AccountBalance::toRow).toList())));
-    return rows;
-  }
-
-  /** One tenant's account as each store holds it. */
-  List<Map<String, Object>> balanceRows(final String tenant) {
-    final List<Map<String, Object>> rows = new ArrayList<>();
-    storeReports
-        .values()
-        .forEach(
-            report ->
-                report.process.balances.stream()
-                    .filter(balance -> balance.tenant.equals(tenant))
-                    .forEach(
-                        balance -> {
-                          final Map<String, Object> row = balance.toRow();
-                          row.put("Nodename", report.process.node);
-                          row.put("SeenMs", context.nowMs() - report.receivedMs);
-                          rows.add(row);
-                        }));
-    return rows;
-  }
-
-  boolean isKnown(final String node) {
-    return recentReportOf(node) != null || stateMachine.clusterState().retirementOf(node) != null;
-  }
-
-  /** Whether this node has led for long enough that every store in contact has reported. */
-  boolean allStoresHaveReported() {
-    return context.nowMs() - leaderSinceMs >= STORES_REPORT_MS;
-  }
-
-  /**
-   * Whether a node is surely none of the system: all have had time to report, and it has not within
-   * REPLICA_RETIREMENT_MS.
-   */
-  boolean isCertainlyUnknown(final String node) {
-    return allStoresHaveReported()
-        && storeReports.values().stream()
-            .noneMatch(
-                report ->
-                    report.process.node.equals(node)
-                        && context.nowMs() - report.receivedMs < REPLICA_RETIREMENT_MS);
-  }
-
   /** Whether enough stores remain when this one is retired. */
   boolean canSpare(final String node) {
-    final Set<String> retiring = stateMachine.clusterState().retiringAddresses();
-    final long staying =
-        storeReports.values().stream()
-            .filter(
-                report ->
-                    !report.process.node.equals(node)
-                        && !retiring.contains(report.process.address)
-                        && context.nowMs() - report.receivedMs < 10 * REGISTRATION_INTERVAL_MS)
-            .count();
-    return staying >= voterCount;
+    return storeReports.canSpare(node, voterCount);
   }
 
+  /** The command that begins to retire a node which has reported recently. */
   ControlCommand retirementCommand(final String node) {
     final ControlCommand command = new ControlCommand(ControlCommand.BEGIN_RETIREMENT);
     command.node = node;
-    command.address = recentReportOf(node).process.address;
+    command.address = storeReports.addressOf(node);
     return command;
   }
 
--- a/src/main/java/yewjunction/control/OperatorApi.java
+++ b/src/main/java/yewjunction/control/OperatorApi.java
@@ -227,13 +227,13 @@
     if (stateMachine.clusterState().retirementOf(node) != null) {
       return CallDecision.finalResponse(Response.of(200, "{}"));
     }
-    if (!registry.isKnown(node)) {
-      return registry.isCertainlyUnknown(node)
+    if (!registry.storeReports().isKnown(node)) {
+      return registry.storeReports().isCertainlyUnknown(node)
           ? CallDecision.needsConfirmation(nodeUnknown(node))
           : CallDecision.finalResponse(storesNotReported());
     }
     if (!registry.canSpare(node)) {
-      return registry.allStoresHaveReported()
+      return registry.storeReports().allStoresHaveReported()
           ? CallDecision.needsConfirmation(
               Response.error(409, "TOO_FEW", "too few store machines would be left"))
           : CallDecision.finalResponse(storesNotReported());
@@ -259,9 +259,9 @@
         stateMachine.currentConfiguration() == null
             ? null
             : stateMachine.currentConfiguration().tenant(name);
-    final List<Map<String, Object>> rows = registry.balanceRows(name);
+    final List<Map<String, Object>> rows = registry.storeReports().balanceRows(name);
     if (tenant == null && rows.isEmpty()) {
-      return registry.allStoresHaveReported()
+      return registry.storeReports().allStoresHaveReported()
           ? Response.error(404, "TENANT_UNKNOWN", name)
           : storesNotReported();
     }
@@ -277,8 +277,10 @@
 
   private Response showRetirement(final String node) {
     final ClusterState.Retirement retiring = stateMachine.clusterState().retirementOf(node);
-    if (retiring == null && !registry.isKnown(node)) {
-      return registry.isCertainlyUnknown(node) ? nodeUnknown(node) : storesNotReported();
+    if (retiring == null && !registry.storeReports().isKnown(node)) {
+      return registry.storeReports().isCertainlyUnknown(node)
+          ? nodeUnknown(node)
+          : storesNotReported();
     }
     return Response.of(
         200, retiring != null && retiring.finished ? "{\"St\":\"finished\"}" : "{\"St\":\"up\"}");
--- a/src/main/java/yewjunction/gateway/ClientRegistry.java
+++ b/src/main/java/yewjunction/gateway/ClientRegistry.java
@@ -235,7 +235,7 @@
             CommandHandler.configuredRefusal(configuration, session.secret, topic);
         if (refusal != null) {
           subscriptionManager.unsubscribe(session, topic);
-          session.sendRefuse("SUB", topic, "", refusal);
+          session.sendRefuse(ClientCommand.SUB, topic, "", refusal);
         }
       }
     }
--- a/src/main/java/yewjunction/gateway/ClientSession.java
+++ b/src/main/java/yewjunction/gateway/ClientSession.java
@@ -88,22 +88,22 @@
     lastReceivedMs = clientRegistry.nowMs();
     int at = 0;
     while (at < length && connection.isOpen()) {
-      final int state = parser.wrap(bytes, at, length);
-      if (state == CommandParser.INCOMPLETE) {
+      final CommandParser.Result state = parser.wrap(bytes, at, length);
+      if (state == CommandParser.Result.INCOMPLETE) {
         break;
       }
-      if (state == CommandParser.UNRECOVERABLE) {
+      if (state == CommandParser.Result.UNRECOVERABLE) {
         onProtocolError(RefuseReason.BADMSG);
         return length;
       }
-      if (state == CommandParser.COMPLETE) {
+      if (state == CommandParser.Result.COMPLETE) {
         clientRegistry.commandHandler().handle(this, parser);
       } else {
         sendRefuse(
-            "PUB",
+            ClientCommand.PUB,
             parser.text(1),
             parser.count() > 3 ? parser.text(2) : "",
-            state == CommandParser.INVALID ? RefuseReason.BADMSG : RefuseReason.TOOBIG);
+            state == CommandParser.Result.INVALID ? RefuseReason.BADMSG : RefuseReason.TOOBIG);
         if (parser.bodyUnread()) {
           connection.closeAfterFlush();
           return length;
@@ -143,10 +143,11 @@
   }
 
   /** Fields at the end that are empty are left out. */
-  void sendOk(final String about, final String topic, final String position, final String filter) {
+  void sendOk(
+      final ClientCommand about, final String topic, final String position, final String filter) {
     final WriteBuffer out = connection.out();
     out.putAscii("OK ");
-    out.putAscii(about);
+    out.putAscii(about.name());
     if (!topic.isEmpty()) {
       putField(out, topic);
     }
@@ -159,6 +160,15 @@
     endLine(out);
   }
 
+  void sendRefuse(
+      final ClientCommand about,
+      final String topic,
+      final String number,
+      final RefuseReason reason) {
+    sendRefuse(about.name(), topic, number, reason);
+  }
+
+  /** Refuses what came under a word that may be no command. */
   void sendRefuse(
       final String about, final String topic, final String number, final RefuseReason reason) {
     final WriteBuffer out = connection.out();
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -35,28 +35,28 @@
     this.subscriptions = subscriptions;
   }
 
+  /** Handles a whole and valid command. */
   void handle(final ClientSession session, final CommandParser parser) {
-    if (parser.is("PUB")) {
-      publish(session, parser);
-    } else if (parser.is("PING")) {
-      session.sendLine("PONG");
-    } else if (parser.is("SUB")) {
-      subscribe(session, parser.text(1), parser.text(2), parser.text(3));
-    } else if (parser.is("HELLO")) {
-      hello(session, parser.text(1), parser.text(2));
-    } else if (parser.is("UNSUB")) {
-      unsubscribe(session, parser.text(1));
-    } else if (parser.is("WHO")) {
-      count(session, parser.text(1));
-    } else {
-      session.sendRefuse(
-          parser.text(0).isEmpty() ? "-" : parser.text(0), "", "", RefuseReason.BADMSG);
+    final ClientCommand command = parser.command();
+    if (command == null) {
+      final String word = parser.text(0);
+      session.sendRefuse(word.isEmpty() ? "-" : word, "", "", RefuseReason.BADMSG);
+      return;
+    }
+    switch (command) {
+      case PUB -> publish(session, parser);
+      case PING -> session.sendLine("PONG");
+      case SUB -> subscribe(session, parser.text(1), parser.text(2), parser.text(3));
+      case HELLO -> hello(session, parser.text(1), parser.text(2));
+      case UNSUB -> unsubscribe(session, parser.text(1));
+      case WHO -> count(session, parser.text(1));
+      default -> throw new IllegalStateException("no handler for " + command);
     }
   }
 
   private void hello(final ClientSession session, final String client, final String secret) {
     if (client.isEmpty() || session.isGreeted()) {
-      session.sendRefuse("HELLO", "", "", RefuseReason.BADMSG);
+      session.sendRefuse(ClientCommand.HELLO, "", "", RefuseReason.BADMSG);
     } else if (canServe()) {
       greet(session, client, secret);
     } else {
@@ -82,7 +82,7 @@
       if (canServe()) {
         greet(one.session, one.client, one.secret);
       } else if (nowMs - one.receivedMs > HELLO_TIMEOUT_MS) {
-        one.session.sendRefuse("HELLO", "", "", RefuseReason.RETRY);
+        one.session.sendRefuse(ClientCommand.HELLO, "", "", RefuseReason.RETRY);
       } else {
         pendingHellos.add(one);
       }
@@ -91,14 +91,14 @@
 
   private void greet(final ClientSession session, final String client, final String secret) {
     if (!secret.isEmpty() && leaseClient.configuration().tenantOfKey(secret) == null) {
-      session.sendRefuse("HELLO", "", "", RefuseReason.DENIED);
+      session.sendRefuse(ClientCommand.HELLO, "", "", RefuseReason.DENIED);
       return;
     }
     session.helloMs = clientRegistry.nowMs();
     session.client = client;
     session.secret = secret;
     clientRegistry.onHello(session);
-    session.sendOk("HELLO", "", "", "");
+    session.sendOk(ClientCommand.HELLO, "", "", "");
     clientRegistry.moveIfDraining(session);
   }
 
@@ -126,12 +126,12 @@
   private void subscribe(
       final ClientSession session, final String topic, final String cursor, final String patterns) {
     if (topic.isEmpty() || !session.isGreeted()) {
-      session.sendRefuse("SUB", topic, "", RefuseReason.BADMSG);
+      session.sendRefuse(ClientCommand.SUB, topic, "", RefuseReason.BADMSG);
       return;
     }
     final RefuseReason refusal = refusalReason(session, topic);
     if (refusal != null) {
-      session.sendRefuse("SUB", topic, "", refusal);
+      session.sendRefuse(ClientCommand.SUB, topic, "", refusal);
       return;
     }
     final Filter filter;
@@ -140,7 +140,7 @@
     } catch (final FilterException failure) {
       // The filter in force stays.
       session.sendRefuse(
-          "SUB",
+          ClientCommand.SUB,
           topic,
           "",
           failure.code() == FILTER_TOO_LARGE ? RefuseReason.TOOBIG : RefuseReason.BADMSG);
@@ -151,9 +151,9 @@
     if (known != null) {
       clientRegistry.subscriptionManager().resubscribe(known, filter);
     } else if (session.subscriptions.size() >= leaseClient.configuration().maxSubscriptions()) {
-      session.sendRefuse("SUB", topic, "", RefuseReason.TOOBIG);
+      session.sendRefuse(ClientCommand.SUB, topic, "", RefuseReason.TOOBIG);
     } else if (position < -1) {
-      session.sendRefuse("SUB", topic, "", RefuseReason.EXPIRED);
+      session.sendRefuse(ClientCommand.SUB, topic, "", RefuseReason.EXPIRED);
     } else {
       final Configuration.Tenant tenant = leaseClient.configuration().tenantOfKey(session.secret);
       clientRegistry
@@ -184,11 +184,11 @@
 
   private void unsubscribe(final ClientSession session, final String topic) {
     if (topic.isEmpty() || !session.isGreeted()) {
-      session.sendRefuse("UNSUB", topic, "", RefuseReason.BADMSG);
+      session.sendRefuse(ClientCommand.UNSUB, topic, "", RefuseReason.BADMSG);
       return;
     }
     clientRegistry.subscriptionManager().unsubscribe(session, topic);
-    session.sendOk("UNSUB", topic, "", "");
+    session.sendOk(ClientCommand.UNSUB, topic, "", "");
   }
 
   private void count(final ClientSession session, final String topic) {
@@ -197,7 +197,7 @@
             ? RefuseReason.BADMSG
             : refusalReason(session, topic);
     if (refusal != null) {
-      session.sendRefuse("WHO", topic, "", refusal);
+      session.sendRefuse(ClientCommand.WHO, topic, "", refusal);
     } else {
       clientRegistry.requestCount(session, topic);
     }
@@ -216,7 +216,7 @@
           leaseClient.configuration() == null ? null : leaseClient.configuration().routeOf(topic),
           clientRegistry.nowMs());
       session.sendRefuse(
-          "PUB",
+          ClientCommand.PUB,
           topic,
           parser.text(2),
           refusal == RefuseReason.RETRY && !firstTry ? RefuseReason.UNKNOWN : refusal);
--- a/src/main/java/yewjunction/gateway/CommandParser.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -13,48 +13,65 @@
  * in one read. It copies nothing but a complete body.
  */
 final class CommandParser {
-  static final int INCOMPLETE = 0;
-  static final int COMPLETE = 1;
-
-  /** A whole command that is not valid: it is refused, and the stream goes on. */
-  static final int INVALID = 2;
-
-  static final int TOO_BIG = 3;
+  /** What was found at an offset. */
+  enum Result {
+    /** A part of a command: more has to be received. */
+    INCOMPLETE,
+    /** A whole command. */
+    COMPLETE,
+    /** A whole command that is not valid: it is refused, and the stream goes on. */
+    INVALID,
+    /** A command with a body that is too large. */
+    TOO_BIG,
+    /** The stream can no longer be read. */
+    UNRECOVERABLE
+  }
 
-  /** The stream can no longer be read. */
-  static final int UNRECOVERABLE = 4;
+  private static final ClientCommand[] COMMANDS = ClientCommand.values();
 
   private static final int MAX_WORDS = 6;
 
   private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
   private final int[] starts = new int[MAX_WORDS];
   private final int[] ends = new int[MAX_WORDS];
+  private ClientCommand command;
   private int count;
   private int end;
   private int bodyStart;
   private int bodyLength;
 
-  /** Reads the message that begins at an offset; end() tells where the next one begins. */
-  int wrap(final byte[] bytes, final int offset, final int length) {
+  /** Reads the command that begins at an offset; {@link #end} says where the next one begins. */
+  Result wrap(final byte[] bytes, final int offset, final int length) {
     buffer.wrap(bytes, 0, length);
+    command = null;
     count = 0;
     bodyLength = -1;
     int at = offset;
     while (at < length && buffer.getByte(at) != '\n') {
       if (at - offset > MAX_COMMAND_LINE_BYTES) {
-        return UNRECOVERABLE;
+        return Result.UNRECOVERABLE;
       }
       at++;
     }
     if (at >= length) {
-      return INCOMPLETE;
+      return Result.INCOMPLETE;
     }
     end = at + 1;
     // A line that does not end with CRLF: the two sides no longer agree where commands begin.
     if (at == offset || buffer.getByte(at - 1) != '\r' || !split(offset, at - 1)) {
-      return UNRECOVERABLE;
+      return Result.UNRECOVERABLE;
     }
-    return is("PUB") ? body(length) : COMPLETE;
+    command = findCommand();
+    return command == ClientCommand.PUB ? body(length) : Result.COMPLETE;
+  }
+
+  private ClientCommand findCommand() {
+    for (final ClientCommand one : COMMANDS) {
+      if (is(one.name())) {
+        return one;
+      }
+    }
+    return null;
   }
 
   private boolean split(final int from, final int to) {
@@ -76,32 +93,32 @@
     return true;
   }
 
-  private int body(final int length) {
+  private Result body(final int length) {
     final long announced = count < 2 ? -1 : number(count - 1);
     if (announced < 0 || announced > MAX_SKIPPED_BODY_BYTES) {
-      return announced > MAX_SKIPPED_BODY_BYTES ? TOO_BIG : UNRECOVERABLE;
+      return announced > MAX_SKIPPED_BODY_BYTES ? Result.TOO_BIG : Result.UNRECOVERABLE;
     }
     if (end + announced + 2 > length) {
-      return INCOMPLETE;
+      return Result.INCOMPLETE;
     }
     bodyStart = end;
     bodyLength = (int) announced;
     end += bodyLength + 2;
     if (buffer.getByte(end - 2) != '\r' || buffer.getByte(end - 1) != '\n') {
-      return UNRECOVERABLE;
+      return Result.UNRECOVERABLE;
     }
     if (bodyLength > MAX_BODY_BYTES) {
-      return TOO_BIG;
+      return Result.TOO_BIG;
     }
     if (count != 4 || bodyLength < MIN_BODY_BYTES || number(2) < 0) {
-      return INVALID;
+      return Result.INVALID;
     }
     for (int at = bodyStart; at < bodyStart + bodyLength; at++) {
       if (buffer.getByte(at) < ' ' || buffer.getByte(at) > '~') {
-        return INVALID;
+        return Result.INVALID;
       }
     }
-    return COMPLETE;
+    return Result.COMPLETE;
   }
 
   /** True when the body that was announced cannot be skipped. */
@@ -109,11 +126,17 @@
     return bodyLength < 0;
   }
 
+  /** Where the next command begins. */
   int end() {
     return end;
   }
 
-  boolean is(final String word) {
+  /** The command, null when its first word is none. */
+  ClientCommand command() {
+    return command;
+  }
+
+  private boolean is(final String word) {
     if (count == 0 || ends[0] - starts[0] != word.length()) {
       return false;
     }
@@ -152,10 +175,12 @@
     return value;
   }
 
+  /** Number of words in the line. */
   int count() {
     return count;
   }
 
+  /** A copy of the body. */
   byte[] bodyBytes() {
     final byte[] bytes = new byte[bodyLength];
     buffer.getBytes(bodyStart, bytes);
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -242,7 +242,10 @@
       }
     }
     publish.session.sendRefuse(
-        "PUB", publish.message.topic, String.valueOf(publish.message.sequenceNumber), reason);
+        ClientCommand.PUB,
+        publish.message.topic,
+        String.valueOf(publish.message.sequenceNumber),
+        reason);
   }
 
   void check(final long nowMs) {
--- a/src/main/java/yewjunction/gateway/Subscription.java
+++ b/src/main/java/yewjunction/gateway/Subscription.java
@@ -106,7 +106,8 @@
   private void sendOk(final long nowMs) {
     cursor = judgedIndex;
     cursorSentMs = nowMs;
-    session.sendOk("SUB", topic, String.valueOf(judgedIndex), filter == null ? "" : filter.text);
+    session.sendOk(
+        ClientCommand.SUB, topic, String.valueOf(judgedIndex), filter == null ? "" : filter.text);
   }
 
   /**
--- a/src/main/java/yewjunction/gateway/SubscriptionManager.java
+++ b/src/main/java/yewjunction/gateway/SubscriptionManager.java
@@ -226,7 +226,7 @@
   private void refuse(final Subscription subscription, final RefuseReason reason) {
     remove(subscription);
     subscriptions.remove(subscription.topic, subscription.session.client);
-    subscription.session.sendRefuse("SUB", subscription.topic, "", reason);
+    subscription.session.sendRefuse(ClientCommand.SUB, subscription.topic, "", reason);
   }
 
   /** Ends a subscription: nothing more is delivered. */
--- a/src/test/java/yewjunction/gateway/CommandParserTest.java
+++ b/src/test/java/yewjunction/gateway/CommandParserTest.java
@@ -35,9 +35,10 @@
         sent = next;
         int at = 0;
         final CommandParser parser = new CommandParser();
-        while (at < all.length && parser.wrap(all, at, all.length) == CommandParser.COMPLETE) {
+        while (at < all.length
+            && parser.wrap(all, at, all.length) == CommandParser.Result.COMPLETE) {
           read.add(parser.text(0));
-          if (parser.is("PUB")) {
+          if (parser.command() == ClientCommand.PUB) {
             assertEquals(
                 "abcdefghijklmnopqrst", new String(parser.bodyBytes(), StandardCharsets.US_ASCII));
             assertEquals(4, parser.number(2));
@@ -54,31 +55,33 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "PUB t 1 20|0",
-        "PUB t 1 19~abcdefghijklmnopqrs~|2",
-        "PUB t 1 20~abcdefghijklmnopqrstu~|4",
-        "PUB t 1 x~|4",
-        "PUB t x 20~abcdefghijklmnopqrst~|2",
-        "PUB t 1 99999999~|3",
-        "PUB~|4",
-        "SUB\u0001 t~|4",
-        "~|1",
-        "A B C D E F G~|4",
+        "PUB t 1 20|INCOMPLETE",
+        "PUB t 1 19~abcdefghijklmnopqrs~|INVALID",
+        "PUB t 1 20~abcdefghijklmnopqrstu~|UNRECOVERABLE",
+        "PUB t 1 x~|UNRECOVERABLE",
+        "PUB t x 20~abcdefghijklmnopqrst~|INVALID",
+        "PUB t 1 99999999~|TOO_BIG",
+        "PUB~|UNRECOVERABLE",
+        "SUB\u0001 t~|UNRECOVERABLE",
+        "~|COMPLETE",
+        "A B C D E F G~|UNRECOVERABLE",
       })
-  void whatIsWrongIsTold(final String text, final int state) {
+  void whatIsWrongIsTold(final String text, final CommandParser.Result state) {
     final byte[] bytes = bytes(text.replace("~", "\r\n"));
     assertEquals(state, new CommandParser().wrap(bytes, 0, bytes.length));
   }
 
   @Test
   void aBareLineEndLosesTheStreamAndABodyOverTheLimitIsTooBig() {
-    assertEquals(CommandParser.UNRECOVERABLE, new CommandParser().wrap(bytes("PING\n"), 0, 5));
+    assertEquals(
+        CommandParser.Result.UNRECOVERABLE, new CommandParser().wrap(bytes("PING\n"), 0, 5));
     final byte[] large = bytes("PUB t 1 16385\r\n" + "x".repeat(16_385) + "\r\n");
     final CommandParser parser = new CommandParser();
-    assertEquals(CommandParser.TOO_BIG, parser.wrap(large, 0, large.length));
+    assertEquals(CommandParser.Result.TOO_BIG, parser.wrap(large, 0, large.length));
     assertEquals(large.length, parser.end());
     assertEquals(
-        CommandParser.UNRECOVERABLE, new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
+        CommandParser.Result.UNRECOVERABLE,
+        new CommandParser().wrap(bytes("X".repeat(5_000)), 0, 5_000));
   }
 
   @Test
@@ -105,11 +108,11 @@
       }
       final byte[] bytes = bytes(text.toString());
       final CommandParser parser = new CommandParser();
-      final int state = parser.wrap(bytes, 0, bytes.length);
+      final CommandParser.Result state = parser.wrap(bytes, 0, bytes.length);
       assertTrue(
-          state == CommandParser.INCOMPLETE
-              || state == CommandParser.UNRECOVERABLE
-              || state == CommandParser.TOO_BIG
+          state == CommandParser.Result.INCOMPLETE
+              || state == CommandParser.Result.UNRECOVERABLE
+              || state == CommandParser.Result.TOO_BIG
               || parser.end() > 0 && parser.end() <= bytes.length);
     }
   }
