--- a/src/test/java/yewjunction/capacity/CapacityHarness.java
+++ b/src/test/java/yewjunction/capacity/CapacityHarness.java
@@ -31,13 +31,13 @@
     Map<String, Double> at(int count);
   }
 
-  public static void main(final String[] words) {
-    if (words.length < 4) {
+  public static void main(final String[] args) {
+    if (args.length < 4) {
       refuse(
           "usage: control NODES..., messages COUNT..., edges COUNT..., listeners COUNT..., across STORES..., set ELEMENTS...; at least three counts");
     }
-    final int[] counts = Arrays.stream(words).skip(1).mapToInt(Integer::parseInt).toArray();
-    switch (words[0]) {
+    final int[] counts = Arrays.stream(args).skip(1).mapToInt(Integer::parseInt).toArray();
+    switch (args[0]) {
       case "control" -> sweep("nodes", counts, CapacityHarness::control);
       case "messages" -> sweep("messages a second", counts, count -> messages(count, 5, 1));
       case "edges" -> sweep("edges", counts, count -> messages(100, count, 1));
@@ -47,7 +47,7 @@
           sweep(
               "stores, with 90 edges and 100 messages a second", counts, CrossZoneTraffic::measure);
       case "set" -> sweep("elements", counts, CapacityHarness::set);
-      default -> refuse("unknown: " + words[0]);
+      default -> refuse("unknown: " + args[0]);
     }
   }
 
--- a/src/test/java/yewjunction/capacity/HollowClient.java
+++ b/src/test/java/yewjunction/capacity/HollowClient.java
@@ -20,8 +20,8 @@
     say("HELLO " + name + " key0\r\n");
   }
 
-  void say(final String words) {
-    final byte[] said = words.getBytes(StandardCharsets.US_ASCII);
+  void say(final String text) {
+    final byte[] said = text.getBytes(StandardCharsets.US_ASCII);
     owner.onReceived(said, said.length);
   }
 
--- a/src/test/java/yewjunction/control/ConfigurationPatchesTest.java
+++ b/src/test/java/yewjunction/control/ConfigurationPatchesTest.java
@@ -68,7 +68,7 @@
       }
     }
 
-    Configuration charter(final Random random) {
+    Configuration configuration(final Random random) {
       final List<Object> shuffled = new ArrayList<>(routes.values());
       java.util.Collections.shuffle(shuffled, random);
       final Map<String, Object> all = new LinkedHashMap<>();
@@ -83,20 +83,20 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void whoeverTakesThePatchesHoldsWhatTheCoreHolds(final long seed) {
+  void whoeverTakesThePatchesHoldsWhatTheControlGroupHolds(final long seed) {
     final Random random = new Random(seed);
     final Draft draft = new Draft();
     for (int i = 0; i < 40; i++) {
       draft.change(random);
     }
-    Configuration core = draft.charter(random);
-    Configuration edge = Configuration.read(core.json());
+    Configuration current = draft.configuration(random);
+    Configuration edge = Configuration.read(current.json());
     int patched = 0;
     for (int round = 0; round < 200; round++) {
       draft.change(random);
-      final Configuration next = draft.charter(random);
+      final Configuration next = draft.configuration(random);
       final ControlCommand command = new ControlCommand(ControlCommand.SET_CONFIGURATION);
-      ConfigurationPatches.attachTo(command, core, next);
+      ConfigurationPatches.attachTo(command, current, next);
       assertTrue(
           command.patch != null && command.patch.length() < next.json().length(), command.patch);
       edge = Configuration.of(edge.updated(Configuration.parse(command.patch)));
@@ -109,7 +109,7 @@
         assertEquals(next.tenantOfKey("kn" + i), edge.tenantOfKey("kn" + i));
       }
       patched++;
-      core = next;
+      current = next;
     }
     assertEquals(200, patched);
   }
--- a/src/test/java/yewjunction/control/ControlSnapshotCost.java
+++ b/src/test/java/yewjunction/control/ControlSnapshotCost.java
@@ -10,7 +10,7 @@
 final class ControlSnapshotCost {
   private ControlSnapshotCost() {}
 
-  public static void main(final String[] words) {
+  public static void main(final String[] args) {
     final ControlStateMachine stateMachine =
         new ControlStateMachine(
             new ControlStateMachine.Listener() {
@@ -27,7 +27,7 @@
               public void onLeaderChange(final String identity, final boolean self) {}
             });
     final Random random = new Random(1);
-    final int bytes = Integer.parseInt(words[0]);
+    final int bytes = Integer.parseInt(args[0]);
     for (int i = 1; i <= 520; i++) {
       final ControlCommand command = new ControlCommand();
       command.kind = ControlCommand.SET_CONFIGURATION;
--- a/src/test/java/yewjunction/control/ControlStateFixture.java
+++ b/src/test/java/yewjunction/control/ControlStateFixture.java
@@ -15,7 +15,7 @@
 
   private ControlStateFixture() {}
 
-  static ControlStateMachine core() {
+  static ControlStateMachine stateMachine() {
     return new ControlStateMachine(
         new ControlStateMachine.Listener() {
           @Override
@@ -42,7 +42,7 @@
 
   /** A fresh state machine. */
   public static StateMachine machine() {
-    return core();
+    return stateMachine();
   }
 
   /** The commands of the history, one of each kind and a second configuration, encoded. */
--- a/src/test/java/yewjunction/control/ControlWireFormatTest.java
+++ b/src/test/java/yewjunction/control/ControlWireFormatTest.java
@@ -138,7 +138,7 @@
         kind++) {
       examples.put("command-" + kind, ControlStateMachine.encode(command(kind)));
     }
-    final ControlStateMachine stateMachine = ControlStateFixture.core();
+    final ControlStateMachine stateMachine = ControlStateFixture.stateMachine();
     ControlStateFixture.apply(stateMachine, 1);
     examples.put("snapshot", stateMachine.snapshot());
     GoldenBytes.assertUnchanged("control-state.txt", examples);
--- a/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
+++ b/src/test/java/yewjunction/control/LeadershipConfirmationTest.java
@@ -35,11 +35,11 @@
   private final List<LeaseResponse> leases = new ArrayList<>();
   private SimulatedNetwork network;
   private String leader;
-  private String home;
+  private String servingStore;
   private PeerTransport edge;
   private PeerTransport stranger;
 
-  /** The leader's word names no question that was asked. */
+  /** The leader's confirmation names no request that was sent. */
   private boolean mute;
 
   private static String address(final String ip) {
@@ -100,7 +100,8 @@
     network.runFor(1_000);
     nodes.keySet().forEach(this::renew);
     assertTrue(network.runUntil(() -> leader != null, 2_000));
-    home = nodes.keySet().stream().filter(one -> !one.equals(leader)).findFirst().orElseThrow();
+    servingStore =
+        nodes.keySet().stream().filter(one -> !one.equals(leader)).findFirst().orElseThrow();
     network.runFor(1_000);
     leases.clear();
     asked.clear();
@@ -117,37 +118,37 @@
   }
 
   @Test
-  void theLeadersWordGrantsWhatWasAsked() {
-    renew(home);
+  void theLeadersConfirmationGrantsWhatWasRequested() {
+    renew(servingStore);
     assertTrue(network.runUntil(() -> !leases.isEmpty(), 200));
     assertEquals(99, leases.get(0).requestId);
   }
 
   /** Right in its number, and from a connection on which nothing was asked. */
   @Test
-  void aWordFromAnotherConnectionGrantsNothing() {
+  void aConfirmationFromAnotherConnectionGrantsNothing() {
     mute = true;
-    renew(home);
+    renew(servingStore);
     assertTrue(network.runUntil(() -> !asked.isEmpty(), 200));
     final ConfirmLeadershipResponse response = new ConfirmLeadershipResponse();
     response.requestId = asked.get(0).requestId;
     response.confirmed = true;
-    stranger.connect(home).send(response);
+    stranger.connect(servingStore).send(response);
     network.runFor(200);
     assertEquals(List.of(), leases);
   }
 
   @Test
-  void aWordThatNamesAnotherRequestGrantsNothing() {
+  void aConfirmationThatNamesAnotherRequestGrantsNothing() {
     mute = true;
-    renew(home);
+    renew(servingStore);
     network.runFor(200);
     assertEquals(1, asked.size());
     assertEquals(List.of(), leases);
     // The leader answers: the same edge's next question is served.
     mute = false;
     network.runFor(200);
-    renew(home);
+    renew(servingStore);
     assertTrue(network.runUntil(() -> !leases.isEmpty(), 500));
   }
 }
--- a/src/test/java/yewjunction/control/LeaseResponsesTest.java
+++ b/src/test/java/yewjunction/control/LeaseResponsesTest.java
@@ -20,7 +20,7 @@
  * asked of, and from when it was.
  */
 class LeaseResponsesTest {
-  private final List<String> homes = new ArrayList<>(List.of("near:1", "far:1"));
+  private final List<String> controlNodes = new ArrayList<>(List.of("near:1", "far:1"));
   private ScriptedTransport transport;
   private SimulatedNetwork network;
   private long lives;
@@ -34,7 +34,7 @@
     public void onClusterStateChanged(final ClusterState clusterState) {}
   }
 
-  private ScriptedTransport.ScriptedConnection link(final String address) {
+  private ScriptedTransport.ScriptedConnection connection(final String address) {
     return transport.connect(address);
   }
 
@@ -46,7 +46,7 @@
     host.boot();
     network.runFor(100_000);
     leaseClient =
-        new LeaseClient(host, transport, () -> homes, new IgnoringListener())
+        new LeaseClient(host, transport, () -> controlNodes, new IgnoringListener())
             .identifiedAs("edge:1", "edge", "zone", NodeRole.EDGE, drawn ? ++lives : 1);
     leaseClient.start();
     final LeaseResponse response = new LeaseResponse();
@@ -67,10 +67,11 @@
   @Test
   void itEndsSoLongAfterItsOwnRequest() {
     begin(true);
-    final LeaseRequest first = link("near:1").newest();
+    final LeaseRequest first = connection("near:1").newest();
     final long askedMs = network.nowMs();
     network.runFor(300);
-    assertTrue(link("far:1").size() + link("near:1").size() > 1, "a newer question is open");
+    assertTrue(
+        connection("far:1").size() + connection("near:1").size() > 1, "a newer question is open");
     grant("near:1", first);
     network.runFor(askedMs + LEASE_DURATION_MS - 1 - network.nowMs());
     assertTrue(leaseClient.isHeld());
@@ -81,26 +82,27 @@
   @Test
   void anotherControlNodesResponseIsNone() {
     begin(true);
-    grant("far:1", link("near:1").newest());
+    grant("far:1", connection("near:1").newest());
     assertFalse(leaseClient.isHeld());
-    grant("near:1", link("near:1").newest());
+    grant("near:1", connection("near:1").newest());
     assertTrue(leaseClient.isHeld());
   }
 
   @Test
   void whoseResponseCameIsAskedNext() {
     begin(true);
-    final LeaseRequest first = link("near:1").newest();
-    network.runUntil(() -> link("far:1").size() > 0, 1_000);
-    final int askedFar = link("far:1").size();
-    final int askedNear = link("near:1").size();
+    final LeaseRequest first = connection("near:1").newest();
+    network.runUntil(() -> connection("far:1").size() > 0, 1_000);
+    final int askedFar = connection("far:1").size();
+    final int askedNear = connection("near:1").size();
     grant("near:1", first);
     network.runUntil(
-        () -> link("far:1").size() > askedFar || link("near:1").size() > askedNear, 1_000);
-    assertEquals(askedFar, link("far:1").size(), "the other one has not answered yet");
-    assertEquals(askedNear + 1, link("near:1").size());
+        () -> connection("far:1").size() > askedFar || connection("near:1").size() > askedNear,
+        1_000);
+    assertEquals(askedFar, connection("far:1").size(), "the other one has not answered yet");
+    assertEquals(askedNear + 1, connection("near:1").size());
     network.runFor(2_000);
-    assertTrue(link("far:1").size() > askedFar, "asked again once this one is silent");
+    assertTrue(connection("far:1").size() > askedFar, "asked again once this one is silent");
   }
 
   /**
@@ -109,9 +111,9 @@
    */
   private boolean heldByAnEarlierLifesLease(final boolean drawn) {
     begin(drawn);
-    final LeaseRequest earlier = link("near:1").newest();
+    final LeaseRequest earlier = connection("near:1").newest();
     begin(drawn);
-    assertEquals(1, link("near:1").size());
+    assertEquals(1, connection("near:1").size());
     grant("near:1", earlier);
     return leaseClient.isHeld();
   }
--- a/src/test/java/yewjunction/control/StaleRegistration.java
+++ b/src/test/java/yewjunction/control/StaleRegistration.java
@@ -9,7 +9,7 @@
 public final class StaleRegistration {
   private StaleRegistration() {}
 
-  public static Object enlist(final String address, final long life) {
+  public static Object registerRequest(final String address, final long life) {
     final RegisterRequest request = new RegisterRequest();
     request.process.address = address;
     request.process.node = "node-" + address;
--- a/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
+++ b/src/test/java/yewjunction/gateway/AdmitResponsesTest.java
@@ -72,7 +72,7 @@
     return transport.connect("one:1").newest();
   }
 
-  private String afterVerdict(final String from, final AdmitRequest on, final int what) {
+  private String afterResponse(final String from, final AdmitRequest on, final int what) {
     final AdmitResponse response = new AdmitResponse();
     response.requestId = on.requestId;
     response.outcome = what;
@@ -84,7 +84,7 @@
    * Denied by the first leader, accepted, perhaps, by the second, and now the first one leads
    * again.
    */
-  private AdmitRequest offeredThrice() {
+  private AdmitRequest requestedThrice() {
     publishForwarder.onLeaderChange("two:1");
     assertEquals(1, transport.connect("two:1").size());
     publishForwarder.onLeaderChange("one:1");
@@ -95,9 +95,9 @@
   @Test
   void aDenialOfAnEarlierRequestOnTheSameConnectionBindsNobody() {
     final AdmitRequest first = begin(true);
-    final AdmitRequest third = offeredThrice();
-    assertEquals("", afterVerdict("one:1", first, DENIED));
-    assertEquals(ACKED, afterVerdict("one:1", third, ACCEPTED));
+    final AdmitRequest third = requestedThrice();
+    assertEquals("", afterResponse("one:1", first, DENIED));
+    assertEquals(ACKED, afterResponse("one:1", third, ACCEPTED));
   }
 
   /**
@@ -107,50 +107,50 @@
   @Test
   void withOneNumberForAllRequestsTheLateDenialIsTold() {
     begin(true);
-    assertEquals(RETRIED, afterVerdict("one:1", offeredThrice(), DENIED));
+    assertEquals(RETRIED, afterResponse("one:1", requestedThrice(), DENIED));
   }
 
   @Test
   void anAcceptanceOfAnEarlierRequestIsAFact() {
     final AdmitRequest first = begin(true);
-    final AdmitRequest third = offeredThrice();
-    assertEquals(ACKED, afterVerdict("one:1", first, ACCEPTED));
-    assertEquals("", afterVerdict("one:1", third, ACCEPTED), "told once");
+    final AdmitRequest third = requestedThrice();
+    assertEquals(ACKED, afterResponse("one:1", first, ACCEPTED));
+    assertEquals("", afterResponse("one:1", third, ACCEPTED), "told once");
   }
 
   @Test
   void anotherStoresAdmitResponseIsNone() {
     final AdmitRequest first = begin(true);
-    assertEquals("", afterVerdict("two:1", first, DENIED));
-    assertEquals("", afterVerdict("two:1", first, ACCEPTED));
-    assertEquals(RETRIED, afterVerdict("one:1", first, DENIED));
+    assertEquals("", afterResponse("two:1", first, DENIED));
+    assertEquals("", afterResponse("two:1", first, ACCEPTED));
+    assertEquals(RETRIED, afterResponse("one:1", first, DENIED));
   }
 
   @Test
   void thatAnEarlierRequestWentToNoLeaderTakesNothingBack() {
     final AdmitRequest first = begin(true);
-    offeredThrice();
-    assertEquals("", afterVerdict("one:1", first, NOT_LEADER));
+    requestedThrice();
+    assertEquals("", afterResponse("one:1", first, NOT_LEADER));
     // Taken back it would be offered again after a pause.
     network.runFor(2_000);
     assertEquals(2, transport.connect("one:1").size());
     assertEquals(1, publishForwarder.waitingCount());
   }
 
-  private String afterVerdictOnAnEarlierLife(final boolean drawn) {
+  private String afterResponseOnAnEarlierLife(final boolean drawn) {
     final AdmitRequest earlier = begin(drawn);
     begin(drawn);
-    return afterVerdict("one:1", earlier, DENIED);
+    return afterResponse("one:1", earlier, DENIED);
   }
 
   @Test
   void anAdmitResponseOnAnEarlierLifesRequestIsNone() {
-    assertEquals("", afterVerdictOnAnEarlierLife(true));
+    assertEquals("", afterResponseOnAnEarlierLife(true));
   }
 
   /** The fault planted: each life draws the same, and so numbers alike. */
   @Test
   void withNumbersThatBeginAlikeItIsTold() {
-    assertEquals(RETRIED, afterVerdictOnAnEarlierLife(false));
+    assertEquals(RETRIED, afterResponseOnAnEarlierLife(false));
   }
 }
--- a/src/test/java/yewjunction/raft/ModelDigest.java
+++ b/src/test/java/yewjunction/raft/ModelDigest.java
@@ -57,15 +57,15 @@
       }
     }
     for (final ModelTransport.Connection connection : world.wires) {
-      hash = mix(hash, link(connection.dialler));
-      hash = mix(mix(hash, link(connection.taker)), connection.whole ? 1 : 2);
+      hash = mix(hash, endHash(connection.dialler));
+      hash = mix(mix(hash, endHash(connection.taker)), connection.whole ? 1 : 2);
     }
     hash = mix(hash, value(world.monitor.history));
     hash = mix(mix(hash, value(world.monitor.leaders)), value(world.monitor.newest()));
     return mix(hash, Arrays.hashCode(world.budget.left));
   }
 
-  private long link(final ModelTransport.End end) {
+  private long endHash(final ModelTransport.End end) {
     long hash =
         mix(
             mix(end.owner.number, end.far().owner.number),
@@ -87,7 +87,7 @@
       return mix(5, object.hashCode());
     }
     if (object instanceof ModelTransport.End end) {
-      return link(end);
+      return endHash(end);
     }
     if (object instanceof ByteArrayOutputStream bytes) {
       return value(bytes.toByteArray());
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -107,7 +107,7 @@
     raftNode
         .reconfiguration()
         .setPlacement(
-            new VoterPlacement(world.setup.seats(), java.util.Set::of, world.setup::zoneOf));
+            new VoterPlacement(world.setup.targetVoters(), java.util.Set::of, world.setup::zoneOf));
     if (raftNode.identity() == null) {
       final boolean oldName =
           founder || world.fault == ModelFault.OLD_NAME_AFTER_WIPE && number < world.setup.voters();
--- a/src/test/java/yewjunction/raft/ModelMonitor.java
+++ b/src/test/java/yewjunction/raft/ModelMonitor.java
@@ -254,11 +254,11 @@
    */
   boolean mayLose(final ModelHost host) {
     final long good = world.hosts.stream().filter(this::good).count();
-    final long seats =
-        Math.max(world.setup.seats(), newestVoters.size()) - good + (good(host) ? 1 : 0);
+    final long missingVotes =
+        Math.max(world.setup.targetVoters(), newestVoters.size()) - good + (good(host) ? 1 : 0);
     final long disks =
         world.hosts.stream().filter(other -> other == host || !whole(onDisk(other), other)).count();
-    return Math.max(seats, disks) <= world.setup.tolerates();
+    return Math.max(missingVotes, disks) <= world.setup.tolerates();
   }
 
   private boolean whole(final RaftStorage storage, final ModelHost host) {
@@ -289,11 +289,11 @@
     return votes && whole(storage, host);
   }
 
-  boolean seatsFilled() {
+  boolean allVotesHeld() {
     final ModelHost leader =
         world.hosts.stream().filter(host -> host.raftNode.isReadyLeader()).findFirst().orElse(null);
     return leader != null
-        && leader.raftNode.voters().size() == world.setup.seats()
+        && leader.raftNode.voters().size() == world.setup.targetVoters()
         && leader.raftNode.voters().stream()
             .allMatch(
                 voter -> voter.equals(world.at(RaftNode.addressOf(voter)).raftNode.identity()));
--- a/src/test/java/yewjunction/raft/ModelRecovery.java
+++ b/src/test/java/yewjunction/raft/ModelRecovery.java
@@ -85,10 +85,10 @@
     final boolean served =
         within(
             GOES_ON_MS,
-            () -> world.monitor.acknowledgements() > before && world.monitor.seatsFilled());
+            () -> world.monitor.acknowledgements() > before && world.monitor.allVotesHeld());
     if (!served) {
       throw new ModelViolation(
-          "it goes on: no leader, no acknowledged proposal or an empty seat after "
+          "it goes on: no leader, no acknowledged proposal or a vote that nobody holds after "
               + GOES_ON_MS
               + " ms of plain time: "
               + world.monitor.standing());
--- a/src/test/java/yewjunction/raft/ModelSetup.java
+++ b/src/test/java/yewjunction/raft/ModelSetup.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * Where an exploration begins: the members, how they came there, and what may befall them from then
- * on.
+ * Where an exploration begins: the members, the steps that lead there, and the faults that may be
+ * injected from then on. The random schedules of walks are drawn from the name too, so a setup keeps
+ * its name.
  */
 record ModelSetup(
     String name,
     int voters,
     int spares,
-    int seats,
+    int targetVoters,
     boolean zoned,
     String prefix,
     ModelBudget budget) {
@@ -36,7 +37,7 @@
 
   /** How many machines may be lost at once. */
   int tolerates() {
-    return (seats - 1) / 2;
+    return (targetVoters - 1) / 2;
   }
 
   private static ModelSetup of(
--- a/src/test/java/yewjunction/raft/ModelTransport.java
+++ b/src/test/java/yewjunction/raft/ModelTransport.java
@@ -114,7 +114,7 @@
 
     @Override
     public void close() {
-      throw new UnsupportedOperationException("a ledger closes no links");
+      throw new UnsupportedOperationException("a Raft node closes no connections");
     }
 
     @Override
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -124,7 +124,7 @@
               ? 1
               : 0;
     }
-    throw new IllegalStateException("no such link");
+    throw new IllegalStateException("no such connection");
   }
 
   private ModelTransport.Connection wire(final int dialler, final int taker, final int place) {
@@ -136,7 +136,7 @@
         return connection;
       }
     }
-    throw new IllegalArgumentException("no link " + dialler + " to " + taker);
+    throw new IllegalArgumentException("no connection " + dialler + " to " + taker);
   }
 
   void apply(final char step) {
--- a/src/test/java/yewjunction/raft/SnapshotTurnCost.java
+++ b/src/test/java/yewjunction/raft/SnapshotTurnCost.java
@@ -41,9 +41,9 @@
     return made;
   }
 
-  public static void main(final String[] words) throws Exception {
-    final int messages = Integer.parseInt(words[0]);
-    final int bodyBytes = Integer.parseInt(words[1]);
+  public static void main(final String[] args) throws Exception {
+    final int messages = Integer.parseInt(args[0]);
+    final int bodyBytes = Integer.parseInt(args[1]);
     final SimulatedNetwork network = new SimulatedNetwork(1);
     final AgentContext context = network.host("10.1.1.1:7000");
     final Settings settings =
--- a/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
+++ b/src/test/java/yewjunction/raft/VoterPlacementSimulationTest.java
@@ -48,7 +48,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aMachineReplacedAtAnotherAddressIsBackInItsSeatBeforeTheNextLoss(final long seed) {
+  void aMachineReplacedAtAnotherAddressHasItsVoteBackBeforeTheNextLoss(final long seed) {
     beginWith(seed);
     network.loss = 0.02;
     final String gone = addresses.get((int) (seed % 3));
@@ -171,7 +171,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void aSpareSitsInTheSeatBeforeWhoeverStopsForGoodHasEnded(final long seed) {
+  void aSpareHasTheVoteBeforeWhoeverStopsForGoodHasEnded(final long seed) {
     assertTrue(replacedAsPlanned(seed, seed % 2 == 0), "voters " + voters());
     // At once: its successor may have been there for long, so the next loss may come now, with its
     // disk.
--- a/src/test/java/yewjunction/server/HttpEndpointTest.java
+++ b/src/test/java/yewjunction/server/HttpEndpointTest.java
@@ -27,7 +27,7 @@
 import yewjunction.common.AgentContext;
 import yewjunction.control.OperatorApi;
 
-/** The operator's door: calls that wait for a majority hold up no others. */
+/** The operators' HTTP endpoint: calls that wait for a majority hold up no others. */
 class HttpEndpointTest {
   private static final int CALLS = 40;
   private final ExecutorService owner = Executors.newSingleThreadExecutor();
--- a/src/test/java/yewjunction/server/ServerProcessTest.java
+++ b/src/test/java/yewjunction/server/ServerProcessTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aProcessThatCannotOpenItsDoorEnds() throws Exception {
+  void aProcessThatCannotBindItsPortEnds() throws Exception {
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.9"))) {
       final ServerProcess process = controlProcess(folder(), taken.getLocalPort());
       assertThrows(
--- a/src/test/java/yewjunction/simulation/ScriptedTransport.java
+++ b/src/test/java/yewjunction/simulation/ScriptedTransport.java
@@ -14,7 +14,7 @@
  * anyone.
  */
 public final class ScriptedTransport implements PeerTransport {
-  private final Map<String, ScriptedConnection> links = new HashMap<>();
+  private final Map<String, ScriptedConnection> connections = new HashMap<>();
   private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
 
   /** A connection, with what was sent on it. */
@@ -59,7 +59,7 @@
 
   @Override
   public ScriptedConnection connect(final String address) {
-    return links.compute(
+    return connections.compute(
         address,
         (key, known) -> known == null || !known.open ? new ScriptedConnection(address) : known);
   }
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -137,7 +137,7 @@
   }
 
   void killAsItWakes(final String victim, final long forMs) {
-    note("frozen, links reset, killed as it wakes " + victim + " " + forMs);
+    note("frozen, connections reset, killed as it wakes " + victim + " " + forMs);
     hosts(victim).forEach(SimulatedHost::freeze);
     cluster.network.runFor(forMs / 2);
     hosts(victim).forEach(SimulatedHost::resetConnections);
@@ -154,18 +154,18 @@
   }
 
   void cut(final String victim, final long forMs) {
-    final boolean fromCoreOnly = random.nextBoolean();
+    final boolean fromControlNodesOnly = random.nextBoolean();
     final int ways = random.nextInt(3);
     note(
         "cut "
             + victim
-            + (fromCoreOnly ? " from the core" : "")
+            + (fromControlNodesOnly ? " from the control nodes" : "")
             + " "
             + List.of("both ways", "out", "in").get(ways)
             + " "
             + forMs);
     for (final String other :
-        fromCoreOnly
+        fromControlNodesOnly
             ? controlNodes()
             : cluster.nodes.keySet().stream().map(RandomFaults::machine).distinct().toList()) {
       if (!other.equals(victim) && ways != 2) {
--- a/src/test/java/yewjunction/system/RandomFaults.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -62,7 +62,8 @@
         "edge "
             + edge
             + " "
-            + List.of("kill", "power", "stop", "freeze", "links reset", "clients reset").get(kind)
+            + List.of("kill", "power", "stop", "freeze", "connections reset", "clients reset")
+                .get(kind)
             + " "
             + forMs);
     switch (kind) {
@@ -94,8 +95,8 @@
       pair();
       return;
     }
-    final List<String> core = controlNodes();
-    final String machine = core.get(random.nextInt(core.size()));
+    final List<String> controlNodes = controlNodes();
+    final String machine = controlNodes.get(random.nextInt(controlNodes.size()));
     final String victim = random.nextInt(3) == 0 ? machine(leader()) : machine;
     final long forMs = span(300, 6_000);
     final int kind = random.nextInt(harder ? 21 : 16);
@@ -127,7 +128,7 @@
       case 8, 9 -> cut(victim, forMs);
       case 10 -> {
         final int times = 1 + random.nextInt(5);
-        note("links reset " + victim + " " + times);
+        note("connections reset " + victim + " " + times);
         for (int time = 0; time < times; time++) {
           hosts(victim).forEach(SimulatedHost::resetConnections);
           cluster.network.runFor(span(50, 600));
@@ -151,7 +152,7 @@
       case 15 -> retireOrAdd();
       case 16, 17 -> afterOrder(random.nextBoolean());
       case 18 -> {
-        note("links reset on all of the core");
+        note("connections reset on all control nodes");
         controlNodes().forEach(one -> hosts(one).forEach(SimulatedHost::resetConnections));
       }
       case 19 -> killWhileCutOff(victim, forMs);
@@ -248,9 +249,11 @@
                     "one is wiped",
                     "one is wiped, the rest lose power")
                 .get(kind));
-    final List<String> core = controlNodes();
+    final List<String> controlNodes = controlNodes();
     final String wiped =
-        random.nextBoolean() ? machine(leader()) : core.get(random.nextInt(core.size()));
+        random.nextBoolean()
+            ? machine(leader())
+            : controlNodes.get(random.nextInt(controlNodes.size()));
     switch (kind) {
       case 0 -> cluster.nodes.keySet().forEach(cluster::powerOff);
       case 1 -> cluster.nodes.keySet().forEach(cluster::kill);
@@ -261,7 +264,7 @@
         note("wiped " + wiped);
         wipe(wiped);
         if (cluster.losses > 1) {
-          final String other = core.get(random.nextInt(core.size()));
+          final String other = controlNodes.get(random.nextInt(controlNodes.size()));
           note("wiped " + other);
           wipe(other);
         }
--- a/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
+++ b/src/test/java/yewjunction/system/ReplicaReassignmentSimulationTest.java
@@ -70,7 +70,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void anEarlierLifesLateQuestionUnseatsNobody(final long seed) {
+  void anEarlierLifesLateRequestDisplacesNobody(final long seed) {
     begin(seed);
     final String edge = cluster.clients.get(0).edge();
     final PeerTransport controlTransport = cluster.network.host("10.9.0.1:1").boot();
@@ -78,7 +78,9 @@
         .all(NodeRole.CONTROL)
         .forEach(
             other ->
-                controlTransport.connect(other).send(StaleRegistration.enlist(edge, 1_000_000)));
+                controlTransport
+                    .connect(other)
+                    .send(StaleRegistration.registerRequest(edge, 1_000_000)));
     cluster.network.runFor(1_000);
     served(edge);
   }
--- a/src/test/java/yewjunction/system/SimulatedClient.java
+++ b/src/test/java/yewjunction/system/SimulatedClient.java
@@ -43,12 +43,12 @@
   }
 
   /** What the edge has written arrives, unless the client has another connection by now. */
-  void hear(final SimulatedClientConnection from, final String words) {
+  void hear(final SimulatedClientConnection from, final String text) {
     if (wire != from) {
       return;
     }
     heardMs = cluster.network.nowMs();
-    for (final FrameSplitter.Frame frame : from.frames.feed(words)) {
+    for (final FrameSplitter.Frame frame : from.frames.feed(text)) {
       if (wire == from) {
         onRefusal(frame.fields(), frame.body());
       }
--- a/src/test/java/yewjunction/system/SimulatedClientConnection.java
+++ b/src/test/java/yewjunction/system/SimulatedClientConnection.java
@@ -28,7 +28,7 @@
     life = host.life();
   }
 
-  void receive(final String words) {
+  void receive(final String text) {
     cluster.network.after(
         1,
         () ->
@@ -41,7 +41,7 @@
                   if (owner == null) {
                     owner = cluster.edge(edge).newHandler(this);
                   }
-                  final byte[] more = words.getBytes(StandardCharsets.US_ASCII);
+                  final byte[] more = text.getBytes(StandardCharsets.US_ASCII);
                   final byte[] all = new byte[unread.length + more.length];
                   System.arraycopy(unread, 0, all, 0, unread.length);
                   System.arraycopy(more, 0, all, unread.length, more.length);
@@ -58,8 +58,8 @@
           client.stalledMs(),
           () -> {
             flushing = false;
-            final String words = new String(out.take(), StandardCharsets.US_ASCII);
-            cluster.network.after(1, () -> client.hear(this, words));
+            final String text = new String(out.take(), StandardCharsets.US_ASCII);
+            cluster.network.after(1, () -> client.hear(this, text));
           });
     }
     return out;
--- a/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
+++ b/src/test/java/yewjunction/system/WorstDaysSimulationTest.java
@@ -14,8 +14,8 @@
 import yewjunction.raft.LogReader;
 
 /**
- * Troubles of all kinds at any moment, more than once, on core, stores and edges, within what is to
- * be borne. One failing world again: mvn test -Dtest=WorstDaysSimTest -Dworst.seed=SEED
+ * Troubles of all kinds at any moment, more than once, on control nodes, stores and edges, within
+ * what is to be borne. One failing world again: mvn test -Dtest=WorstDaysSimTest -Dworst.seed=SEED
  * -Dworst.stores=3 (or 6, and then -Dworst.losses=2) -Dworst.rounds=6; many: -Dworst.worlds=COUNT.
  */
 class WorstDaysSimulationTest extends SystemSimulation {
@@ -135,14 +135,14 @@
         .orElseThrow();
   }
 
-  private void seated(final String fresh) {
+  private void holdsAVote(final String fresh) {
     final String lead = troubles.leader();
     assertTrue(((StoreNode) cluster.nodes.get(lead)).isLeader(), "nobody leads");
     assertTrue(
         held(fresh) + 60 > held(lead), fresh + " is at " + held(fresh) + " of " + held(lead));
     final List<String> voters = LogReader.voters(cluster.network.host(lead).disk, "messages");
     assertTrue(
-        voters.size() == 3 && voters.contains(fresh), fresh + " has no seat among " + voters);
+        voters.size() == 3 && voters.contains(fresh), fresh + " has no vote among " + voters);
   }
 
   /**
@@ -152,7 +152,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void whoFollowedTheOldLeaderIsTakenOverByTheNew(final long seed) {
-    seated(replacedLeader(seed));
+    holdsAVote(replacedLeader(seed));
     // Enough orders for the check at the end, however soon the vote passed.
     cluster.network.runFor(1_000);
     end();
@@ -162,12 +162,12 @@
   @Test
   void aSpareThatNobodyHearsShows() {
     replacedLeader(1);
-    cluster.all(NodeRole.STORE).forEach(this::seated);
+    cluster.all(NodeRole.STORE).forEach(this::holdsAVote);
     cluster.network.hosts().forEach(host -> host.messageFilter = LogReader::drownJoins);
     final String machine = troubles.leader().replaceAll(":.*", "");
     troubles.replacePlanned(machine);
     cluster.network.runFor(2_000);
-    assertThrows(AssertionError.class, () -> cluster.all(NodeRole.STORE).forEach(this::seated));
+    assertThrows(AssertionError.class, () -> cluster.all(NodeRole.STORE).forEach(this::holdsAVote));
   }
 
   /** All lose power once, with disks that call synced what is only written, or with sound ones. */
