--- a/src/test/java/yewjunction/capacity/ControlTraffic.java
+++ b/src/test/java/yewjunction/capacity/ControlTraffic.java
@@ -1,6 +1,5 @@
 package yewjunction.capacity;
 
-import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -32,18 +31,13 @@
     figures.put("start: ms until all edges are ready", (double) fleet.network.nowMs());
     fleet.network.runFor(SETTLE_MS);
     fleet.meter.reset();
-    final com.sun.management.ThreadMXBean threads =
-        (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-    final long cpuBefore = threads.getCurrentThreadCpuTime();
-    final long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
+    final ThreadUsage usage = new ThreadUsage();
     fleet.network.runFor(WATCH_MS);
     final double nodeSeconds = (edgeCount + storeCount + controlNodeCount) * WATCH_MS / 1_000.0;
     figures.put(
         "all: us of CPU a node and second, simulator and both ends of the codec included",
-        (threads.getCurrentThreadCpuTime() - cpuBefore) / 1_000.0 / nodeSeconds);
-    figures.put(
-        "all: KB allocated a node and second",
-        (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / nodeSeconds);
+        usage.cpuMicros() / nodeSeconds);
+    figures.put("all: KB allocated a node and second", usage.allocatedKb() / nodeSeconds);
     role("edge", fleet, fleet.edges);
     role("store", fleet, fleet.stores);
     role("control", fleet, fleet.controlNodes);
--- a/src/test/java/yewjunction/capacity/MessageCost.java
+++ b/src/test/java/yewjunction/capacity/MessageCost.java
@@ -1,6 +1,5 @@
 package yewjunction.capacity;
 
-import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -48,10 +47,7 @@
     fleet.network.every(500, () -> senders.forEach(sender -> sender.say("PING\r\n")));
     fleet.network.runFor(SETTLE_MS);
     fleet.meter.reset();
-    final com.sun.management.ThreadMXBean threads =
-        (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-    final long cpuBefore = threads.getCurrentThreadCpuTime();
-    final long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
+    final ThreadUsage usage = new ThreadUsage();
     final long count = perSecond * WATCH_MS / 1_000;
     for (long i = 0; i < count; i++) {
       final long number = i + 1;
@@ -73,11 +69,8 @@
     final String leader = fleet.leadingStore();
     final double seconds = WATCH_MS / 1_000.0;
     figures.put(
-        "all: ms of CPU a second, simulator included",
-        (threads.getCurrentThreadCpuTime() - cpuBefore) / 1e6 / seconds);
-    figures.put(
-        "all: KB allocated a second",
-        (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 1_024.0 / seconds);
+        "all: ms of CPU a second, simulator included", usage.cpuMicros() / 1_000.0 / seconds);
+    figures.put("all: KB allocated a second", usage.allocatedKb() / seconds);
     figures.put(
         "leader: bytes/s to each follower",
         fleet.meter.totalsOf(leader, "raft.AppendEntries")[1] / seconds / (VAULTS - 1));
--- a/src/test/java/yewjunction/raft/ModelSetup.java
+++ b/src/test/java/yewjunction/raft/ModelSetup.java
@@ -5,8 +5,8 @@
 
 /**
  * Where an exploration begins: the members, the steps that lead there, and the faults that may be
- * injected from then on. The random schedules of walks are drawn from the name too, so a setup keeps
- * its name.
+ * injected from then on. The random schedules of walks are drawn from the name too, so a setup
+ * keeps its name.
  */
 record ModelSetup(
     String name,
--- a/src/test/java/yewjunction/server/SignalHandlersTest.java
+++ b/src/test/java/yewjunction/server/SignalHandlersTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static yewjunction.server.SignalHandlers.Kind.RELOAD;
 import static yewjunction.server.SignalHandlers.Kind.STOP;
+import static yewjunction.simulation.InterleavingChecks.everySwitch;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,11 +13,12 @@
 import org.jetbrains.kotlinx.lincheck.LincheckAssertionError;
 import org.jetbrains.kotlinx.lincheck.annotations.Operation;
 import org.jetbrains.kotlinx.lincheck.annotations.Validate;
-import org.jetbrains.kotlinx.lincheck.strategy.managed.modelchecking.ModelCheckingOptions;
 import org.junit.jupiter.api.Test;
 
 /** A signal that comes while the process is put together, or while it takes them, arrives once. */
 public class SignalHandlersTest {
+  private static final int ITERATIONS = 6;
+
   @Test
   void earlyOnesComeFirstAndInTheirOrder() {
     final SignalHandlers signals = new SignalHandlers();
@@ -96,25 +98,15 @@
     }
   }
 
-  private static ModelCheckingOptions everySwitch() {
-    return new ModelCheckingOptions()
-        .iterations(6)
-        .invocationsPerIteration(150)
-        .threads(2)
-        .actorsPerThread(3)
-        .actorsBefore(0)
-        .actorsAfter(0)
-        .minimizeFailedScenario(false);
-  }
-
   @Test
   void noSwitchLosesOrRepeatsASignal() {
-    LinChecker.check(Start.class, everySwitch());
+    LinChecker.check(Start.class, everySwitch(ITERATIONS));
   }
 
   @Test
   void aSignalKeptTooLateShows() {
     assertThrows(
-        LincheckAssertionError.class, () -> LinChecker.check(Careless.class, everySwitch()));
+        LincheckAssertionError.class,
+        () -> LinChecker.check(Careless.class, everySwitch(ITERATIONS)));
   }
 }
--- a/src/test/java/yewjunction/system/BorrowingSimulationTest.java
+++ b/src/test/java/yewjunction/system/BorrowingSimulationTest.java
@@ -140,13 +140,7 @@
   }
 
   private String leader() {
-    return cluster.all(NodeRole.STORE).stream()
-        .filter(
-            store ->
-                cluster.network.host(store).up()
-                    && ((StoreNode) cluster.nodes.get(store)).isLeader())
-        .findFirst()
-        .orElse(cluster.all(NodeRole.STORE).get(0));
+    return cluster.leadingStore();
   }
 
   @Test
--- a/src/test/java/yewjunction/system/FaultInjector.java
+++ b/src/test/java/yewjunction/system/FaultInjector.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Random;
 import yewjunction.membership.NodeRole;
-import yewjunction.node.StoreNode;
 import yewjunction.settings.Settings;
 import yewjunction.simulation.SimulatedHost;
 
@@ -54,13 +53,7 @@
 
   /** Whoever leads the stores, or the first of them. */
   String leader() {
-    return cluster.all(NodeRole.STORE).stream()
-        .filter(
-            store ->
-                cluster.network.host(store).up()
-                    && ((StoreNode) cluster.nodes.get(store)).isLeader())
-        .findFirst()
-        .orElse(cluster.all(NodeRole.STORE).get(0));
+    return cluster.leadingStore();
   }
 
   long span(final int leastMs, final int mostMs) {
--- a/src/test/java/yewjunction/system/OperatorAnswersTest.java
+++ b/src/test/java/yewjunction/system/OperatorAnswersTest.java
@@ -1,6 +1,7 @@
 package yewjunction.system;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static yewjunction.system.OperatorClient.config;
 
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigFactory;
@@ -14,7 +15,6 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import yewjunction.control.OperatorApi;
-import yewjunction.membership.NodeRole;
 
 /**
  * The operators' scripts know the answers by status, error code and names of fields: none changes.
@@ -38,28 +38,7 @@
 
   private OperatorApi.Response ask(
       final String method, final String path, final String base, final String body) {
-    final List<OperatorApi.Response> answers = new ArrayList<>();
-    for (int attempt = 0; attempt < 20; attempt++) {
-      answers.clear();
-      cluster.call(
-          cluster.all(NodeRole.CONTROL).get(attempt % 3),
-          method,
-          path,
-          Long.parseLong(base),
-          body,
-          answers::add);
-      cluster.network.runUntil(() -> !answers.isEmpty(), 1_000);
-      if (!answers.isEmpty() && answers.get(0).status() != 307 && answers.get(0).status() != 503) {
-        return answers.get(0);
-      }
-      cluster.network.runFor(100);
-    }
-    throw new AssertionError("no answer to " + path);
-  }
-
-  private static String config(final long version) {
-    return SimulatedCluster.config(
-        version, SimulatedCluster.route("s."), SimulatedCluster.tenant("t", "key", 5));
+    return new OperatorClient(cluster).ask(method, path, base, body);
   }
 
   /** Names of all fields, those of lists by their first item; and the code of an error. */
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -13,6 +13,7 @@
 import yewjunction.node.ControlNode;
 import yewjunction.node.EdgeNode;
 import yewjunction.node.Node;
+import yewjunction.node.StoreNode;
 import yewjunction.settings.Settings;
 import yewjunction.settings.SettingsBuilder;
 import yewjunction.simulation.SimulatedHost;
@@ -89,6 +90,14 @@
     return nodes.keySet().stream().filter(address -> role(address) == role).toList();
   }
 
+  /** The store that leads, or the first one while none does. */
+  String leadingStore() {
+    return all(NodeRole.STORE).stream()
+        .filter(store -> network.host(store).up() && ((StoreNode) nodes.get(store)).isLeader())
+        .findFirst()
+        .orElse(all(NodeRole.STORE).get(0));
+  }
+
   void boot(final String address, final boolean founding) {
     final SimulatedHost host = network.host(address);
     final long life = ++lives;
--- a/src/test/java/yewjunction/transport/CommandQueueTest.java
+++ b/src/test/java/yewjunction/transport/CommandQueueTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static yewjunction.simulation.InterleavingChecks.everySwitch;
 
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -13,7 +14,6 @@
 import org.jetbrains.kotlinx.lincheck.annotations.OpGroupConfig;
 import org.jetbrains.kotlinx.lincheck.annotations.Operation;
 import org.jetbrains.kotlinx.lincheck.annotations.Validate;
-import org.jetbrains.kotlinx.lincheck.strategy.managed.modelchecking.ModelCheckingOptions;
 import org.jetbrains.kotlinx.lincheck.strategy.stress.StressOptions;
 import org.junit.jupiter.api.Test;
 
@@ -21,6 +21,8 @@
  * What threads share: every command arrives once, and none waits for a wake-up that nobody sends.
  */
 public class CommandQueueTest {
+  private static final int ITERATIONS = 8;
+
   /** Several threads put, one takes: equal to some order of whole steps. */
   @OpGroupConfig(name = "owner", nonParallel = true)
   public static class Shared {
@@ -98,25 +100,15 @@
     }
   }
 
-  private static ModelCheckingOptions everySwitch() {
-    return new ModelCheckingOptions()
-        .iterations(8)
-        .invocationsPerIteration(150)
-        .threads(2)
-        .actorsPerThread(3)
-        .actorsBefore(0)
-        .actorsAfter(0)
-        .minimizeFailedScenario(false);
-  }
-
   @Test
   void noSwitchLeavesACommandBehind() {
-    LinChecker.check(Sleeper.class, everySwitch());
+    LinChecker.check(Sleeper.class, everySwitch(ITERATIONS));
   }
 
   @Test
   void aWakeUpBeforeThePutShows() {
-    assertThrows(LincheckAssertionError.class, () -> LinChecker.check(Hasty.class, everySwitch()));
+    assertThrows(
+        LincheckAssertionError.class, () -> LinChecker.check(Hasty.class, everySwitch(ITERATIONS)));
   }
 
   @Test
