--- a/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
+++ b/src/test/java/yewjunction/capacity/CrossZoneTraffic.java
@@ -24,6 +24,15 @@
     if (!fleet.configure(90, 60) || !fleet.network.runUntil(() -> fleet.ready() == EDGES, 30_000)) {
       return null;
     }
+    final List<HollowClient> clients = connect(fleet);
+    fleet.network.runFor(10_000);
+    fleet.meter.reset();
+    startTraffic(fleet, clients);
+    fleet.network.runFor(SECONDS * 1_000);
+    return figures(fleet);
+  }
+
+  private static List<HollowClient> connect(final HollowFleet fleet) {
     final List<HollowClient> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       final HollowClient client = new HollowClient(fleet, fleet.edges.get(i % EDGES), "u" + i);
@@ -33,45 +42,50 @@
       clients.add(client);
     }
     fleet.network.every(500, () -> clients.forEach(client -> client.say("PING\r\n")));
-    fleet.network.runFor(10_000);
-    fleet.meter.reset();
-    final long[] number = new long[2];
+    return clients;
+  }
+
+  private static void startTraffic(final HollowFleet fleet, final List<HollowClient> clients) {
+    final long[] published = new long[1];
     fleet.network.every(
         10,
         () -> {
-          number[0]++;
+          published[0]++;
           clients
-              .get((int) (number[0] * 31 % CLIENTS))
+              .get((int) (published[0] * 31 % CLIENTS))
               .say(
                   "PUB s0.t"
-                      + number[0] * 17 % TOPICS
+                      + published[0] * 17 % TOPICS
                       + " "
-                      + number[0]
+                      + published[0]
                       + " 100\r\n"
                       + "x".repeat(100)
                       + "\r\n");
         });
+    final long[] changed = new long[1];
     // Clients drop a topic and take another one, 250 times a second.
     fleet.network.every(
         4,
         () -> {
-          number[1]++;
+          changed[0]++;
           clients
-              .get((int) (number[1] * 7 % CLIENTS))
+              .get((int) (changed[0] * 7 % CLIENTS))
               .say(
                   "UNSUB s0.t"
-                      + number[1] * 7 % TOPICS
+                      + changed[0] * 7 % TOPICS
                       + "\r\nSUB s0.t"
-                      + number[1] * 11 % TOPICS
+                      + changed[0] * 11 % TOPICS
                       + "\r\n");
         });
     fleet.network.every(
         16,
         () ->
             clients
-                .get((int) (number[0] * 13 % CLIENTS))
-                .say("WHO s0.t" + number[0] * 5 % TOPICS + "\r\n"));
-    fleet.network.runFor(SECONDS * 1_000);
+                .get((int) (published[0] * 13 % CLIENTS))
+                .say("WHO s0.t" + published[0] * 5 % TOPICS + "\r\n"));
+  }
+
+  private static Map<String, Double> figures(final HollowFleet fleet) {
     final Map<String, Double> figures = new TreeMap<>();
     double all = 0;
     for (final Map.Entry<String, long[]> row : fleet.meter.across.entrySet()) {
--- a/src/test/java/yewjunction/fanout/FanoutWireFormatTest.java
+++ b/src/test/java/yewjunction/fanout/FanoutWireFormatTest.java
@@ -25,6 +25,15 @@
   @Test
   void messagesKeepTheirBytes() {
     final Map<String, Object> messages = new LinkedHashMap<>();
+    putStreams(messages);
+    putSubscriptionSync(messages);
+    putRequests(messages);
+    final MessageCodec codec = new MessageCodec();
+    FanoutMessages.register(codec);
+    GoldenBytes.assertUnchanged("fanout.txt", GoldenBytes.encode(codec, messages));
+  }
+
+  private static void putStreams(final Map<String, Object> messages) {
     final FanoutMessages.AttachRequest attachRequest = new FanoutMessages.AttachRequest();
     attachRequest.replica = 1;
     attachRequest.node = "node-1";
@@ -59,6 +68,9 @@
     final FanoutMessages.Heartbeat heartbeat = new FanoutMessages.Heartbeat();
     heartbeat.lastIndex = 12;
     messages.put("95", heartbeat);
+  }
+
+  private static void putSubscriptionSync(final Map<String, Object> messages) {
     final FanoutMessages.ReplicaStates states = new FanoutMessages.ReplicaStates();
     states.states = new byte[] {1, 2};
     states.digest = 13;
@@ -73,6 +85,9 @@
     digestResponse.states = new byte[] {5};
     digestResponse.wantedReplicas = List.of(15L, 16L);
     messages.put("98", digestResponse);
+  }
+
+  private static void putRequests(final Map<String, Object> messages) {
     final FanoutMessages.CountRequest countRequest = new FanoutMessages.CountRequest();
     countRequest.requestId = 17;
     countRequest.topic = "topic.b";
@@ -87,8 +102,5 @@
     replayRequest.afterIndex = 21;
     replayRequest.throughIndex = 22;
     messages.put("101", replayRequest);
-    final MessageCodec codec = new MessageCodec();
-    FanoutMessages.register(codec);
-    GoldenBytes.assertUnchanged("fanout.txt", GoldenBytes.encode(codec, messages));
   }
 }
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -55,52 +55,59 @@
   /** All that may happen next. */
   String enabled() {
     final StringBuilder steps = new StringBuilder();
-    for (final ModelTransport.Connection connection : wires) {
-      final int from = connection.dialler.owner.number;
-      final int to = connection.taker.owner.number;
-      if (!connection.taker.inbound.isEmpty()) {
-        steps.append(of(ModelStep.DELIVER, from, to, place(connection)));
-      }
-      if (!connection.dialler.inbound.isEmpty()) {
-        steps.append(of(ModelStep.REPLY, to, from, place(connection)));
-      }
-      if (connection.whole && budget.allows(ModelStep.BREAK)) {
-        steps.append(of(ModelStep.BREAK, from, to, place(connection)));
-      }
-    }
+    wires.forEach(connection -> addConnectionSteps(steps, connection));
     for (final ModelHost host : hosts) {
-      if (!host.up()) {
-        steps.append(of(ModelStep.BOOT, host.number, 0, 0));
-        if (budget.allows(ModelStep.WIPE) && monitor.mayLose(host)) {
-          steps.append(of(ModelStep.WIPE, host.number, 0, 0));
-        }
-        continue;
+      if (host.up()) {
+        addRunningSteps(steps, host);
+      } else {
+        addStoppedSteps(steps, host);
       }
-      if (!host.works.isEmpty()) {
-        steps.append(of(ModelStep.DISK, host.number, 0, 0));
-      }
-      bounded(steps, ModelStep.TIMER, host, true);
-      bounded(steps, ModelStep.FREEZE, host, true);
-      if (budget.allows(ModelStep.CRASH)) {
-        final boolean owes = !host.works.isEmpty() || host.disk.owes();
-        for (int fate = 0; fate < (owes ? 4 : 1); fate++) {
-          steps.append(of(ModelStep.CRASH, host.number, 0, fate));
-        }
-      }
-      final boolean leads = host.raftNode.isReadyLeader();
-      bounded(
-          steps,
-          ModelStep.PROPOSE,
-          host,
-          leads && !host.raftNode.reconfiguration().isTransferring());
-      bounded(steps, ModelStep.CONFIRM, host, leads);
-      bounded(
-          steps, ModelStep.HAND, host, leads && !host.raftNode.reconfiguration().isTransferring());
-      bounded(steps, ModelStep.LEAVE, host, !host.leaving);
     }
     return steps.toString();
   }
 
+  private void addConnectionSteps(
+      final StringBuilder steps, final ModelTransport.Connection connection) {
+    final int from = connection.dialler.owner.number;
+    final int to = connection.taker.owner.number;
+    if (!connection.taker.inbound.isEmpty()) {
+      steps.append(of(ModelStep.DELIVER, from, to, place(connection)));
+    }
+    if (!connection.dialler.inbound.isEmpty()) {
+      steps.append(of(ModelStep.REPLY, to, from, place(connection)));
+    }
+    if (connection.whole && budget.allows(ModelStep.BREAK)) {
+      steps.append(of(ModelStep.BREAK, from, to, place(connection)));
+    }
+  }
+
+  private void addStoppedSteps(final StringBuilder steps, final ModelHost host) {
+    steps.append(of(ModelStep.BOOT, host.number, 0, 0));
+    if (budget.allows(ModelStep.WIPE) && monitor.mayLose(host)) {
+      steps.append(of(ModelStep.WIPE, host.number, 0, 0));
+    }
+  }
+
+  private void addRunningSteps(final StringBuilder steps, final ModelHost host) {
+    if (!host.works.isEmpty()) {
+      steps.append(of(ModelStep.DISK, host.number, 0, 0));
+    }
+    bounded(steps, ModelStep.TIMER, host, true);
+    bounded(steps, ModelStep.FREEZE, host, true);
+    if (budget.allows(ModelStep.CRASH)) {
+      final boolean owes = !host.works.isEmpty() || host.disk.owes();
+      for (int fate = 0; fate < (owes ? 4 : 1); fate++) {
+        steps.append(of(ModelStep.CRASH, host.number, 0, fate));
+      }
+    }
+    final boolean leads = host.raftNode.isReadyLeader();
+    final boolean mayPropose = leads && !host.raftNode.reconfiguration().isTransferring();
+    bounded(steps, ModelStep.PROPOSE, host, mayPropose);
+    bounded(steps, ModelStep.CONFIRM, host, leads);
+    bounded(steps, ModelStep.HAND, host, mayPropose);
+    bounded(steps, ModelStep.LEAVE, host, !host.leaving);
+  }
+
   private void bounded(
       final StringBuilder steps, final int kind, final ModelHost host, final boolean possible) {
     if (possible && budget.allows(kind)) {
--- a/src/test/java/yewjunction/raft/RaftWireFormatTest.java
+++ b/src/test/java/yewjunction/raft/RaftWireFormatTest.java
@@ -29,16 +29,23 @@
 
   static Map<String, Object> messages() {
     final Map<String, Object> messages = new LinkedHashMap<>();
+    putElectionAndReplication(messages);
+    putSnapshotsAndMembership(messages);
+    putFetches(messages);
+    return messages;
+  }
+
+  private static void putElectionAndReplication(final Map<String, Object> messages) {
     final RaftMessages.VoteRequest voteRequest = headed(new RaftMessages.VoteRequest(), 1);
     voteRequest.preVote = true;
     voteRequest.leadershipTransfer = false;
     voteRequest.lastIndex = 501;
     voteRequest.lastTerm = 12;
     messages.put("10", voteRequest);
-    final RaftMessages.VoteResponse askAnswer = headed(new RaftMessages.VoteResponse(), 2);
-    askAnswer.preVote = true;
-    askAnswer.granted = false;
-    messages.put("11", askAnswer);
+    final RaftMessages.VoteResponse voteResponse = headed(new RaftMessages.VoteResponse(), 2);
+    voteResponse.preVote = true;
+    voteResponse.granted = false;
+    messages.put("11", voteResponse);
     final RaftMessages.AppendEntriesRequest appendRequest =
         headed(new RaftMessages.AppendEntriesRequest(), 3);
     appendRequest.prevIndex = 100;
@@ -49,12 +56,15 @@
     appendRequest.entries = entries();
     appendRequest.relayAddress = "10.0.0.9:7000#zz";
     messages.put("12", appendRequest);
-    final RaftMessages.AppendEntriesResponse appendAnswer =
+    final RaftMessages.AppendEntriesResponse appendResponse =
         headed(new RaftMessages.AppendEntriesResponse(), 4);
-    appendAnswer.accepted = true;
-    appendAnswer.matchIndex = 777;
-    appendAnswer.round = 42;
-    messages.put("13", appendAnswer);
+    appendResponse.accepted = true;
+    appendResponse.matchIndex = 777;
+    appendResponse.round = 42;
+    messages.put("13", appendResponse);
+  }
+
+  private static void putSnapshotsAndMembership(final Map<String, Object> messages) {
     final RaftMessages.InstallSnapshotRequest snapshotRequest =
         headed(new RaftMessages.InstallSnapshotRequest(), 5);
     snapshotRequest.lastIndex = 1000;
@@ -72,13 +82,16 @@
     joinRequest.forwarded = true;
     joinRequest.leaving = false;
     messages.put("16", joinRequest);
-    final RaftMessages.InstallSnapshotResponse imageAnswer =
+    final RaftMessages.InstallSnapshotResponse snapshotResponse =
         headed(new RaftMessages.InstallSnapshotResponse(), 8);
-    imageAnswer.lastIndex = 1001;
-    imageAnswer.receivedBytes = 128;
-    imageAnswer.snapshotNumber = 22;
-    imageAnswer.attempt = 4;
-    messages.put("17", imageAnswer);
+    snapshotResponse.lastIndex = 1001;
+    snapshotResponse.receivedBytes = 128;
+    snapshotResponse.snapshotNumber = 22;
+    snapshotResponse.attempt = 4;
+    messages.put("17", snapshotResponse);
+  }
+
+  private static void putFetches(final Map<String, Object> messages) {
     final RaftMessages.FetchRequest fetchRequest = headed(new RaftMessages.FetchRequest(), 9);
     fetchRequest.nextIndex = 104;
     fetchRequest.lastTerm = 9;
@@ -88,7 +101,6 @@
     fetchResponse.prevTerm = 6;
     fetchResponse.entries = entries();
     messages.put("19", fetchResponse);
-    return messages;
   }
 
   @Test
--- a/src/test/java/yewjunction/system/ConcurrentOperators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -85,8 +85,7 @@
       cluster.network.after(20 + random.nextInt(100), this::next);
       return;
     }
-    final String path =
-        call.change() == null ? "show" : body.contains("Upsert") ? "update" : "replace";
+    final OperatorApi.Request request = request(call, body);
     final List<String> controlNodes = cluster.all(NodeRole.CONTROL);
     final long calledMs = cluster.network.nowMs();
     final boolean[] over = new boolean[1];
@@ -122,28 +121,28 @@
         };
     gate.call(
         controlNodes.get(random.nextInt(controlNodes.size())),
-        new OperatorApi.Request(
-            call.change() == null ? "GET" : "POST",
-            "/-/config/" + path,
-            "" + call.base(),
-            body.getBytes(StandardCharsets.UTF_8)),
+        request,
         response -> {
           // A redirect is followed once, as callers do.
           if (response.status() == 307 && !over[0]) {
-            gate.call(
-                response.leaderAddress(),
-                new OperatorApi.Request(
-                    call.change() == null ? "GET" : "POST",
-                    "/-/config/" + path,
-                    "" + call.base(),
-                    body.getBytes(StandardCharsets.UTF_8)),
-                answered);
+            gate.call(response.leaderAddress(), request, answered);
           } else {
             answered.accept(response);
           }
         });
   }
 
+  private static OperatorApi.Request request(
+      final LinearizabilityChecker.Call call, final String body) {
+    final String path =
+        call.change() == null ? "show" : body.contains("Upsert") ? "update" : "replace";
+    return new OperatorApi.Request(
+        call.change() == null ? "GET" : "POST",
+        "/-/config/" + path,
+        "" + call.base(),
+        body.getBytes(StandardCharsets.UTF_8));
+  }
+
   private void note(
       final LinearizabilityChecker.Call call,
       final OperatorApi.Response response,
--- a/src/test/java/yewjunction/system/FairnessSimulationTest.java
+++ b/src/test/java/yewjunction/system/FairnessSimulationTest.java
@@ -27,38 +27,11 @@
     cluster.network.loss = 0;
     final List<SimulatedClient> calm = new ArrayList<>();
     final List<SimulatedClient> loud = new ArrayList<>();
-    for (int i = 0; i < 18; i++) {
-      final boolean isCalm = i < 6;
-      final SimulatedClient client =
-          new SimulatedClient(
-              cluster,
-              checker,
-              (isCalm ? "calm" : "loud") + i,
-              "zone" + (1 + i % 3),
-              isCalm ? "calm" : "loud");
-      if (!isCalm) {
-        client.padding = 4_000;
-        client.filters.put("s.loud", "key-*,nobody,nothing*");
-      }
-      client.subscribe(isCalm ? "s.calm" : "s.loud");
-      (isCalm ? calm : loud).add(client);
-    }
+    connect(calm, loud);
     cluster.network.runFor(2_000);
-    cluster.network.every(
-        40,
-        () -> {
-          if (!quiet) {
-            calm.get(cluster.network.random.nextInt(calm.size())).publish("s.calm");
-          }
-        });
+    publishEvery(40, calm, "s.calm");
     if (flood) {
-      cluster.network.every(
-          4,
-          () -> {
-            if (!quiet) {
-              loud.get(cluster.network.random.nextInt(loud.size())).publish("s.loud");
-            }
-          });
+      publishEvery(4, loud, "s.loud");
       // Some of its readers read nothing for seconds, and all of them come back at once with old
       // cursors.
       cluster.network.every(
@@ -81,6 +54,36 @@
     return delays;
   }
 
+  private void connect(final List<SimulatedClient> calm, final List<SimulatedClient> loud) {
+    for (int i = 0; i < 18; i++) {
+      final boolean isCalm = i < 6;
+      final SimulatedClient client =
+          new SimulatedClient(
+              cluster,
+              checker,
+              (isCalm ? "calm" : "loud") + i,
+              "zone" + (1 + i % 3),
+              isCalm ? "calm" : "loud");
+      if (!isCalm) {
+        client.padding = 4_000;
+        client.filters.put("s.loud", "key-*,nobody,nothing*");
+      }
+      client.subscribe(isCalm ? "s.calm" : "s.loud");
+      (isCalm ? calm : loud).add(client);
+    }
+  }
+
+  private void publishEvery(
+      final long periodMs, final List<SimulatedClient> senders, final String topic) {
+    cluster.network.every(
+        periodMs,
+        () -> {
+          if (!quiet) {
+            senders.get(cluster.network.random.nextInt(senders.size())).publish(topic);
+          }
+        });
+  }
+
   @Test
   void aFloodAndStalledReadersOfOneSlowNobodyElse() {
     final List<Long> alone = play(false);
--- a/src/test/java/yewjunction/system/LinearizabilityChecker.java
+++ b/src/test/java/yewjunction/system/LinearizabilityChecker.java
@@ -62,10 +62,21 @@
     if (!tried.add(done + " " + taken.stream().map(Call::written).toList())) {
       return false;
     }
-    long firstReturnMs = NEVER;
+    final long firstReturnMs = firstReturnMs();
+    return canTakeClear(firstReturnMs) || canTakeUnclear(firstReturnMs);
+  }
+
+  /** When the first of the calls that are not in the order yet returned. */
+  private long firstReturnMs() {
+    long first = NEVER;
     for (int at = done.nextClearBit(0); at < clear.size(); at = done.nextClearBit(at + 1)) {
-      firstReturnMs = Math.min(firstReturnMs, clear.get(at).returnedMs);
+      first = Math.min(first, clear.get(at).returnedMs);
     }
+    return first;
+  }
+
+  /** Whether the order continues with a call that has an answer, made before any other returned. */
+  private boolean canTakeClear(final long firstReturnMs) {
     for (int at = done.nextClearBit(0);
         at < clear.size() && clear.get(at).calledMs <= firstReturnMs;
         at = done.nextClearBit(at + 1)) {
@@ -79,6 +90,11 @@
         done.clear(at);
       }
     }
+    return false;
+  }
+
+  /** Whether the order continues with a call without an answer, which takes effect now. */
+  private boolean canTakeUnclear(final long firstReturnMs) {
     for (final Call call : unclear) {
       if (call.calledMs <= firstReturnMs
           && call.base == version()
--- a/src/test/java/yewjunction/system/RandomFaults.java
+++ b/src/test/java/yewjunction/system/RandomFaults.java
@@ -118,30 +118,10 @@
       }
       case 3, 4 -> replace(victim);
       case 5, 6 -> replacePlanned(random.nextBoolean() ? machine(leader()) : victim);
-      case 7 -> {
-        note("freeze " + victim + " " + forMs);
-        hosts(victim).forEach(SimulatedHost::freeze);
-        cluster.network.runFor(forMs);
-        hosts(victim).forEach(SimulatedHost::thaw);
-        lost(0);
-      }
+      case 7 -> freeze(victim, forMs);
       case 8, 9 -> cut(victim, forMs);
-      case 10 -> {
-        final int times = 1 + random.nextInt(5);
-        note("connections reset " + victim + " " + times);
-        for (int time = 0; time < times; time++) {
-          hosts(victim).forEach(SimulatedHost::resetConnections);
-          cluster.network.runFor(span(50, 600));
-        }
-      }
-      case 11 -> {
-        final long micros = 1_000 * span(10, 120);
-        note("slow disk " + victim + " " + micros + " us " + forMs);
-        hosts(victim).forEach(host -> host.syncMicros = micros);
-        cluster.network.runFor(forMs);
-        hosts(victim).forEach(host -> host.syncMicros = 2_000);
-        lost(0);
-      }
+      case 10 -> resetConnections(victim);
+      case 11 -> slowDisk(victim, forMs);
       case 12 -> {
         note("disk stalls " + victim + " " + forMs);
         hosts(victim).forEach(host -> host.stallDisk(forMs));
@@ -161,6 +141,32 @@
     cluster.network.runFor(span(0, 1_500));
   }
 
+  private void freeze(final String victim, final long forMs) {
+    note("freeze " + victim + " " + forMs);
+    hosts(victim).forEach(SimulatedHost::freeze);
+    cluster.network.runFor(forMs);
+    hosts(victim).forEach(SimulatedHost::thaw);
+    lost(0);
+  }
+
+  private void resetConnections(final String victim) {
+    final int times = 1 + random.nextInt(5);
+    note("connections reset " + victim + " " + times);
+    for (int time = 0; time < times; time++) {
+      hosts(victim).forEach(SimulatedHost::resetConnections);
+      cluster.network.runFor(span(50, 600));
+    }
+  }
+
+  private void slowDisk(final String victim, final long forMs) {
+    final long micros = 1_000 * span(10, 120);
+    note("slow disk " + victim + " " + micros + " us " + forMs);
+    hosts(victim).forEach(host -> host.syncMicros = micros);
+    cluster.network.runFor(forMs);
+    hosts(victim).forEach(host -> host.syncMicros = 2_000);
+    lost(0);
+  }
+
   private void killMany(final boolean power, final boolean withEdges) {
     note("all " + (power ? "lose power" : "are killed") + (withEdges ? ", edges too" : ""));
     cluster.nodes.keySet().stream()
