--- a/src/main/java/yewjunction/common/YewjunctionException.java
+++ b/src/main/java/yewjunction/common/YewjunctionException.java
@@ -2,7 +2,7 @@
 
 /**
  * A failure with a code. Each layer throws its own subclass; the text says what went wrong and
- * where, and {@connection ErrorCode#retriable()} whether trying again can help.
+ * where, and {@link ErrorCode#retriable()} whether trying again can help.
  */
 public abstract class YewjunctionException extends RuntimeException {
   private static final long serialVersionUID = 1L;
