--- a/src/main/java/yewjunction/cli/Rehearsal.java
+++ b/src/main/java/yewjunction/cli/Rehearsal.java
@@ -39,7 +39,7 @@
   private Rehearsal(final Path folder, final PrintStream out) throws IOException {
     this.folder = folder;
     this.out = out;
-    // A free port tells where a free range most likely begins.
+    // A free port shows where a free range most likely begins.
     try (ServerSocket probe =
         new ServerSocket(0, 1, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
       port = Math.min(probe.getLocalPort(), 65_000);
--- a/src/main/java/yewjunction/cli/RehearsalClients.java
+++ b/src/main/java/yewjunction/cli/RehearsalClients.java
@@ -34,7 +34,9 @@
     this.out = out;
   }
 
-  /** Says all lines at once and returns what is heard, up to as many lines of those that count. */
+  /**
+   * Sends all lines at once and returns what is received, up to as many lines of those that count.
+   */
   private List<String> talk(
       final Socket client,
       final BufferedReader in,
@@ -118,7 +120,7 @@
    * is repaid.
    */
   boolean borrowing() throws IOException, InterruptedException {
-    // From here on its terms stand in the log.
+    // From here on its terms are in the log.
     shown("\"Borrowed\":0.0", 1);
     final StringBuilder rush = new StringBuilder("HELLO r rush\r\n");
     for (int number = 1; number <= 8; number++) {
--- a/src/main/java/yewjunction/common/LogEvent.java
+++ b/src/main/java/yewjunction/common/LogEvent.java
@@ -78,12 +78,12 @@
     Logger.info("E{} {} {}", number, name(), text);
   }
 
-  /** Logs the event as one that somebody should look at. */
+  /** Logs the event as one that needs attention. */
   public void warn(final String text) {
     Logger.warn("E{} {} {}", number, name(), text);
   }
 
-  /** Logs the event as one that somebody should look at, with the failure behind it. */
+  /** Logs the event as one that needs attention, with the failure behind it. */
   public void warn(final String text, final Throwable cause) {
     Logger.warn(cause, "E{} {} {}", number, name(), text);
   }
--- a/src/main/java/yewjunction/common/PendingRequests.java
+++ b/src/main/java/yewjunction/common/PendingRequests.java
@@ -14,9 +14,9 @@
  * so that a response to an earlier life meets no request: the id alone says whose request it was,
  * and messages need no further field.
  *
- * @param <P> who was asked: a connection, which ends with either process, or the address where
+ * @param <P> the responder: a connection, which ends with either process, or the address where
  *     datagrams leave nothing better
- * @param <T> what the asker wants back with the response
+ * @param <T> the context that the requester gets back with the response
  */
 public final class PendingRequests<P, T> {
   private final Map<Long, Pending<P, T>> pending = new HashMap<>();
--- a/src/main/java/yewjunction/control/CallDecision.java
+++ b/src/main/java/yewjunction/control/CallDecision.java
@@ -3,8 +3,7 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * What a look at the state decides about an operator's call: one of the four that the factory
- * methods make.
+ * What the state decides about an operator's call: one of the four that the factory methods make.
  *
  * @param response what to answer, null while work is still to be done
  * @param needsConfirmation the response tells of this node's state, so a majority must confirm the
--- a/src/main/java/yewjunction/control/ControlStateMachine.java
+++ b/src/main/java/yewjunction/control/ControlStateMachine.java
@@ -38,7 +38,7 @@
     String digest = "";
   }
 
-  /** Is told of what the applied commands changed. */
+  /** Is notified of what the applied commands changed. */
   interface Listener {
     void onConfigurationChanged();
 
--- a/src/main/java/yewjunction/control/LeaseClient.java
+++ b/src/main/java/yewjunction/control/LeaseClient.java
@@ -45,10 +45,10 @@
   /** Whether the newest renewal has not been answered. */
   private boolean awaitingResponse;
 
-  /** When a lease was asked for, and which control node in turn was asked. */
+  /** When a lease was requested, and from which control node in turn. */
   private record PendingRenewal(long requestedMs, int attempt) {}
 
-  /** Is told of changes, on the agent's thread. */
+  /** Is notified of changes, on the agent's thread. */
   public interface Listener {
     /** Another version is in force. */
     void onConfigurationChanged(Configuration configuration);
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Who asks; said with each renewal.
+   * Identifies this process; sent with each renewal.
    *
    * @param life drawn at this start of the process
    */
--- a/src/main/java/yewjunction/control/LeaseServer.java
+++ b/src/main/java/yewjunction/control/LeaseServer.java
@@ -111,7 +111,7 @@
     if (NodeRole.EDGE.is(request.process.role) && !hasReplicaId(request)) {
       awaitingReplicaId.add(connection);
     }
-    // The newest renewal of a process stands for its earlier ones.
+    // The newest renewal of a process replaces its earlier ones.
     pendingRenewals.removeIf(renewal -> renewal.connection == connection);
     pendingRenewals.add(new PendingRenewal(connection, request, nowMs));
     confirmLeadership();
@@ -140,8 +140,8 @@
     } else if (leader != null && !leader.equals(raftNode.identity())) {
       requestConfirmation(leader, nowMs);
     } else {
-      // Nobody leads: renewals wait for the next leader. A lease counts from when it was asked for,
-      // so waiting grants nothing more.
+      // There is no leader: renewals wait for the next one. A lease counts from when it was asked
+      // for, so waiting grants nothing more.
       pendingRenewals.removeIf(
           renewal ->
               !renewal.connection.isOpen() || nowMs - renewal.receivedMs > LEASE_DURATION_MS);
--- a/src/main/java/yewjunction/control/OperatorCall.java
+++ b/src/main/java/yewjunction/control/OperatorCall.java
@@ -16,7 +16,7 @@
 
   private static final String ANY_NAME = "*";
 
-  /** Where the name stands among the segments of a path that has one. */
+  /** The place of the name among the segments of a path that has one. */
   private static final int NAME_SEGMENT = 3;
 
   private final String method;
@@ -47,7 +47,7 @@
     if (given.length != segments.length) {
       return false;
     }
-    // What stands before the first slash is no part of a path.
+    // What precedes the first slash is not part of the path.
     for (int place = 1; place < segments.length; place++) {
       if (!segments[place].equals(ANY_NAME) && !segments[place].equals(given[place])) {
         return false;
--- a/src/main/java/yewjunction/control/StoreReports.java
+++ b/src/main/java/yewjunction/control/StoreReports.java
@@ -14,7 +14,7 @@
 import yewjunction.control.LeaseMessages.ProcessReport;
 
 /**
- * What a leader knows of the stores: their newest reports. They stand in no log, so a new leader
+ * What a leader knows of the stores: their newest reports. They are in no log, so a new leader
  * knows nothing of a store before that has reported, and must not conclude anything from its
  * absence before all had time to.
  *
--- a/src/main/java/yewjunction/doctor/ControlGroupCheck.java
+++ b/src/main/java/yewjunction/doctor/ControlGroupCheck.java
@@ -33,7 +33,7 @@
   private void checkEachVotes() {
     statuses.forEach(
         (address, status) -> {
-          // More control nodes than votes: the rest stand by.
+          // More control nodes than votes: the others are spares.
           if (!status.getBoolean("Votes") && status.getStringList("Voters").size() < votersNeeded) {
             findings.add(
                 Code.CRUX_OUTSIDE,
--- a/src/main/java/yewjunction/doctor/Doctor.java
+++ b/src/main/java/yewjunction/doctor/Doctor.java
@@ -18,7 +18,7 @@
 /**
  * Looks for common faults from where it runs: at the operator's addresses of the control nodes, at
  * this machine's readiness address, and in its data folder. Changes nothing. Each check is a class
- * of its own; this one asks, and runs them in order.
+ * of its own; this one collects the statuses, and runs the checks in order.
  *
  * <p>Blocks for at most PROBE_TIMEOUT_MS for each address; used by one thread.
  */
--- a/src/main/java/yewjunction/doctor/HttpProbe.java
+++ b/src/main/java/yewjunction/doctor/HttpProbe.java
@@ -9,7 +9,7 @@
 import java.time.format.DateTimeFormatter;
 import java.time.format.DateTimeParseException;
 
-/** One bounded look at an address. */
+/** One HTTP request to an address, with a time limit. */
 final class HttpProbe {
   private final int timeoutMs;
 
--- a/src/main/java/yewjunction/fanout/StreamClient.java
+++ b/src/main/java/yewjunction/fanout/StreamClient.java
@@ -43,7 +43,7 @@
   private int refusals;
   private String leader = "";
 
-  /** Is told of what comes from the store. */
+  /** Is notified of what comes from the store. */
   public interface Listener {
     /** A message, in the order of the log. */
     void onMessage(StoredMessage message);
@@ -55,7 +55,7 @@
     /** Who leads the stores now. */
     void onLeaderChange(String address);
 
-    /** The store hears a leader right now. */
+    /** The store knows a leader at present. */
     void onLeaderReachable();
 
     /** A store serves this edge now: what is unanswered has to be requested again. */
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncClient.java
@@ -23,8 +23,8 @@
 
 /**
  * An edge's side of the exchange of the subscription set: what it changed goes to its store at
- * once, and what others changed comes from there at a pace that its connection bears. Counts and
- * older messages are asked of the store.
+ * once, and what others changed comes from there at a rate that its connection can carry. Counts
+ * and older messages are asked of the store.
  *
  * <p>Owned by {@link StreamClient}; all calls on the agent's thread.
  */
--- a/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
+++ b/src/main/java/yewjunction/fanout/SubscriptionSyncServer.java
@@ -84,8 +84,8 @@
     final boolean first = context.nowMs() - lastCountMs > COUNT_INTEREST_MS;
     lastCountMs = context.nowMs();
     if (first) {
-      // Nobody has asked for long, so little is known here of other zones: it will be for the next
-      // requests.
+      // No client has asked for long, so little is known here of other zones: it will be for the
+      // next requests.
       syncOwnEdgesOfOtherZones();
     }
     final CountResponse response = new CountResponse();
--- a/src/main/java/yewjunction/gateway/CommandParser.java
+++ b/src/main/java/yewjunction/gateway/CommandParser.java
@@ -19,7 +19,7 @@
     INCOMPLETE,
     /** A whole command. */
     COMPLETE,
-    /** A whole command that is not valid: it is refused, and the stream goes on. */
+    /** A whole command that is not valid: it is refused, and the stream continues. */
     INVALID,
     /** A command with a body that is too large. */
     TOO_BIG,
--- a/src/main/java/yewjunction/gateway/ConnectionDrainer.java
+++ b/src/main/java/yewjunction/gateway/ConnectionDrainer.java
@@ -47,7 +47,7 @@
     if (finished) {
       return;
     }
-    // Scheduled first, so that draining goes on if this step throws.
+    // Scheduled first, so that draining continues if this step throws.
     context.schedule(DRAIN_MOVE_INTERVAL_MS, this::step);
     final long sinceMs = context.nowMs() - startMs;
     final List<ClientSession> staying = new ArrayList<>();
--- a/src/main/java/yewjunction/gateway/Filter.java
+++ b/src/main/java/yewjunction/gateway/Filter.java
@@ -87,7 +87,7 @@
 
   private static int keyLength(final byte[] body) {
     int length = 0;
-    // No pattern is longer: what lies behind matters only in that the key goes on.
+    // No pattern is longer: of the rest it matters only that the key continues.
     while (length < body.length && body[length] != ' ' && length <= MAX_FILTER_BYTES) {
       length++;
     }
--- a/src/main/java/yewjunction/gateway/PublishForwarder.java
+++ b/src/main/java/yewjunction/gateway/PublishForwarder.java
@@ -165,7 +165,7 @@
     sendQueued();
   }
 
-  /** The store hears a leader: sending is worth a try, even if none responded here. */
+  /** The store knows a leader: sending may succeed, even if none responded here. */
   void onLeaderReachable() {
     if (leaderUnreachable) {
       markLeaderReachable();
--- a/src/main/java/yewjunction/limits/ClientLimits.java
+++ b/src/main/java/yewjunction/limits/ClientLimits.java
@@ -66,7 +66,7 @@
   public static final int MAX_QUEUED_PUBLISH_BYTES = 8 << 20;
 
   /**
-   * Messages: offered to the leader at a time by one edge: several round trips' worth at full load.
+   * Messages: sent to the leader at a time by one edge: several round trips' worth at full load.
    */
   public static final int MAX_PUBLISHES_IN_FLIGHT = 128;
 
--- a/src/main/java/yewjunction/limits/LeaseLimits.java
+++ b/src/main/java/yewjunction/limits/LeaseLimits.java
@@ -17,10 +17,13 @@
    */
   public static final long LEASE_DURATION_MS = 2_500;
 
-  /** Milliseconds: a store asks the leader at most this often, for all who asked meanwhile. */
+  /**
+   * Milliseconds: a store asks the leader at most this often, for all requests that arrived
+   * meanwhile.
+   */
   public static final long LEASE_CONFIRMATION_INTERVAL_MS = 150;
 
-  /** Renewals: after so many good ones an edge asks the nearest control node again. */
+  /** Renewals: after so many successful ones an edge asks the nearest control node again. */
   public static final int RENEWALS_BEFORE_NEAREST = 8;
 
   /** Milliseconds: a renewal without an answer is asked of another control node after this. */
--- a/src/main/java/yewjunction/limits/MembershipLimits.java
+++ b/src/main/java/yewjunction/limits/MembershipLimits.java
@@ -8,10 +8,10 @@
   /** Milliseconds: one ping each period. */
   public static final long PING_INTERVAL_MS = 1_000;
 
-  /** Milliseconds: a direct answer by then, or others are asked. */
+  /** Milliseconds: without a direct ack by then, other members are asked to ping. */
   public static final long PING_TIMEOUT_MS = 300;
 
-  /** Count: peers asked for a second opinion. */
+  /** Count: members asked to ping on this one's behalf. */
   public static final int PING_REQUEST_HELPERS = 2;
 
   /** Milliseconds: a suspected peer may refute this long. */
@@ -31,7 +31,9 @@
   /** One ping in so many goes to another zone: cross-zone bytes are dear. */
   public static final int CROSS_ZONE_PING_EVERY = 6;
 
-  /** Peers: told in one datagram: about 100 bytes each, and a large datagram is lost whole. */
+  /**
+   * Members: described in one datagram: about 100 bytes each, and a large datagram is lost whole.
+   */
   public static final int MAX_MEMBERS_PER_DATAGRAM = 24;
 
   /**
--- a/src/main/java/yewjunction/limits/QuotaLimits.java
+++ b/src/main/java/yewjunction/limits/QuotaLimits.java
@@ -38,7 +38,7 @@
   public static final long MAX_BORROW = 1_000_000_000L;
 
   /**
-   * Share of RatePerS withheld while in debt where RepayShare is absent: half goes on as before.
+   * Share of RatePerS withheld while in debt where RepayShare is absent: half remains available.
    */
   public static final double DEFAULT_REPAY_SHARE = 0.5;
 
--- a/src/main/java/yewjunction/limits/RaftLimits.java
+++ b/src/main/java/yewjunction/limits/RaftLimits.java
@@ -8,10 +8,10 @@
   /** Milliseconds: heartbeat of a leader. */
   public static final long HEARTBEAT_INTERVAL_MS = 100;
 
-  /** Milliseconds: least and most wait before a follower stands for election. */
+  /** Milliseconds: shortest and longest wait before a follower starts an election. */
   public static final long MIN_ELECTION_TIMEOUT_MS = 400;
 
-  /** Milliseconds: least and most wait before a follower stands for election. */
+  /** Milliseconds: shortest and longest wait before a follower starts an election. */
   public static final long MAX_ELECTION_TIMEOUT_MS = 700;
 
   /**
@@ -28,13 +28,13 @@
 
   /**
    * Milliseconds: a follower whose connection from the leader broke waits this long for another:
-   * above a heartbeat and a dial.
+   * above a heartbeat and a reconnection.
    */
   public static final long MIN_DISCONNECT_ELECTION_TIMEOUT_MS = 130;
 
   /**
    * Milliseconds: a follower whose connection from the leader broke waits this long for another:
-   * above a heartbeat and a dial.
+   * above a heartbeat and a reconnection.
    */
   public static final long MAX_DISCONNECT_ELECTION_TIMEOUT_MS = 260;
 
@@ -98,8 +98,8 @@
   public static final long VOTER_LAG_TIMEOUT_MS = 2_500;
 
   /**
-   * Milliseconds: a member that has heard no leader for so long asks around: it may have lost its
-   * vote meanwhile.
+   * Milliseconds: a member that has heard no leader for so long asks all members: it may have lost
+   * its vote meanwhile.
    */
   public static final long LEADER_SEARCH_AFTER_MS = 2_000;
 
--- a/src/main/java/yewjunction/limits/ReplayLimits.java
+++ b/src/main/java/yewjunction/limits/ReplayLimits.java
@@ -20,7 +20,7 @@
   /** Messages: new ones that wait behind older ones of one subscription at most. */
   public static final int REPLAY_MAX_LIVE_MESSAGES = 2_000;
 
-  /** Bytes: one piece of older messages from a store: a few turns' worth. */
+  /** Bytes: one chunk of older messages from a store: enough for a few turns. */
   public static final int REPLAY_CHUNK_BYTES = 64 << 10;
 
   private ReplayLimits() {}
--- a/src/main/java/yewjunction/limits/StorageLimits.java
+++ b/src/main/java/yewjunction/limits/StorageLimits.java
@@ -57,8 +57,8 @@
   public static final long CHUNK_TRANSMISSION_TARGET_MS = 30;
 
   /**
-   * Milliseconds: an unanswered piece is asked after, by a message without a body: the piece itself
-   * may still be on a slow connection.
+   * Milliseconds: an unanswered chunk is inquired about by a message without a body: the chunk
+   * itself may still be on a slow connection.
    */
   public static final long SNAPSHOT_PROBE_INTERVAL_MS = 800;
 
--- a/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
+++ b/src/main/java/yewjunction/maintenance/MaintenanceWindows.java
@@ -113,7 +113,7 @@
         + (event.getDescription() == null ? "" : event.getDescription().getValue());
   }
 
-  /** The name stands there as a word of its own: edge-a-1 is not meant by edge-a-12. */
+  /** The text contains the name as a word of its own: edge-a-1 is not meant by edge-a-12. */
   private static boolean mentions(final String text, final String name) {
     for (int at = text.indexOf(name); at >= 0; at = text.indexOf(name, at + 1)) {
       final int end = at + name.length();
--- a/src/main/java/yewjunction/membership/MembershipList.java
+++ b/src/main/java/yewjunction/membership/MembershipList.java
@@ -77,7 +77,7 @@
     return left;
   }
 
-  /** This process, as it tells others of itself. */
+  /** This process, as it describes itself to others. */
   public Member self() {
     return self;
   }
@@ -196,7 +196,7 @@
 
   void send(final String address, final MembershipMessage message) {
     message.sender = self.copy();
-    // A receiver that is not thought to be up is told so first: if it runs, it refutes that.
+    // A receiver that is not believed to be alive is told so first: if it runs, it refutes that.
     final Member receiver = members.get(address);
     if (receiver != null && receiver.state != Member.UP) {
       message.updates.add(receiver.copy());
--- a/src/main/java/yewjunction/node/EdgeNode.java
+++ b/src/main/java/yewjunction/node/EdgeNode.java
@@ -152,7 +152,7 @@
     subscriptions.setReplicas(clusterState.newestReplicaId(), clusterState.liveReplicaIds());
     if (before != 0 && name != before) {
       // The id was retired while this process was away, or for a late message of an earlier life.
-      // Nobody hears of its clients under that id any more: they come again, under the new one.
+      // No other node knows its clients under that id any more: they reconnect, under the new one.
       LogEvent.REPLICA_ID_LOST.warn(before + " now " + name);
       clientRegistry.onStreamGap();
       streamClient.onReplicaIdChanged();
--- a/src/main/java/yewjunction/raft/ConnectionHandshakes.java
+++ b/src/main/java/yewjunction/raft/ConnectionHandshakes.java
@@ -5,9 +5,9 @@
 import yewjunction.common.PeerConnection;
 
 /**
- * Who speaks on a connection, and to whom: said with its first message and left out of the later
- * ones, since most messages cross zones and are hardly longer than two identities. A connection
- * loses nothing and ends with either process.
+ * The sender and the receiver of a connection: sent with its first message and left out of the
+ * later ones, since most messages cross zones and are hardly longer than two identities. A
+ * connection loses nothing and ends with either process.
  *
  * <p>Owned by {@link RaftNode}; all calls on the agent's thread.
  */
--- a/src/main/java/yewjunction/raft/Election.java
+++ b/src/main/java/yewjunction/raft/Election.java
@@ -15,7 +15,7 @@
 import yewjunction.raft.RaftMessages.VoteResponse;
 
 /**
- * When and how a member stands for election. A pre-vote asks first whether votes would be given, so
+ * When and how a member starts an election. A pre-vote asks first whether votes would be given, so
  * that a member that is cut off raises no terms; only a majority of such answers starts an election
  * proper.
  *
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Stands for election, by a pre-vote first unless a leader named this member its successor. */
+  /** Starts an election, with a pre-vote first unless a leader named this member its successor. */
   void campaign(final boolean handedOver) {
     resetTimeout();
     if (!raftNode.groupMembership().isVoter()) {
--- a/src/main/java/yewjunction/raft/FollowerState.java
+++ b/src/main/java/yewjunction/raft/FollowerState.java
@@ -21,7 +21,7 @@
   private final RaftNode raftNode;
   private final List<PendingResponse> pendingResponses = new ArrayList<>();
 
-  /** An answer owed once the disk holds the entries it speaks of. */
+  /** A response that is due once the disk holds the entries it acknowledges. */
   private record PendingResponse(
       PeerConnection connection, AppendEntriesRequest request, long match) {}
 
@@ -29,7 +29,7 @@
     this.raftNode = raftNode;
   }
 
-  /** Tells a member, which may lead or know who does, that this one is there, or leaves. */
+  /** Tells a member, which may be the leader or know it, that this one runs, or leaves. */
   void sendJoinRequest(final String peerAddress, final boolean wantsVote, final boolean leaves) {
     final JoinRequest request = raftNode.withHeader(new JoinRequest(), null);
     request.wantsVote = wantsVote;
@@ -37,14 +37,14 @@
     raftNode.handshakes().send(raftNode.transport().connect(peerAddress), request);
   }
 
-  /** Grants or denies a vote; a vote is told only once it is on disk. */
+  /** Grants or denies a vote; a vote is sent only once it is on disk. */
   void onVoteRequest(final PeerConnection connection, final VoteRequest request) {
     final RaftStorage storage = raftNode.storage();
     final boolean logUpToDate =
         request.lastTerm > raftNode.log().lastTerm()
             || request.lastTerm == raftNode.log().lastTerm()
                 && request.lastIndex >= raftNode.log().lastIndex();
-    // Whoever hears a leader keeps to it: a member with a bad connection must not unseat a good
+    // A member that hears a leader keeps it: one with a bad connection must not depose a good
     // leader.
     if (raftNode.hasRecentLeader() && !request.leadershipTransfer) {
       respond(connection, request, false, storage.term());
@@ -139,11 +139,11 @@
     raftNode.commitTracker().append(newEntries);
   }
 
-  /** Responds at once when the disk holds what the request speaks of, else as soon as it does. */
+  /** Responds at once when the disk holds the entries of the request, else as soon as it does. */
   private void respondOnceSynced(
       final PeerConnection connection, final AppendEntriesRequest request, final long matchIndex) {
-    // What was committed here on another's word the leader has, too: so it hears how far a relayed
-    // member is.
+    // What was committed here through another member the leader has, too: so it learns how far a
+    // relayed member is.
     final long heldIndex =
         request.relayAddress == null ? matchIndex : Math.max(matchIndex, raftNode.commitIndex());
     final long syncedIndex = raftNode.commitTracker().syncedIndex();
@@ -182,7 +182,7 @@
         raftNode.withHeader(new AppendEntriesResponse(), request.from);
     response.accepted = accepted;
     response.matchIndex = match;
-    // The answer bears this member's term: a round counts in it only if it was asked in it.
+    // The response carries this member's term: a round counts only in the term it was requested in.
     response.round = request.term == response.term ? request.round : 0;
     raftNode.handshakes().send(connection, response);
   }
--- a/src/main/java/yewjunction/raft/GroupMembership.java
+++ b/src/main/java/yewjunction/raft/GroupMembership.java
@@ -100,9 +100,7 @@
     requestToJoin();
   }
 
-  /**
-   * A new leader was heard of: it may not know that this member is there, or that it wants a vote.
-   */
+  /** There is a new leader: it may not know that this member exists, or that it wants a vote. */
   void onLeaderChanged() {
     if (!isVoter()) {
       requestToJoin();
--- a/src/main/java/yewjunction/raft/LeaderState.java
+++ b/src/main/java/yewjunction/raft/LeaderState.java
@@ -114,7 +114,7 @@
     raftNode.context().schedule(HEARTBEAT_INTERVAL_MS, () -> heartbeat(ofLeadership));
     final long nowMs = raftNode.context().nowMs();
     if (!hasContactWithMajority(nowMs)) {
-      // Steps down, so that nobody goes on following a leader that can commit nothing.
+      // Steps down, so that no member keeps following a leader that can commit nothing.
       raftNode.becomeFollower(null);
       raftNode.resetElectionTimeout();
       return;
@@ -217,7 +217,7 @@
       return;
     }
     final boolean silent = nowMs - progress.lastContactMs > APPEND_RETRY_MS;
-    // A member with an empty log also has to learn who votes, which only a snapshot tells. No
+    // A member with an empty log also has to learn the voters, which only a snapshot contains. No
     // snapshot is built for a silent member: it gets a heartbeat, and rejects that once it is back.
     final boolean behind =
         progress.nextIndex <= log.snapshotIndex()
--- a/src/main/java/yewjunction/raft/RaftLog.java
+++ b/src/main/java/yewjunction/raft/RaftLog.java
@@ -11,7 +11,7 @@
 final class RaftLog {
   private final ArrayList<LogEntry> entries = new ArrayList<>();
 
-  /** The entries that change voters: few, and asked for all the time. */
+  /** The entries that change voters: few, and needed all the time. */
   private final ArrayList<LogEntry> voterChanges = new ArrayList<>();
 
   private long snapshotIndex;
--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -27,7 +27,7 @@
         .register(19, FetchResponse.class);
   }
 
-  /** Common to all: the group, who speaks, to whom, in which term. */
+  /** Common to all: the group, the sender, the receiver and the term. */
   abstract static class RaftMessage {
     int group;
 
@@ -156,13 +156,12 @@
   }
 
   /**
-   * The leader stops: the receiver is to stand for election now, without a pre-vote. No response.
+   * The leader stops: the receiver is to start an election now, without a pre-vote. No response.
    */
   static final class TimeoutNowRequest extends RaftMessage {}
 
   /**
-   * A new member asks whoever leads to bring it up to date and make it a voter when a place is
-   * free.
+   * A new member asks the leader to bring it up to date and make it a voter when a place is free.
    */
   static final class JoinRequest extends RaftMessage {
     boolean wantsVote;
--- a/src/main/java/yewjunction/raft/RaftNode.java
+++ b/src/main/java/yewjunction/raft/RaftNode.java
@@ -121,7 +121,7 @@
     election.start();
   }
 
-  /** From now on this member answers nothing and stands for nothing. */
+  /** From now on this member answers nothing and starts no election. */
   public void stop() {
     stopped = true;
   }
@@ -177,7 +177,7 @@
         && !stopped;
   }
 
-  /** The number of the group; it stands in every message and file. */
+  /** The number of the group; every message and file contains it. */
   int group() {
     return group;
   }
@@ -212,7 +212,7 @@
     return followerState;
   }
 
-  /** Who speaks on which connection. */
+  /** The senders and receivers of connections. */
   ConnectionHandshakes handshakes() {
     return handshakes;
   }
@@ -343,7 +343,7 @@
     final boolean led = role == Role.LEADER;
     role = Role.FOLLOWER;
     if (led) {
-      // The role changes first: callbacks that are told so must not find a leader here and propose
+      // The role changes first: callbacks that run then must not find a leader here and propose
       // in another's term.
       LogEvent.LEADERSHIP_LOST.info("group " + group + " term " + storage.term());
       leaderState.stop();
--- a/src/main/java/yewjunction/raft/SnapshotTransfer.java
+++ b/src/main/java/yewjunction/raft/SnapshotTransfer.java
@@ -20,11 +20,11 @@
 
 /**
  * Snapshots on their way. A leader sends one in chunks, each after the response to the one before;
- * a chunk that is not answered is asked after, and never sent from the first byte again. One that
+ * a chunk without a response is inquired about, and never sent from the first byte again. One that
  * was begun is finished: it ends when the receiver has installed it or is served from elsewhere,
  * has been gone for long, or the leadership ends.
  *
- * <p>Owned by {@link LeaderState}, though a follower's half stands here, too; all calls on the
+ * <p>Owned by {@link LeaderState}, though it contains a follower's half, too; all calls on the
  * agent's thread.
  */
 final class SnapshotTransfer {
@@ -103,7 +103,7 @@
     } else if (nowMs - transfer.sentMs < SNAPSHOT_PROBE_INTERVAL_MS) {
       return;
     }
-    // Asked without a chunk: on a slow connection the last one may still be on its way.
+    // An inquiry without a chunk: on a slow connection the last one may still be on its way.
     sendChunk(identity, transfer, transfer.offset, nowMs);
   }
 
--- a/src/main/java/yewjunction/raft/StorageException.java
+++ b/src/main/java/yewjunction/raft/StorageException.java
@@ -4,7 +4,7 @@
 import yewjunction.common.YewjunctionException;
 
 /**
- * A file cannot be read or written. Only a full disk is worth another try; after any other failure
+ * A file cannot be read or written. Only a full disk justifies another try; after any other failure
  * the process must end.
  */
 public final class StorageException extends YewjunctionException {
--- a/src/main/java/yewjunction/raft/VoterReconfiguration.java
+++ b/src/main/java/yewjunction/raft/VoterReconfiguration.java
@@ -38,7 +38,7 @@
     this.leaderState = leaderState;
   }
 
-  /** How many are to vote, and where; asked at each heartbeat of a leader. */
+  /** The intended number of voters and their zones; evaluated at each heartbeat of a leader. */
   public void setPlacement(final VoterPlacement chosenPlacement) {
     placement = chosenPlacement;
   }
@@ -160,7 +160,7 @@
     if (voters.size() <= placement.voterCount()) {
       return null;
     }
-    // If all are well again, the newest one goes: whoever was away is back.
+    // If all have recovered, the newest voter is removed: the one that was silent is back.
     return voters.stream()
         .filter(this::isLeaving)
         .findFirst()
@@ -302,7 +302,7 @@
     }
   }
 
-  /** Tells the first voter that holds the whole log to stand for election. */
+  /** Tells the first voter that holds the whole log to start an election. */
   void continueTransfer(final String identity, final PeerProgress progress) {
     if (transferring
         && !transferSent
--- a/src/main/java/yewjunction/server/SettingsReloader.java
+++ b/src/main/java/yewjunction/server/SettingsReloader.java
@@ -36,7 +36,7 @@
     return Settings.load(file);
   }
 
-  /** To be read at the next look, whatever its time says. */
+  /** To be read at the next check, whatever its modification time. */
   void forceNextCheck() {
     checkAgain = true;
   }
--- a/src/main/java/yewjunction/settings/Settings.java
+++ b/src/main/java/yewjunction/settings/Settings.java
@@ -194,7 +194,8 @@
   }
 
   /**
-   * Two copies must outlast the losses to be borne: so many voters make a majority without them.
+   * Two copies must outlast the losses to be tolerated: so many voters make a majority without
+   * them.
    */
   public int votersNeeded() {
     return 2 * Math.max(1, toleratedLosses) + 1;
--- a/src/main/java/yewjunction/store/MessageStore.java
+++ b/src/main/java/yewjunction/store/MessageStore.java
@@ -64,7 +64,7 @@
     long lastDroppedIndex;
   }
 
-  /** Is told of what was applied here. */
+  /** Is notified of what was applied here. */
   public interface Listener {
     /**
      * Whether this store admitted the message itself in its current leadership, so that it is
--- a/src/main/java/yewjunction/store/QuotaBorrowing.java
+++ b/src/main/java/yewjunction/store/QuotaBorrowing.java
@@ -217,8 +217,8 @@
   }
 
   /**
-   * Whoever may borrow has an account, and whoever still owes keeps one, whatever the configuration
-   * says.
+   * A tenant that may borrow has an account, and one that still owes keeps it, whatever the
+   * configuration says.
    */
   private List<BorrowingTerms> wantedTerms(final Configuration configuration) {
     final List<BorrowingTerms> wanted = new ArrayList<>();
--- a/src/main/java/yewjunction/store/TenantRateLimiter.java
+++ b/src/main/java/yewjunction/store/TenantRateLimiter.java
@@ -105,7 +105,7 @@
     return terms;
   }
 
-  /** The tenant's account has ended: its bucket goes on with what the account held. */
+  /** The tenant's account has ended: its bucket continues with what the account held. */
   void continueFrom(final String tenantName, final long thousandths, final long nowMs) {
     final TokenBucket bucket = refill(tenantName, nowMs);
     if (bucket != null) {
--- a/src/main/java/yewjunction/transport/EventLoopAgent.java
+++ b/src/main/java/yewjunction/transport/EventLoopAgent.java
@@ -18,7 +18,7 @@
  * it, and what is due. It owns all state of the process; {@link #execute} is the only call that
  * other threads may make.
  *
- * <p>A task that throws is logged and given up, and the process goes on: state is changed only
+ * <p>A task that throws is logged and abandoned, and the process continues: state is changed only
  * after checks. An {@link Error} other than a stack overflow ends the process.
  */
 public final class EventLoopAgent implements Agent, AgentContext {
@@ -145,8 +145,8 @@
       turn.run();
     } catch (final IOException | RuntimeException | StackOverflowError failure) {
       // One task that throws must not end the process: state is changed only after checks. The same
-      // goes for a stack overflow: whoever sends what nests too deep must not end node after node.
-      // Other errors end the process.
+      // goes for a stack overflow: a sender of input that nests too deep must not end node after
+      // node. Other errors end the process.
       LogEvent.UNEXPECTED_ERROR.warn(String.valueOf(failure.getMessage()), failure);
     }
   }
--- a/src/main/java/yewjunction/transport/SocketAddresses.java
+++ b/src/main/java/yewjunction/transport/SocketAddresses.java
@@ -28,7 +28,7 @@
    * @throws IllegalArgumentException for anything else
    */
   public static InetAddress address(final String ip) {
-    // Only four numbers are taken: a name would be looked up, and there is nobody to ask.
+    // Only four numbers are taken: a name would need a lookup, and there is no name server.
     final String[] parts = ip.split("\\.", -1);
     if (parts.length != 4) {
       throw new IllegalArgumentException("not an IPv4 number: " + ip);
--- a/src/main/java/yewjunction/transport/WriteBuffer.java
+++ b/src/main/java/yewjunction/transport/WriteBuffer.java
@@ -9,7 +9,7 @@
 
 /** Bytes that wait to be written; grows as needed, shrinks when empty. */
 public final class WriteBuffer {
-  /** Bytes already written in front of the others that are worth moving them. */
+  /** How many written bytes in front of the others justify moving those. */
   private static final int COMPACT_BYTES = 64 << 10;
 
   private final int firstBytes;
