--- a/src/main/java/yewjunction/raft/RaftStorage.java
+++ b/src/main/java/yewjunction/raft/RaftStorage.java
@@ -8,9 +8,8 @@
 import java.util.List;
 
 /**
- * Term, vote, identity and log of a member in one append-only file. A record is one of: identity,
- * vote, entry, truncation, snapshot; its bytes are described in docs/control/snapshots.md and
- * pinned by RaftWireFormatTest.
+ * Term, vote, identity and log of a member in one append-only file of {@link LogRecord}s. A record
+ * is one of: identity, vote, entry, truncation, snapshot; RaftWireFormatTest pins their bytes.
  *
  * <p>State in memory changes at once; the callback of a write runs on the agent's thread after the
  * disk has synced it.
