--- a/src/main/java/yewjunction/raft/RaftMessages.java
+++ b/src/main/java/yewjunction/raft/RaftMessages.java
@@ -5,9 +5,9 @@
 import yewjunction.common.MessageCodec;
 
 /**
- * The messages between members of one group, encoded as docs/control/calls.md lists them. Fields
- * are encoded by position: a field may be added at the end, and none may be moved, removed or given
- * another type.
+ * The messages between members of one group, listed with their timeouts in docs/control/calls.md.
+ * Fields are encoded by position: a field may be added at the end, and none may be moved, removed
+ * or given another type.
  */
 public final class RaftMessages {
   private RaftMessages() {}
