--- a/src/test/java/yewjunction/raft/ModelBudget.java
+++ b/src/test/java/yewjunction/raft/ModelBudget.java
@@ -13,7 +13,7 @@
       final int freezes,
       final int proposals,
       final int confirms,
-      final int handOvers) {
+      final int transfers) {
     java.util.Arrays.fill(left, Integer.MAX_VALUE);
     left[ModelStep.TIMER] = timers;
     left[ModelStep.CRASH] = crashes;
@@ -22,8 +22,8 @@
     left[ModelStep.FREEZE] = freezes;
     left[ModelStep.PROPOSE] = proposals;
     left[ModelStep.CONFIRM] = confirms;
-    left[ModelStep.HAND] = handOvers;
-    left[ModelStep.LEAVE] = handOvers;
+    left[ModelStep.TRANSFER] = transfers;
+    left[ModelStep.LEAVE] = transfers;
   }
 
   static ModelBudget plenty() {
--- a/src/test/java/yewjunction/raft/ModelDigest.java
+++ b/src/test/java/yewjunction/raft/ModelDigest.java
@@ -43,10 +43,10 @@
       nowMs = host.nowMs;
       hash = mix(hash, host.wipes + (host.leaving ? 100 : 0));
       hash = mix(hash, value(host.disk.durable()));
-      hash = mix(hash, host.disk.owes() ? value(host.disk.read("")) : 0);
+      hash = mix(hash, host.disk.hasUnsynced() ? value(host.disk.read("")) : 0);
       if (host.up()) {
         hash = mix(hash, value(host.raftNode));
-        hash = mix(hash, value(host.works));
+        hash = mix(hash, value(host.diskTasks));
         final List<ModelHost.Timer> timers = new ArrayList<>(host.timers);
         timers.sort(
             Comparator.comparingLong(ModelHost.Timer::atMs)
@@ -56,9 +56,9 @@
         }
       }
     }
-    for (final ModelTransport.Connection connection : world.wires) {
-      hash = mix(hash, endHash(connection.dialler));
-      hash = mix(mix(hash, endHash(connection.taker)), connection.whole ? 1 : 2);
+    for (final ModelTransport.Connection connection : world.connections) {
+      hash = mix(hash, endHash(connection.initiator));
+      hash = mix(mix(hash, endHash(connection.acceptor)), connection.intact ? 1 : 2);
     }
     hash = mix(hash, value(world.monitor.history));
     hash = mix(mix(hash, value(world.monitor.leaders)), value(world.monitor.newest()));
@@ -68,8 +68,8 @@
   private long endHash(final ModelTransport.End end) {
     long hash =
         mix(
-            mix(end.owner.number, end.far().owner.number),
-            (end == end.connection.dialler ? 1 : 2) + (end.open ? 0 : 4));
+            mix(end.owner.number, end.remoteEnd().owner.number),
+            (end == end.connection.initiator ? 1 : 2) + (end.open ? 0 : 4));
     for (final byte[] message : end.inbound) {
       hash = mix(hash, value(message));
     }
--- a/src/test/java/yewjunction/raft/ModelDisk.java
+++ b/src/test/java/yewjunction/raft/ModelDisk.java
@@ -75,7 +75,7 @@
     return synced;
   }
 
-  boolean owes() {
+  boolean hasUnsynced() {
     return !written.isEmpty();
   }
 
--- a/src/test/java/yewjunction/raft/ModelHost.java
+++ b/src/test/java/yewjunction/raft/ModelHost.java
@@ -13,7 +13,7 @@
 /** One member's machine: a clock of its own, timers, a disk, and the log that runs here. */
 final class ModelHost implements AgentContext {
   /**
-   * ms; how late a frozen process finds its timers: beyond every patience but that for forgetting a
+   * ms; how late a frozen process finds its timers: beyond every time-out but that for forgetting a
    * member.
    */
   private static final long FROZEN_MS = 2_600;
@@ -26,17 +26,17 @@
   final String address;
   ModelDisk disk;
   RaftNode raftNode;
-  ModelTransport post;
+  ModelTransport transport;
   RecordingStateMachine recording;
 
   /** How often this machine has had an empty disk. */
   int wipes;
 
-  private int drawn;
+  private int identitiesDrawn;
   boolean leaving;
   long nowMs = 1_000_000;
   final List<Timer> timers = new ArrayList<>();
-  final ArrayDeque<Work> works = new ArrayDeque<>();
+  final ArrayDeque<DiskTask> diskTasks = new ArrayDeque<>();
   private final ArrayDeque<Runnable> commands = new ArrayDeque<>();
   private long order;
 
@@ -44,7 +44,7 @@
   record Timer(long atMs, long order, Runnable task) {}
 
   /** Blocking work, and what follows it. */
-  record Work(Runnable blocking, Runnable continuation) {}
+  record DiskTask(Runnable blocking, Runnable continuation) {}
 
   /**
    * Always the least: how timers of different members follow one another is the scheduler's choice
@@ -100,9 +100,9 @@
     if (world.fault == ModelFault.VOTE_FORGOTTEN && disk.read("") != null) {
       forgetVotes();
     }
-    post = new ModelTransport(this);
+    transport = new ModelTransport(this);
     recording = new RecordingStateMachine();
-    raftNode = new RaftNode(7, this, post, disk, this::work, "ledger", recording);
+    raftNode = new RaftNode(7, this, transport, disk, this::runOnDisk, "log", recording);
     raftNode.registerHandlers();
     raftNode
         .reconfiguration()
@@ -111,7 +111,7 @@
     if (raftNode.identity() == null) {
       final boolean oldName =
           founder || world.fault == ModelFault.OLD_NAME_AFTER_WIPE && number < world.setup.voters();
-      raftNode.assignIdentity(address + "#" + (oldName ? "f" : "d" + drawn++));
+      raftNode.assignIdentity(address + "#" + (oldName ? "f" : "d" + identitiesDrawn++));
       if (founder) {
         raftNode.bootstrap(world.setup.founders());
       }
@@ -147,42 +147,42 @@
     disk.replace("", kept.toByteArray());
   }
 
-  private void work(final Runnable blocking, final Runnable continuation) {
-    works.add(new Work(blocking, continuation));
+  private void runOnDisk(final Runnable blocking, final Runnable continuation) {
+    diskTasks.add(new DiskTask(blocking, continuation));
     if (world.fault == ModelFault.ANSWERED_BEFORE_SYNC) {
-      works.removeLast();
-      works.add(new Work(blocking, () -> {}));
+      diskTasks.removeLast();
+      diskTasks.add(new DiskTask(blocking, () -> {}));
       commands.add(continuation);
     }
   }
 
   /** The disk does its oldest work, and the owner hears of it. */
   void diskWorks() {
-    final Work work = works.poll();
-    work.blocking().run();
-    work.continuation().run();
+    final DiskTask task = diskTasks.poll();
+    task.blocking().run();
+    task.continuation().run();
     runCommands();
   }
 
   /** The process ends; the disk may have done the work under way, in part or not at all. */
   void stop(final int fate) {
-    if (!works.isEmpty() && fate != ModelDisk.LOST) {
-      beginWork(works.peek(), fate, disk.durable());
+    if (!diskTasks.isEmpty() && fate != ModelDisk.LOST) {
+      beginDiskTask(diskTasks.peek(), fate, disk.durable());
     } else {
       disk.stopped(fate);
     }
     raftNode.stop();
     raftNode = null;
-    post.died();
+    transport.onProcessEnded();
     timers.clear();
-    works.clear();
+    diskTasks.clear();
     commands.clear();
   }
 
   /** Appended bytes meet their fate before the sync; a replaced file is there or it is not. */
-  private void beginWork(final Work work, final int fate, final byte[] before) {
+  private void beginDiskTask(final DiskTask task, final int fate, final byte[] before) {
     disk.replaced = false;
-    work.blocking().run();
+    task.blocking().run();
     if (world.fault != ModelFault.SYNC_SKIPPED && !disk.replaced) {
       final byte[] after = disk.durable();
       final int keptLength = before == null ? 0 : before.length;
@@ -203,9 +203,9 @@
   /** Fires timers, in order, until one of them does something that others or the disk can see. */
   void timerFires() {
     final long seenBefore = world.sent;
-    final int worksBefore = works.size();
+    final int diskTasksBefore = diskTasks.size();
     for (int count = 0;
-        count < 12 && world.sent == seenBefore && works.size() == worksBefore;
+        count < 12 && world.sent == seenBefore && diskTasks.size() == diskTasksBefore;
         count++) {
       nowMs = Math.max(nowMs, nextTimer().atMs);
       fire(nextTimer());
--- a/src/test/java/yewjunction/raft/ModelRecovery.java
+++ b/src/test/java/yewjunction/raft/ModelRecovery.java
@@ -32,8 +32,8 @@
   /** What is under way by now arrives; answers to it do not. */
   private boolean deliver() {
     boolean any = false;
-    for (final ModelTransport.Connection connection : List.copyOf(world.wires)) {
-      for (final ModelTransport.End end : List.of(connection.taker, connection.dialler)) {
+    for (final ModelTransport.Connection connection : List.copyOf(world.connections)) {
+      for (final ModelTransport.End end : List.of(connection.acceptor, connection.initiator)) {
         for (int count = end.inbound.size(); count > 0 && !end.inbound.isEmpty(); count--) {
           end.deliver();
           world.monitor.look(end.owner);
@@ -41,14 +41,14 @@
         }
       }
     }
-    world.wires.removeIf(ModelTransport.Connection::over);
+    world.connections.removeIf(ModelTransport.Connection::isOver);
     return any;
   }
 
   private boolean work() {
     boolean any = false;
     for (final ModelHost host : world.hosts) {
-      if (!host.works.isEmpty()) {
+      if (!host.diskTasks.isEmpty()) {
         host.diskWorks();
         world.monitor.look(host);
         any = true;
--- a/src/test/java/yewjunction/raft/ModelStep.java
+++ b/src/test/java/yewjunction/raft/ModelStep.java
@@ -16,7 +16,7 @@
   static final int FREEZE = 8;
   static final int PROPOSE = 9;
   static final int CONFIRM = 10;
-  static final int HAND = 11;
+  static final int TRANSFER = 11;
   static final int DRAIN = 12;
   static final int LEAVE = 13;
   private static final String KIND_CODES = "tsdrxkbwfpch*l";
--- a/src/test/java/yewjunction/raft/ModelTransport.java
+++ b/src/test/java/yewjunction/raft/ModelTransport.java
@@ -29,31 +29,31 @@
 
   private final ModelHost host;
   private final Map<Class<?>, BiConsumer<PeerConnection, Object>> handlers = new HashMap<>();
-  private final List<Consumer<PeerConnection>> closers = new ArrayList<>();
+  private final List<Consumer<PeerConnection>> closeHandlers = new ArrayList<>();
 
   ModelTransport(final ModelHost host) {
     this.host = host;
   }
 
-  /** One dialled connection, both directions of it. */
+  /** One connection, both directions of it. */
   static final class Connection {
-    final End dialler;
-    final End taker;
-    boolean whole = true;
+    final End initiator;
+    final End acceptor;
+    boolean intact = true;
 
     Connection(final ModelHost from, final ModelHost to) {
-      dialler = new End(this, from, to.address);
-      taker = new End(this, to, from.address);
+      initiator = new End(this, from, to.address);
+      acceptor = new End(this, to, from.address);
     }
 
-    boolean over() {
-      return !dialler.open && !taker.open;
+    boolean isOver() {
+      return !initiator.open && !acceptor.open;
     }
 
-    /** What is under way is lost; each end hears of it later, and in its own time. */
-    void snap() {
-      whole = false;
-      for (final End end : List.of(dialler, taker)) {
+    /** Messages in flight are lost; each end notices it later, and in its own time. */
+    void breakDown() {
+      intact = false;
+      for (final End end : List.of(initiator, acceptor)) {
         end.inbound.clear();
         if (end.open) {
           end.inbound.add(CLOSE);
@@ -79,8 +79,8 @@
       this.remote = remote;
     }
 
-    End far() {
-      return this == connection.dialler ? connection.taker : connection.dialler;
+    End remoteEnd() {
+      return this == connection.initiator ? connection.acceptor : connection.initiator;
     }
 
     @Override
@@ -89,8 +89,8 @@
         return false;
       }
       owner.world.sent++;
-      if (connection.whole) {
-        far().inbound.add(CODECS.get().encode(message));
+      if (connection.intact) {
+        remoteEnd().inbound.add(CODECS.get().encode(message));
       }
       return true;
     }
@@ -100,14 +100,14 @@
       final byte[] bytes = inbound.poll();
       if (bytes == CLOSE) {
         open = false;
-        if (owner.world.fault != ModelFault.CLOSE_UNTOLD || owner != connection.dialler.owner) {
-          owner.post.closers.forEach(closer -> closer.accept(this));
+        if (owner.world.fault != ModelFault.CLOSE_UNTOLD || owner != connection.initiator.owner) {
+          owner.transport.closeHandlers.forEach(closer -> closer.accept(this));
         } else {
           // Planted: still thought to be open, and nothing sent on it arrives.
           open = true;
         }
       } else {
-        owner.post.take(this, CODECS.get().decode(bytes, 0, bytes.length));
+        owner.transport.onMessageReceived(this, CODECS.get().decode(bytes, 0, bytes.length));
       }
       owner.runCommands();
     }
@@ -128,7 +128,7 @@
     }
   }
 
-  private void take(final End end, final Object message) {
+  private void onMessageReceived(final End end, final Object message) {
     if (host.world.fault == ModelFault.ROUND_MADE_UP
         && message instanceof RaftMessages.AppendEntriesResponse response) {
       response.round += 1;
@@ -137,42 +137,42 @@
   }
 
   /** The process is gone: what it sent may still arrive, what is on its way to it does not. */
-  void died() {
-    for (final Connection connection : host.world.wires) {
+  void onProcessEnded() {
+    for (final Connection connection : host.world.connections) {
       final End own =
-          connection.dialler.owner == host
-              ? connection.dialler
-              : connection.taker.owner == host ? connection.taker : null;
+          connection.initiator.owner == host
+              ? connection.initiator
+              : connection.acceptor.owner == host ? connection.acceptor : null;
       if (own != null && own.open) {
         own.open = false;
         own.inbound.clear();
-        if (connection.whole) {
-          own.far().inbound.add(CLOSE);
+        if (connection.intact) {
+          own.remoteEnd().inbound.add(CLOSE);
         }
-        connection.whole = false;
+        connection.intact = false;
       }
     }
-    host.world.wires.removeIf(Connection::over);
+    host.world.connections.removeIf(Connection::isOver);
   }
 
   @Override
   public PeerConnection connect(final String address) {
-    for (final Connection connection : host.world.wires) {
-      if (connection.dialler.owner == host
-          && connection.dialler.open
-          && connection.taker.owner.address.equals(address)) {
-        return connection.dialler;
+    for (final Connection connection : host.world.connections) {
+      if (connection.initiator.owner == host
+          && connection.initiator.open
+          && connection.acceptor.owner.address.equals(address)) {
+        return connection.initiator;
       }
     }
     final ModelHost target = host.world.at(address);
     final Connection connection = new Connection(host, target);
-    host.world.wires.add(connection);
+    host.world.connections.add(connection);
     if (!target.up()) {
-      connection.whole = false;
-      connection.taker.open = false;
-      connection.dialler.inbound.add(CLOSE);
+      connection.intact = false;
+      connection.acceptor.open = false;
+      connection.initiator.inbound.add(CLOSE);
     }
-    return connection.dialler;
+    return connection.initiator;
   }
 
   @Override
@@ -182,6 +182,6 @@
 
   @Override
   public void onClose(final Consumer<PeerConnection> handler) {
-    closers.add(handler);
+    closeHandlers.add(handler);
   }
 }
--- a/src/test/java/yewjunction/raft/ModelWalks.java
+++ b/src/test/java/yewjunction/raft/ModelWalks.java
@@ -86,10 +86,11 @@
   private static int[] calmly(final ModelWorld world, final Random random) {
     final int[] weights = new int[WEIGHTS.length];
     final boolean idle =
-        world.wires.stream()
+        world.connections.stream()
             .allMatch(
                 connection ->
-                    connection.taker.inbound.isEmpty() && connection.dialler.inbound.isEmpty());
+                    connection.acceptor.inbound.isEmpty()
+                        && connection.initiator.inbound.isEmpty());
     weights[ModelStep.DISK] = 100;
     weights[ModelStep.DELIVER] = 100;
     weights[ModelStep.REPLY] = 100;
--- a/src/test/java/yewjunction/raft/ModelWorld.java
+++ b/src/test/java/yewjunction/raft/ModelWorld.java
@@ -14,7 +14,7 @@
   final ModelSetup setup;
   final ModelFault fault;
   final List<ModelHost> hosts = new ArrayList<>();
-  final List<ModelTransport.Connection> wires = new ArrayList<>();
+  final List<ModelTransport.Connection> connections = new ArrayList<>();
   final ModelMonitor monitor = new ModelMonitor(this);
   ModelBudget budget;
 
@@ -55,7 +55,7 @@
   /** All that may happen next. */
   String enabled() {
     final StringBuilder steps = new StringBuilder();
-    wires.forEach(connection -> addConnectionSteps(steps, connection));
+    connections.forEach(connection -> addConnectionSteps(steps, connection));
     for (final ModelHost host : hosts) {
       if (host.up()) {
         addRunningSteps(steps, host);
@@ -68,15 +68,15 @@
 
   private void addConnectionSteps(
       final StringBuilder steps, final ModelTransport.Connection connection) {
-    final int from = connection.dialler.owner.number;
-    final int to = connection.taker.owner.number;
-    if (!connection.taker.inbound.isEmpty()) {
+    final int from = connection.initiator.owner.number;
+    final int to = connection.acceptor.owner.number;
+    if (!connection.acceptor.inbound.isEmpty()) {
       steps.append(of(ModelStep.DELIVER, from, to, place(connection)));
     }
-    if (!connection.dialler.inbound.isEmpty()) {
+    if (!connection.initiator.inbound.isEmpty()) {
       steps.append(of(ModelStep.REPLY, to, from, place(connection)));
     }
-    if (connection.whole && budget.allows(ModelStep.BREAK)) {
+    if (connection.intact && budget.allows(ModelStep.BREAK)) {
       steps.append(of(ModelStep.BREAK, from, to, place(connection)));
     }
   }
@@ -89,14 +89,14 @@
   }
 
   private void addRunningSteps(final StringBuilder steps, final ModelHost host) {
-    if (!host.works.isEmpty()) {
+    if (!host.diskTasks.isEmpty()) {
       steps.append(of(ModelStep.DISK, host.number, 0, 0));
     }
     bounded(steps, ModelStep.TIMER, host, true);
     bounded(steps, ModelStep.FREEZE, host, true);
     if (budget.allows(ModelStep.CRASH)) {
-      final boolean owes = !host.works.isEmpty() || host.disk.owes();
-      for (int fate = 0; fate < (owes ? 4 : 1); fate++) {
+      final boolean hasUnsynced = !host.diskTasks.isEmpty() || host.disk.hasUnsynced();
+      for (int fate = 0; fate < (hasUnsynced ? 4 : 1); fate++) {
         steps.append(of(ModelStep.CRASH, host.number, 0, fate));
       }
     }
@@ -104,7 +104,7 @@
     final boolean mayPropose = leads && !host.raftNode.reconfiguration().isTransferring();
     bounded(steps, ModelStep.PROPOSE, host, mayPropose);
     bounded(steps, ModelStep.CONFIRM, host, leads);
-    bounded(steps, ModelStep.HAND, host, mayPropose);
+    bounded(steps, ModelStep.TRANSFER, host, mayPropose);
     bounded(steps, ModelStep.LEAVE, host, !host.leaving);
   }
 
@@ -116,41 +116,41 @@
   }
 
   /**
-   * Which of several connections between the same two, dialled by the same one: an end may not know
+   * Which of several connections between the same two, opened by the same one: an end may not know
    * yet that it is dead.
    */
   private int place(final ModelTransport.Connection connection) {
     int place = 0;
-    for (final ModelTransport.Connection other : wires) {
+    for (final ModelTransport.Connection other : connections) {
       if (other == connection) {
         return place;
       }
       place +=
-          other.dialler.owner == connection.dialler.owner
-                  && other.taker.owner == connection.taker.owner
+          other.initiator.owner == connection.initiator.owner
+                  && other.acceptor.owner == connection.acceptor.owner
               ? 1
               : 0;
     }
     throw new IllegalStateException("no such connection");
   }
 
-  private ModelTransport.Connection wire(final int dialler, final int taker, final int place) {
+  private ModelTransport.Connection wire(final int initiator, final int acceptor, final int place) {
     int at = 0;
-    for (final ModelTransport.Connection connection : wires) {
-      if (connection.dialler.owner.number == dialler
-          && connection.taker.owner.number == taker
+    for (final ModelTransport.Connection connection : connections) {
+      if (connection.initiator.owner.number == initiator
+          && connection.acceptor.owner.number == acceptor
           && at++ == place) {
         return connection;
       }
     }
-    throw new IllegalArgumentException("no connection " + dialler + " to " + taker);
+    throw new IllegalArgumentException("no connection " + initiator + " to " + acceptor);
   }
 
   void apply(final char step) {
     final ModelHost host = hosts.get(ModelStep.member(step));
     budget.spend(ModelStep.kind(step));
     final ModelHost acted = guarded(ModelStep.text(step), () -> turn(step, host));
-    wires.removeIf(ModelTransport.Connection::over);
+    connections.removeIf(ModelTransport.Connection::isOver);
     monitor.look(acted);
   }
 
@@ -186,7 +186,7 @@
         && kind != ModelStep.DELIVER
         && kind != ModelStep.REPLY) {
       possible(host.up() == (kind != ModelStep.BOOT && kind != ModelStep.WIPE), step);
-      possible(kind != ModelStep.DISK || !host.works.isEmpty(), step);
+      possible(kind != ModelStep.DISK || !host.diskTasks.isEmpty(), step);
     }
     ModelHost acted = host;
     switch (kind) {
@@ -194,14 +194,14 @@
       case ModelStep.DISK -> host.diskWorks();
       case ModelStep.DELIVER -> {
         acted = hosts.get(ModelStep.other(step));
-        deliver(wire(host.number, acted.number, ModelStep.which(step)).taker, step);
+        deliver(wire(host.number, acted.number, ModelStep.which(step)).acceptor, step);
       }
       case ModelStep.REPLY -> {
         acted = hosts.get(ModelStep.other(step));
-        deliver(wire(acted.number, host.number, ModelStep.which(step)).dialler, step);
+        deliver(wire(acted.number, host.number, ModelStep.which(step)).initiator, step);
       }
       case ModelStep.BREAK ->
-          wire(host.number, ModelStep.other(step), ModelStep.which(step)).snap();
+          wire(host.number, ModelStep.other(step), ModelStep.which(step)).breakDown();
       case ModelStep.CRASH -> host.stop(ModelStep.which(step));
       case ModelStep.BOOT -> boot(host);
       case ModelStep.WIPE -> {
@@ -211,7 +211,7 @@
       case ModelStep.FREEZE -> host.froze();
       case ModelStep.PROPOSE -> propose(host);
       case ModelStep.CONFIRM -> monitor.confirms(host);
-      case ModelStep.HAND -> {
+      case ModelStep.TRANSFER -> {
         host.raftNode.reconfiguration().transferLeadership(() -> {});
         host.runCommands();
       }
--- a/src/test/java/yewjunction/raft/RaftSimulation.java
+++ b/src/test/java/yewjunction/raft/RaftSimulation.java
@@ -100,7 +100,7 @@
     host.messageFilter = tampering;
     final RecordingStateMachine recording = new RecordingStateMachine();
     final RaftNode raftNode =
-        new RaftNode(7, host, post, host.disk, host.executor(), "ledger", recording);
+        new RaftNode(7, host, post, host.disk, host.executor(), "log", recording);
     raftNode.registerHandlers();
     raftNode
         .reconfiguration()
--- a/src/test/java/yewjunction/raft/RaftSimulationTest.java
+++ b/src/test/java/yewjunction/raft/RaftSimulationTest.java
@@ -134,7 +134,7 @@
       network.runFor(100);
     }
     network.runFor(2_000);
-    final int length = network.host("a:1").disk.read("ledger").length;
+    final int length = network.host("a:1").disk.read("log").length;
     assertTrue(length < 14 << 20, "file of " + length);
     final List<Long> before = new ArrayList<>(recordings.get("a:1").applied.values());
     network.host("a:1").kill();
--- a/src/test/java/yewjunction/raft/SnapshotSimulation.java
+++ b/src/test/java/yewjunction/raft/SnapshotSimulation.java
@@ -14,7 +14,7 @@
   void beginNarrow(final long seed, final int stateBytes, final long fileBytes) {
     begin(seed);
     assertTrue(network.runUntil(() -> acknowledged.size() > 50, 10_000));
-    while (network.host("a:1").disk.read("ledger").length < fileBytes) {
+    while (network.host("a:1").disk.read("log").length < fileBytes) {
       propose(20_000);
       network.runFor(20);
     }
