--- a/src/test/java/yewjunction/system/ConcurrentOperators.java
+++ b/src/test/java/yewjunction/system/ConcurrentOperators.java
@@ -7,8 +7,6 @@
 import java.util.function.Consumer;
 import yewjunction.control.OperatorApi;
 import yewjunction.membership.NodeRole;
-import yewjunction.node.ControlNode;
-import yewjunction.simulation.SimulatedHost;
 
 /**
  * Operators that change and look all the time, lose answers and repeat at other control nodes; all
@@ -35,22 +33,6 @@
     random = new Random(seed);
   }
 
-  /** The real operator API of a control node, where its process is up. */
-  static void ask(
-      final SimulatedCluster cluster,
-      final String controlNode,
-      final OperatorApi.Request request,
-      final Consumer<OperatorApi.Response> responder) {
-    final SimulatedHost host = cluster.network.host(controlNode);
-    if (host.up()) {
-      host.execute(
-          () ->
-              ((ControlNode) cluster.nodes.get(controlNode))
-                  .operatorApi()
-                  .handle(request, responder));
-    }
-  }
-
   void begin() {
     for (int operator = 0; operator < 8; operator++) {
       cluster.network.after(1 + operator, this::next);
--- a/src/test/java/yewjunction/system/FaultyOperatorApi.java
+++ b/src/test/java/yewjunction/system/FaultyOperatorApi.java
@@ -6,20 +6,18 @@
 import yewjunction.control.OperatorApi;
 import yewjunction.node.ControlNode;
 
-/** Desks with a fault, for the tests that are to find it. */
+/** Operator APIs with a fault, for the tests that are to find it. */
 final class FaultyOperatorApi {
   private FaultyOperatorApi() {}
 
   static ConcurrentOperators.Gate real(final SimulatedCluster cluster) {
-    return (controlNode, request, responder) ->
-        ConcurrentOperators.ask(cluster, controlNode, request, responder);
+    return cluster::call;
   }
 
   private static ConcurrentOperators.Gate changed(
       final SimulatedCluster cluster, final Change change) {
     return (controlNode, request, responder) ->
-        ConcurrentOperators.ask(
-            cluster, controlNode, request, told -> responder.accept(change.of(request, told)));
+        cluster.call(controlNode, request, told -> responder.accept(change.of(request, told)));
   }
 
   /** What a stand-in makes of a real answer. */
@@ -49,7 +47,7 @@
       if (leads && order && Long.parseLong(version) < Long.parseLong(request.baseVersion())) {
         responder.accept(says(412));
       } else {
-        ConcurrentOperators.ask(cluster, controlNode, request, responder);
+        cluster.call(controlNode, request, responder);
       }
     };
   }
--- a/src/test/java/yewjunction/system/OperatorAnswersTest.java
+++ b/src/test/java/yewjunction/system/OperatorAnswersTest.java
@@ -1,7 +1,7 @@
 package yewjunction.system;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static yewjunction.system.OperatorClient.config;
+import static yewjunction.system.OperatorCalls.config;
 
 import com.typesafe.config.Config;
 import com.typesafe.config.ConfigFactory;
@@ -21,6 +21,8 @@
  * The recorded ones were made by release 0.1.0 (revision 268ab92).
  */
 class OperatorAnswersTest {
+  private static final int MAX_ATTEMPTS = 20;
+
   private static final List<String> FAULTY =
       List.of(
           "{\"Ver\":9,\"Routes\":[{\"Name\":\"a\",\"Pfx\":\"a\"}]}",
@@ -38,7 +40,9 @@
 
   private OperatorApi.Response ask(
       final String method, final String path, final String base, final String body) {
-    return new OperatorClient(cluster).ask(method, path, base, body);
+    return new OperatorCalls(cluster)
+        .insist(MAX_ATTEMPTS, method, path, Long.parseLong(base), body)
+        .response;
   }
 
   /** Names of all fields, those of lists by their first item; and the code of an error. */
@@ -79,12 +83,12 @@
     cluster = new SimulatedCluster(1);
     cluster.network.runFor(1_500);
     note("GET", "/-/config/show", "0", "");
-    note("POST", "/-/config/replace", "3", config(5));
+    note("POST", "/-/config/replace", "3", config(5, "s."));
     note("POST", "/-/config/replace", "0", "{");
     note("POST", "/-/config/replace", "0", "{\"Ver\":0}");
     note("POST", "/-/config/update", "0", "{\"Ver\":1}");
-    note("POST", "/-/config/replace", "0", config(5));
-    note("POST", "/-/config/replace", "5", config(4));
+    note("POST", "/-/config/replace", "0", config(5, "s."));
+    note("POST", "/-/config/replace", "5", config(4, "s."));
     note("POST", "/-/config/update", "5", "{\"Upsert\":{}}");
     note("GET", "/-/config/show", "0", "");
     note("GET", "/-/nothing", "0", "");
--- a/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorApiSimulationTest.java
@@ -18,18 +18,8 @@
 import yewjunction.system.OperatorCalls.Call;
 
 /** What the operator API says while leaders are cut off, deposed and new. */
-class OperatorApiSimulationTest {
+class OperatorApiSimulationTest extends OperatorCallsSimulation {
   private static final String REPLACE = "/-/config/replace";
-  private SimulatedCluster cluster;
-  private OperatorCalls orders;
-
-  /** What stands before the real operator APIs: nothing, or a fault that the test is to find. */
-  private Function<SimulatedCluster, ConcurrentOperators.Gate> plant = FaultyOperatorApi::real;
-
-  private void begin(final long seed) {
-    orders = OperatorCalls.begun(seed, plant);
-    cluster = orders.cluster;
-  }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
--- a/src/test/java/yewjunction/system/OperatorCalls.java
+++ b/src/test/java/yewjunction/system/OperatorCalls.java
@@ -99,7 +99,16 @@
 
   /** Goes on to other control nodes as callers do, until one answers clearly. */
   Call insist(final String method, final String path, final long base, final String body) {
-    for (int attempt = 0; attempt < 60; attempt++) {
+    return insist(60, method, path, base, body);
+  }
+
+  Call insist(
+      final int maxAttempts,
+      final String method,
+      final String path,
+      final long base,
+      final String body) {
+    for (int attempt = 0; attempt < maxAttempts; attempt++) {
       final Call call =
           send(controlNodes.get(attempt % controlNodes.size()), method, path, "" + base, body);
       cluster.network.runUntil(() -> call.response != null, 1_000);
--- a/src/test/java/yewjunction/system/OperatorSimulationTest.java
+++ b/src/test/java/yewjunction/system/OperatorSimulationTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static yewjunction.system.OperatorClient.config;
+import static yewjunction.system.OperatorCalls.config;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,11 +15,15 @@
 
 /** The operator's calls against the control group, while it changes. */
 class OperatorSimulationTest {
+  private static final int MAX_ATTEMPTS = 20;
+
   private SimulatedCluster cluster;
 
   private OperatorApi.Response ask(
       final String method, final String path, final String base, final String body) {
-    return new OperatorClient(cluster).ask(method, path, base, body);
+    return new OperatorCalls(cluster)
+        .insist(MAX_ATTEMPTS, method, path, Long.parseLong(base), body)
+        .response;
   }
 
   private void begin(final long seed) {
@@ -31,12 +35,12 @@
   void versionsAreCheckedAndExactRepeatsAreTaken() {
     begin(1);
     assertEquals(404, ask("GET", "/-/config/show", "0", "").status());
-    assertEquals(412, ask("POST", "/-/config/replace", "3", config(5)).status());
-    assertEquals(200, ask("POST", "/-/config/replace", "0", config(5)).status());
-    assertEquals(200, ask("POST", "/-/config/replace", "0", config(5)).status());
-    assertEquals(412, ask("POST", "/-/config/replace", "0", config(6)).status());
-    assertEquals(400, ask("POST", "/-/config/replace", "5", config(5)).status());
-    assertEquals(400, ask("POST", "/-/config/replace", "5", config(4)).status());
+    assertEquals(412, ask("POST", "/-/config/replace", "3", config(5, "s.")).status());
+    assertEquals(200, ask("POST", "/-/config/replace", "0", config(5, "s.")).status());
+    assertEquals(200, ask("POST", "/-/config/replace", "0", config(5, "s.")).status());
+    assertEquals(412, ask("POST", "/-/config/replace", "0", config(6, "s.")).status());
+    assertEquals(400, ask("POST", "/-/config/replace", "5", config(5, "s.")).status());
+    assertEquals(400, ask("POST", "/-/config/replace", "5", config(4, "s.")).status());
     assertEquals(400, ask("POST", "/-/config/replace", "5", "{\"Ver\":7").status());
     final String update =
         "{\"Ver\":9,\"Upsert\":{\"Routes\":["
@@ -44,7 +48,7 @@
             + "]},\"Del\":{\"Routes\":[\"r-s.\"]}}";
     assertEquals(200, ask("POST", "/-/config/update", "5", update).status());
     assertEquals(200, ask("POST", "/-/config/update", "5", update).status());
-    assertEquals(200, ask("POST", "/-/config/replace", "0", config(5)).status());
+    assertEquals(200, ask("POST", "/-/config/replace", "0", config(5, "s.")).status());
     final String shown = ask("GET", "/-/config/show", "0", "").json();
     assertTrue(
         shown.contains("\"new.\"") && !shown.contains("\"s.\"") && shown.contains("\"Ver\":9"),
@@ -66,7 +70,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void ofTwoChangesOnOneVersionOneWinsWhoeverLeads(final long seed) {
     begin(seed);
-    assertEquals(200, ask("POST", "/-/config/replace", "0", config(1)).status());
+    assertEquals(200, ask("POST", "/-/config/replace", "0", config(1, "s.")).status());
     final List<String> acked = new ArrayList<>();
     for (long version = 1; version < 12; ) {
       final long base = version;
@@ -79,7 +83,7 @@
               "POST",
               "/-/config/replace",
               base,
-              config(next),
+              config(next, "s."),
               response -> {
                 if (response.status() == 200 && !won.contains(next)) {
                   won.add(next);
--- a/src/test/java/yewjunction/system/RetirementSimulationTest.java
+++ b/src/test/java/yewjunction/system/RetirementSimulationTest.java
@@ -9,16 +9,8 @@
 import yewjunction.system.OperatorCalls.Call;
 
 /** Orders to empty store machines, under new leaders, at once, and after all is over. */
-class RetirementSimulationTest {
+class RetirementSimulationTest extends OperatorCallsSimulation {
   private static final String STORE = "/-/retire/node-10.1.0.9:7000/";
-  private SimulatedCluster cluster;
-  private OperatorCalls orders;
-  private Function<SimulatedCluster, ConcurrentOperators.Gate> plant = FaultyOperatorApi::real;
-
-  private void begin(final long seed) {
-    orders = OperatorCalls.begun(seed, plant);
-    cluster = orders.cluster;
-  }
 
   @Test
   void aNewLeaderKnowsNothingAgainstAMachineThatHasNotCalledYet() {
--- a/src/test/java/yewjunction/system/SimulatedCluster.java
+++ b/src/test/java/yewjunction/system/SimulatedCluster.java
@@ -196,19 +196,22 @@
       final long base,
       final String body,
       final Consumer<OperatorApi.Response> responder) {
+    call(
+        controlNode,
+        new OperatorApi.Request(
+            method, path, String.valueOf(base), body.getBytes(StandardCharsets.UTF_8)),
+        responder);
+  }
+
+  /** Hands a call to the real operator API of a control node, where its process is up. */
+  void call(
+      final String controlNode,
+      final OperatorApi.Request request,
+      final Consumer<OperatorApi.Response> responder) {
     final SimulatedHost host = network.host(controlNode);
     if (host.up()) {
       host.execute(
-          () ->
-              ((ControlNode) nodes.get(controlNode))
-                  .operatorApi()
-                  .handle(
-                      new OperatorApi.Request(
-                          method,
-                          path,
-                          String.valueOf(base),
-                          body.getBytes(StandardCharsets.UTF_8)),
-                      responder));
+          () -> ((ControlNode) nodes.get(controlNode)).operatorApi().handle(request, responder));
     }
   }
 
