--- a/src/main/java/yewjunction/control/StoreReports.java
+++ b/src/main/java/yewjunction/control/StoreReports.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Supplier;
 import yewjunction.common.AgentContext;
 import yewjunction.control.LeaseMessages.ProcessReport;
 
@@ -25,18 +26,18 @@
   private static final long RECENT_MS = 10 * REGISTRATION_INTERVAL_MS;
 
   private final AgentContext context;
-  private final ClusterStateSource clusterState;
+  private final Supplier<ClusterState> clusterState;
   private final Map<String, StoreReport> byAddress = new TreeMap<>();
   private long leaderSinceMs;
 
   private record StoreReport(ProcessReport process, long receivedMs) {}
 
-  /** Where the cluster state is looked up: it is replaced by a snapshot. */
-  interface ClusterStateSource {
-    ClusterState clusterState();
-  }
-
-  StoreReports(final AgentContext context, final ClusterStateSource clusterState) {
+  /**
+   * Starts without reports.
+   *
+   * @param clusterState looked up for each use, since a snapshot replaces it
+   */
+  StoreReports(final AgentContext context, final Supplier<ClusterState> clusterState) {
     this.context = context;
     this.clusterState = clusterState;
   }
@@ -88,7 +89,7 @@
 
   /** Whether a node has reported recently, or is being retired, or has been. */
   boolean isKnown(final String node) {
-    return recentReportOf(node) != null || clusterState.clusterState().retirementOf(node) != null;
+    return recentReportOf(node) != null || clusterState.get().retirementOf(node) != null;
   }
 
   /** Whether this node has led for long enough that every store in contact has reported. */
@@ -110,7 +111,7 @@
 
   /** Whether at least so many stores remain when this one is retired. */
   boolean canSpare(final String node, final int needed) {
-    final Set<String> retiring = clusterState.clusterState().retiringAddresses();
+    final Set<String> retiring = clusterState.get().retiringAddresses();
     final long staying =
         byAddress.values().stream()
             .filter(
--- a/src/main/java/yewjunction/gateway/CommandHandler.java
+++ b/src/main/java/yewjunction/gateway/CommandHandler.java
@@ -102,9 +102,12 @@
     clientRegistry.moveIfDraining(session);
   }
 
-  /** Why this client may not use the topic right now; null when it may. */
-  RefuseReason refusalReason(final ClientSession session, final String topic) {
-    if (!leaseClient.isHeld() || subscriptions.self() == 0) {
+  /** Why a command about a topic is refused right now; null when it is not. */
+  private RefuseReason refusalReason(final ClientSession session, final String topic) {
+    if (topic.isEmpty() || !session.isGreeted()) {
+      return RefuseReason.BADMSG;
+    }
+    if (!canServe()) {
       return RefuseReason.RETRY;
     }
     return configuredRefusal(leaseClient.configuration(), session.secret, topic);
@@ -125,10 +128,6 @@
 
   private void subscribe(
       final ClientSession session, final String topic, final String cursor, final String patterns) {
-    if (topic.isEmpty() || !session.isGreeted()) {
-      session.sendRefuse(ClientCommand.SUB, topic, "", RefuseReason.BADMSG);
-      return;
-    }
     final RefuseReason refusal = refusalReason(session, topic);
     if (refusal != null) {
       session.sendRefuse(ClientCommand.SUB, topic, "", refusal);
@@ -192,10 +191,7 @@
   }
 
   private void count(final ClientSession session, final String topic) {
-    final RefuseReason refusal =
-        topic.isEmpty() || !session.isGreeted()
-            ? RefuseReason.BADMSG
-            : refusalReason(session, topic);
+    final RefuseReason refusal = refusalReason(session, topic);
     if (refusal != null) {
       session.sendRefuse(ClientCommand.WHO, topic, "", refusal);
     } else {
@@ -207,10 +203,7 @@
     final String topic = parser.text(1);
     final long number = parser.number(2);
     final boolean firstTry = session.isFirstTry(number);
-    final RefuseReason refusal =
-        topic.isEmpty() || !session.isGreeted()
-            ? RefuseReason.BADMSG
-            : refusalReason(session, topic);
+    final RefuseReason refusal = refusalReason(session, topic);
     if (refusal != null) {
       session.onRefused(
           leaseClient.configuration() == null ? null : leaseClient.configuration().routeOf(topic),
